--- a/pkg/cli/held_back_test.go
+++ b/pkg/cli/held_back_test.go
@@ -22,8 +22,8 @@
 	held := mesh.Suspect{
 		Case: poison.Case{
 			Service: "hire-ledger", Route: "bills", Request: "680674fc7cfe4b36",
-			Fingerprint: poison.Asked{URI: "/bills/7"}.Identity().Widest(),
-			Ends:        []poison.Lifetime{{Host: "10.1.0.8", Instance: "i-1/4"}, {Host: "10.1.0.9", Instance: "i-2/7"}},
+			Fingerprint: poison.RequestContent{URI: "/bills/7"}.Identity().Widest(),
+			Crashed:     []poison.Lifetime{{Host: "10.1.0.8", Instance: "i-1/4"}, {Host: "10.1.0.9", Instance: "i-2/7"}},
 		},
 		Treatment: "held back", For: 21 * time.Second,
 	}
--- a/pkg/cli/query_held_back.go
+++ b/pkg/cli/query_held_back.go
@@ -94,10 +94,10 @@
 func suspectsTable(t io.Writer, list []mesh.Suspect) {
 	row(t, "REQUEST", "SERVICE", "ROUTE", "TREATMENT", "FOR", "SOUND", "ENDED", "FINGERPRINT")
 	for _, s := range list {
-		ended := make([]string, 0, len(s.Ends))
-		for _, l := range s.Ends {
+		ended := make([]string, 0, len(s.Crashed))
+		for _, l := range s.Crashed {
 			ended = append(ended, l.Host+" "+l.Instance)
 		}
-		row(t, s.Request, s.Service, s.Route, s.Treatment, s.For.Round(time.Second), s.Sound, strings.Join(ended, ", "), s.Fingerprint)
+		row(t, s.Request, s.Service, s.Route, s.Treatment, s.For.Round(time.Second), s.RecentlySuccessful, strings.Join(ended, ", "), s.Fingerprint)
 	}
 }
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -21,7 +21,7 @@
 	pool  *httpconn.Pool
 	runs  serverRuns
 	trial trial
-	good  poison.GoodRuns
+	good  poison.SuccessTracker
 }
 
 func newBackend(n *Node) *backend {
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -119,7 +119,7 @@
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
 		n.eachPool((*httpconn.Pool).Sweep)
-		n.poison.Sweep(now)
+		n.poison.RemoveExpired(now)
 	}
 	if !now.Before(n.control.nextLook) {
 		n.control.nextLook = now.Add(lookPeriod)
--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -32,9 +32,9 @@
 	Age  time.Duration `codec:"a,omitempty"`
 	// Ends and Cases are news of requests that may end servers; Held is a digest of those that the sender holds back, which
 	// a peer with another one tells.
-	Ends  []poison.End  `codec:"e,omitempty"`
-	Cases []poison.Case `codec:"p,omitempty"`
-	Held  uint64        `codec:"h,omitempty"`
+	Ends  []poison.Crash `codec:"e,omitempty"`
+	Cases []poison.Case  `codec:"p,omitempty"`
+	Held  uint64         `codec:"h,omitempty"`
 	// Wants tells that the sender asks for the desired state.
 	Wants bool `codec:"w,omitempty"`
 	// Brief tells that the message has only such news, and is answered as briefly.
@@ -114,7 +114,7 @@
 		m.Learned = n.allLearned()
 	}
 	if to.Held != m.Held {
-		m.Cases = append(m.Cases, n.poison.Held(n.clock.Now())...)
+		m.Cases = append(m.Cases, n.poison.QuarantinedCases(n.clock.Now())...)
 	}
 	return m
 }
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -93,7 +93,7 @@
 	if a.reason == wire.ReasonHeldBack || a.reason == wire.ReasonSuspect {
 		return false // the other servers are to be spared
 	}
-	if d.q.Stages.Any() && a.reason == wire.ReasonQueue {
+	if d.q.Stages.Suspected() && a.reason == wire.ReasonQueue {
 		return false // as above: its copies stay at one server
 	}
 	if a.failed() && !d.n.worthAnother(d.q) {
--- a/pkg/mesh/held_back_handler.go
+++ b/pkg/mesh/held_back_handler.go
@@ -25,9 +25,9 @@
 func (n *Node) suspects() []Suspect {
 	now := n.clock.Now()
 	list := []Suspect{}
-	for _, c := range n.poison.All(now) {
-		j := n.poison.JudgeCase(c)
-		list = append(list, Suspect{Case: c, Treatment: j.Treatment.String(), For: j.For})
+	for _, c := range n.poison.SuspectCases(now) {
+		j := n.poison.DecideCase(c)
+		list = append(list, Suspect{Case: c, Treatment: j.Treatment.String(), For: j.Remaining})
 	}
 	return list
 }
@@ -69,7 +69,7 @@
 // lift has a request go anywhere again, at all nodes.
 func (n *Node) lift(w http.ResponseWriter, name string) {
 	now := n.clock.Now()
-	lifted := n.poison.Lift(now, name)
+	lifted := n.poison.ClearByName(now, name)
 	if len(lifted) == 0 {
 		http.Error(w, "no such request is under suspicion", http.StatusNotFound)
 		return
--- a/pkg/mesh/keep_held.go
+++ b/pkg/mesh/keep_held.go
@@ -46,7 +46,7 @@
 // heldOf returns the cases of a service that are held back.
 func (n *Node) heldOf(service string) []poison.Case {
 	var held []poison.Case
-	for _, c := range n.poison.Held(n.clock.Now()) {
+	for _, c := range n.poison.QuarantinedCases(n.clock.Now()) {
 		if c.Service == service {
 			held = append(held, c)
 		}
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -111,7 +111,7 @@
 	n.stats.learner.CallsAreOnTime = n.off[settings.LateCalls]
 	n.gate.ByArrival = n.off[settings.GateOrder]
 	n.metrics.init()
-	n.poison.Rules = o.Settings.Mesh.HeldBack.Rules()
+	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
 	n.watch.mayBegin = make(chan struct{})
 	n.watch.Within = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -131,5 +131,5 @@
 	n.gateMu.Unlock()
 	n.metrics.gauge(int64(g.Running), "gate_running")
 	n.metrics.gauge(int64(g.Queued), "gate_queued")
-	n.metrics.gauge(int64(len(n.poison.All(n.clock.Now()))), "suspects")
+	n.metrics.gauge(int64(len(n.poison.SuspectCases(n.clock.Now()))), "suspects")
 }
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -82,7 +82,7 @@
 	if n.stop.refuses() && !q.Inner {
 		return refused(wire.ReasonLeaving)
 	}
-	if j := n.judge(q); j.Treatment == poison.HeldBack {
+	if j := n.judge(q); j.Treatment == poison.Quarantined {
 		return n.heldBack(q, j)
 	}
 	if !n.admit(q, q.deadline.Sub(n.clock.Now())) {
--- a/pkg/mesh/peer_protocol.go
+++ b/pkg/mesh/peer_protocol.go
@@ -22,7 +22,7 @@
 	callFields  = 6
 	replyFields = 9
 	// suspectFields are how many each has more where a request is under suspicion.
-	suspectCallFields, suspectReplyFields = poison.Likenesses, 2
+	suspectCallFields, suspectReplyFields = poison.ScopeCount, 2
 )
 
 // call is what a node tells the node beside the chosen server.
@@ -66,7 +66,7 @@
 
 func (c call) encode() string {
 	s := fmt.Sprintf("%s,%s,%s,%d,%s,%d", c.Service, c.Route, c.Caller, c.Priority, flags(c.Inner, c.Once, c.TurnedAway), c.Version)
-	if c.Stages.Any() {
+	if c.Stages.Suspected() {
 		for _, stage := range c.Stages {
 			s += "," + strconv.Itoa(stage)
 		}
--- a/pkg/mesh/poison_request_test.go
+++ b/pkg/mesh/poison_request_test.go
@@ -181,7 +181,7 @@
 		list := n.suspects()
 		c.Assert(list, qt.Not(qt.HasLen), 0)
 		c.Assert(list[0].Treatment, qt.Equals, "held back")
-		c.Assert(len(list[0].Ends) >= 3, qt.IsTrue)
+		c.Assert(len(list[0].Crashed) >= 3, qt.IsTrue)
 		c.Assert(n.Dump().Suspects, qt.HasLen, len(list))
 		call := func(method, path, from string) int {
 			r := httptest.NewRequest(method, path, nil)
@@ -200,7 +200,7 @@
 		}
 		time.Sleep(time.Second)
 		for _, other := range p.nodes {
-			c.Check(other.poison.Any(), qt.IsFalse, qt.Commentf("%s", other.ip))
+			c.Check(other.poison.AnySuspects(), qt.IsFalse, qt.Commentf("%s", other.ip))
 		}
 		p.askPoison(time.Second, 10, 0)
 		p.finish()
--- a/pkg/mesh/server_end.go
+++ b/pkg/mesh/server_end.go
@@ -224,13 +224,13 @@
 		return
 	}
 	now := b.n.clock.Now()
-	e := poison.End{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: life}, Service: broken[0].q.Service}
+	e := poison.Crash{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: life}, Service: broken[0].q.Service}
 	for _, r := range broken {
 		e.Runs = append(e.Runs, poison.Run{
-			Identity: r.q.identity(), Stages: r.q.Stages, Sound: b.good.Of(now, r.q.asked()), Route: r.q.Route, Request: r.q.id,
+			Identity: r.q.identity(), Stages: r.q.Stages, RecentSuccess: b.good.Recent(now, r.q.asked()), Route: r.q.Route, Request: r.q.id,
 		})
 	}
-	if !b.n.poison.TakeEnd(now, e) {
+	if !b.n.poison.RecordCrash(now, e) {
 		return // a run that was sent to the same life after its end
 	}
 	b.n.metrics.count("server_ends_total")
@@ -239,7 +239,7 @@
 }
 
 // shownRunsOf returns the runs as the log shows them.
-func shownRunsOf(now time.Time, broken []*serverRun, e poison.End) []shownRun {
+func shownRunsOf(now time.Time, broken []*serverRun, e poison.Crash) []shownRun {
 	shown := make([]shownRun, 0, min(len(broken), shownRuns))
 	for i, r := range broken[:min(len(broken), shownRuns)] {
 		shown = append(shown, shownRun{r.q.id, e.Runs[i].Identity.Widest().String(), now.Sub(r.begun).Milliseconds()})
--- a/pkg/mesh/suspect_news.go
+++ b/pkg/mesh/suspect_news.go
@@ -39,7 +39,7 @@
 // endNews and caseNews are what was heard or seen, and when; their own ages are from that time.
 type (
 	endNews struct {
-		poison.End
+		poison.Crash
 		at time.Time
 	}
 	caseNews struct {
@@ -49,7 +49,7 @@
 )
 
 // addEnd notes the end of a server.
-func (s *suspectNews) addEnd(now time.Time, e poison.End) { s.ends = append(s.ends, endNews{e, now}) }
+func (s *suspectNews) addEnd(now time.Time, e poison.Crash) { s.ends = append(s.ends, endNews{e, now}) }
 
 // addCase notes a case that changed, as others told it.
 func (s *suspectNews) addCase(now time.Time, c poison.Case) {
@@ -66,21 +66,21 @@
 }
 
 // recent returns what is news with its age now, and forgets the rest.
-func (s *suspectNews) recent(now time.Time) ([]poison.End, []poison.Case) {
+func (s *suspectNews) recent(now time.Time) ([]poison.Crash, []poison.Case) {
 	for len(s.ends) > 0 && now.Sub(s.ends[0].at) >= suspectNewsTime {
 		s.ends = s.ends[1:]
 	}
 	for len(s.cases) > 0 && now.Sub(s.cases[0].at) >= suspectNewsTime {
 		s.cases = s.cases[1:]
 	}
-	var ends []poison.End
+	var ends []poison.Crash
 	runs := 0
 	for _, x := range slices.Backward(s.ends) {
 		if runs += len(x.Runs); runs > maxNewsRuns && len(ends) > 0 {
 			break
 		}
 		x.Age += now.Sub(x.at)
-		ends = append(ends, x.End)
+		ends = append(ends, x.Crash)
 	}
 	var cases []poison.Case
 	for _, x := range s.cases[max(len(s.cases)-maxSuspectNews, 0):] {
@@ -91,11 +91,11 @@
 }
 
 // serverEnded tells all nodes, in the control goroutine, that the server on this VM has ended.
-func (n *Node) serverEnded(e poison.End) {
+func (n *Node) serverEnded(e poison.Crash) {
 	now := n.clock.Now()
 	n.control.suspects.addEnd(now, e)
 	n.noteEnded(e)
-	n.tellBriefly(n.newsTargets(endNear, endFar), []poison.End{e}, nil)
+	n.tellBriefly(n.newsTargets(endNear, endFar), []poison.Crash{e}, nil)
 }
 
 // newsTargets returns some nodes of the own zone and some of each other one. Seeds aren't among them: they may be the same nodes
@@ -113,7 +113,7 @@
 }
 
 // tellBriefly sends what can't wait, without what the usual exchanges carry.
-func (n *Node) tellBriefly(targets []talkTarget, ends []poison.End, cases []poison.Case) {
+func (n *Node) tellBriefly(targets []talkTarget, ends []poison.Crash, cases []poison.Case) {
 	body := n.encode(n.newBrief(ends, cases))
 	for _, t := range targets {
 		go n.exchangeWith(context.Background(), t.host, body)
@@ -121,7 +121,7 @@
 }
 
 // newBrief is a message with nothing but news of suspects.
-func (n *Node) newBrief(ends []poison.End, cases []poison.Case) message {
+func (n *Node) newBrief(ends []poison.Crash, cases []poison.Case) message {
 	return message{
 		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Digest: n.control.directory.Digest(), Stopping: n.stop.leaving(),
 		Brief: true, Ends: ends, Cases: cases,
@@ -129,17 +129,17 @@
 }
 
 // takeSuspects takes what a peer tells of suspects, and tells near nodes in turn what is news.
-func (n *Node) takeSuspects(now time.Time, ends []poison.End, cases []poison.Case) {
-	var newEnds []poison.End
+func (n *Node) takeSuspects(now time.Time, ends []poison.Crash, cases []poison.Case) {
+	var newEnds []poison.Crash
 	for _, e := range ends {
-		if n.poison.TakeEnd(now, e) {
+		if n.poison.RecordCrash(now, e) {
 			n.control.suspects.addEnd(now, e)
 			n.noteEnded(e)
 			newEnds = append(newEnds, e)
 		}
 	}
 	for _, c := range cases {
-		if n.poison.TakeCase(now, c) {
+		if n.poison.MergeCase(now, c) {
 			n.control.suspects.addCase(now, c)
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 // noteEnded has requests pass by a server that ended.
-func (n *Node) noteEnded(e poison.End) {
+func (n *Node) noteEnded(e poison.Crash) {
 	n.peersMu.Lock()
 	p := n.peers[e.Lifetime.Host]
 	n.peersMu.Unlock()
@@ -170,7 +170,7 @@
 }
 
 // heldDigest is the same where the same requests are held back.
-func (n *Node) heldDigest(now time.Time) uint64 { return digestOf(n.poison.Held(now)) }
+func (n *Node) heldDigest(now time.Time) uint64 { return digestOf(n.poison.QuarantinedCases(now)) }
 
 func digestOf(cases []poison.Case) uint64 {
 	var sum uint64
--- a/pkg/mesh/suspect_news_test.go
+++ b/pkg/mesh/suspect_news_test.go
@@ -13,10 +13,10 @@
 )
 
 // endOfMany is the end of a server with so many runs, with names as long as usual.
-func endOfMany(runs int) poison.End {
-	e := poison.End{Lifetime: poison.Lifetime{Host: "10.1.0.13", Instance: "i-5256e9e962/17"}, Service: "xati36a"}
+func endOfMany(runs int) poison.Crash {
+	e := poison.Crash{Lifetime: poison.Lifetime{Host: "10.1.0.13", Instance: "i-5256e9e962/17"}, Service: "xati36a"}
 	for i := range runs {
-		a := poison.Asked{Service: e.Service, Method: "GET", Host: "rano73.example", URI: fmt.Sprintf("/boda430/%06x", i), Caller: "wuno24d"}
+		a := poison.RequestContent{Service: e.Service, Method: "GET", Host: "rano73.example", URI: fmt.Sprintf("/boda430/%06x", i), Caller: "wuno24d"}
 		e.Runs = append(e.Runs, poison.Run{Identity: a.Identity(), Route: "r-brp9d3m", Request: "680674fc7cfe4b36"})
 	}
 	return e
@@ -25,13 +25,13 @@
 // The news of the end of a server is as large as what ran there: 46 runs, the most of eight ends in one played day.
 func TestNewsOfAnEndIsSmall(t *testing.T) {
 	c := qt.New(t)
-	body, err := pack(message{Brief: true, Ends: []poison.End{endOfMany(46)}})
+	body, err := pack(message{Brief: true, Ends: []poison.Crash{endOfMany(46)}})
 	c.Assert(err, qt.IsNil)
 	t.Logf("%d bytes", len(body))
 	c.Assert(len(body) < 5<<10, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
 	var back message
 	c.Assert(unpack(body, &back), qt.IsNil)
-	c.Assert(back.Ends, qt.DeepEquals, []poison.End{endOfMany(46)})
+	c.Assert(back.Ends, qt.DeepEquals, []poison.Crash{endOfMany(46)})
 }
 
 // News ages while it is kept, is told for two seconds, and never more than a message holds; only what was cleared here is told by itself.
@@ -97,7 +97,7 @@
 func TestNewsOfUnknownServersMakesNoPeers(t *testing.T) {
 	c := qt.New(t)
 	a := newAsking()
-	var ends []poison.End
+	var ends []poison.Crash
 	for i := range 1000 {
 		e := endOfMany(1)
 		e.Lifetime.Host = fmt.Sprint("10.9.0.", i)
@@ -123,7 +123,7 @@
 		_, refusal = b.tryAtServer(t.Context(), second)
 		c.Assert(refusal, qt.IsNil)
 		c.Assert(time.Since(begun), qt.Equals, trialWait/2)
-		c.Assert(second.Stages.Any(), qt.IsFalse, qt.Commentf("here nothing is known against it"))
+		c.Assert(second.Stages.Suspected(), qt.IsFalse, qt.Commentf("here nothing is known against it"))
 		_, refusal = b.tryAtServer(t.Context(), &request{})
 		c.Assert(refusal, qt.IsNil)
 	})
--- a/pkg/mesh/suspect_trial.go
+++ b/pkg/mesh/suspect_trial.go
@@ -47,19 +47,19 @@
 // tryAtServer lets a request pass to the server on this VM: not one that is held back, and of suspects that are tried alone one at a time. It
 // returns the answer to one that may not pass; done must be called when the run has ended.
 func (b *backend) tryAtServer(ctx context.Context, q *request) (done func(), a *answer) {
-	if !q.Stages.Any() && !b.n.poison.Any() || b.n.off[settings.HeldBack] {
+	if !q.Stages.Suspected() && !b.n.poison.AnySuspects() || b.n.off[settings.HeldBack] {
 		return func() {}, nil
 	}
 	wait := time.NewTimer(trialWait)
 	defer wait.Stop()
 	// The sender may have heard of an end that is news here: two copies that came just then ran side by side. Whoever has waited goes by what is known here, which
 	// the run that it waited for has settled. Of what has ended well here of late the sender's word counts for nothing.
-	told := q.Stages.Without(b.good.Of(b.n.clock.Now(), q.asked()))
+	told := q.Stages.WithoutSuccessful(b.good.Recent(b.n.clock.Now(), q.asked()))
 	for {
 		j := b.n.judge(q)
 		q.Stages = j.Stages.Max(told)
 		switch max(j.Treatment, told.Treatment()) {
-		case poison.HeldBack:
+		case poison.Quarantined:
 			return func() {}, b.n.heldBack(q, j)
 		case poison.Alone:
 			ended := b.trial.begin()
--- a/pkg/mesh/suspects.go
+++ b/pkg/mesh/suspects.go
@@ -26,8 +26,8 @@
 }
 
 // asked returns what the request asks for.
-func (q *request) asked() poison.Asked {
-	a := poison.Asked{
+func (q *request) asked() poison.RequestContent {
+	a := poison.RequestContent{
 		Service: q.Service, Method: q.method, Host: q.host, URI: q.uri, Caller: q.Caller, Body: q.body,
 	}
 	if q.stream != nil {
@@ -37,20 +37,20 @@
 }
 
 // judge returns what is to be done with a request, by what ended under it anywhere. While nothing is under suspicion it costs one look.
-func (n *Node) judge(q *request) poison.Judgement {
-	if !n.poison.Any() || n.off[settings.HeldBack] {
-		return poison.Judgement{}
+func (n *Node) judge(q *request) poison.Decision {
+	if !n.poison.AnySuspects() || n.off[settings.HeldBack] {
+		return poison.Decision{}
 	}
-	return n.poison.Judge(n.clock.Now(), q.identity())
+	return n.poison.Decide(n.clock.Now(), q.identity())
 }
 
 // heldBack answers a request that is held back, at once: this attempt hasn't run, and it may come back when it is tried again.
-func (n *Node) heldBack(q *request, j poison.Judgement) *answer {
+func (n *Node) heldBack(q *request, j poison.Decision) *answer {
 	n.metrics.count("held_back_total", "route", q.Route)
 	n.callLog.Info("held back", "request", q.id, "route", q.Route, "service", q.Service, "fingerprint", q.identity().Widest(),
-		"stages", j.Stages, "sound", j.Sound, "for", j.For, "ended", lifetimes(j.Ends))
+		"stages", j.Stages, "sound", j.RecentlySuccessful, "for", j.Remaining, "ended", lifetimes(j.Crashed))
 	a := refused(wire.ReasonHeldBack)
-	a.comeBack = j.For
+	a.comeBack = j.Remaining
 	return a
 }
 
@@ -74,7 +74,7 @@
 	switch j.Treatment {
 	case poison.Free:
 		return choose(now, servers, d.tried, d.n.compared()), nil
-	case poison.HeldBack:
+	case poison.Quarantined:
 		return nil, d.n.heldBack(d.q, j)
 	default:
 		return d.placeSuspect(now, servers, j)
@@ -90,20 +90,20 @@
 	at := poison.Lifetime{Host: p.host, Instance: r.Ended}
 	p.serverEnded(now, r.Ended)
 	for i, f := range d.q.identity() {
-		d.n.poison.TakeCase(now, poison.Case{
+		d.n.poison.MergeCase(now, poison.Case{
 			Fingerprint: f, Service: d.q.Service, Route: d.q.Route, Request: d.q.id,
-			Stage: d.q.Stages[i] + 1, Ends: []poison.Lifetime{at},
+			Stage: d.q.Stages[i] + 1, Crashed: []poison.Lifetime{at},
 		})
 	}
 }
 
 // placeSuspect returns the server that a suspect goes to. The last one that is there is spared for a moment, for the sake of all other
 // requests, but from those whose runs have ended well of late.
-func (d *delivery) placeSuspect(now time.Time, servers []*peer, j poison.Judgement) (*peer, *answer) {
+func (d *delivery) placeSuspect(now time.Time, servers []*peer, j poison.Decision) (*peer, *answer) {
 	there := those(servers, func(p *peer) bool { return p.open(now, false) })
-	if len(there) == 1 && len(servers) > 1 && j.For > 0 && !j.Sound {
+	if len(there) == 1 && len(servers) > 1 && j.Remaining > 0 && !j.RecentlySuccessful {
 		a := refused(wire.ReasonSuspect)
-		a.comeBack = j.For
+		a.comeBack = j.Remaining
 		return nil, a
 	}
 	if j.Treatment == poison.Alone {
@@ -114,7 +114,7 @@
 	for _, p := range there {
 		hosts = append(hosts, p.host)
 	}
-	i := poison.Place(d.q.identity().Widest(), hosts)
+	i := poison.SelectHost(d.q.identity().Widest(), hosts)
 	if i < 0 {
 		return nil, nil
 	}
@@ -147,11 +147,11 @@
 	if a.outcome != wire.Ran || a.status >= http.StatusInternalServerError || b.n.off[settings.HeldBack] {
 		return
 	}
-	b.good.Add(b.n.clock.Now(), q.asked())
-	if !b.n.poison.Any() {
+	b.good.RecordSuccess(b.n.clock.Now(), q.asked())
+	if !b.n.poison.AnySuspects() {
 		return
 	}
-	cleared := b.n.poison.Clear(b.n.clock.Now(), q.identity())
+	cleared := b.n.poison.RecordSuccess(b.n.clock.Now(), q.identity())
 	if len(cleared) == 0 {
 		return
 	}
--- a/pkg/mesh/wire_places_test.go
+++ b/pkg/mesh/wire_places_test.go
@@ -23,9 +23,9 @@
 			"Ends", "Cases", "Held", "Wants", "Brief", "Era",
 		}},
 		{loads.Report{}, []string{"Host", "Epoch", "Seq", "Service", "Room", "Entries", "Runs", "Away", "Leaving"}},
-		{poison.End{}, []string{"Lifetime", "Service", "Age", "Runs"}},
-		{poison.Run{}, []string{"Identity", "Stages", "Route", "Request", "Sound"}},
-		{poison.Case{}, []string{"Fingerprint", "Service", "Route", "Request", "Stage", "Ends", "Cleared", "Age", "Sound"}},
+		{poison.Crash{}, []string{"Lifetime", "Service", "Age", "Runs"}},
+		{poison.Run{}, []string{"Identity", "Stages", "Route", "Request", "RecentSuccess"}},
+		{poison.Case{}, []string{"Fingerprint", "Service", "Route", "Request", "Stage", "Crashed", "Cleared", "Age", "RecentlySuccessful"}},
 	} {
 		typ := reflect.TypeOf(x.of)
 		var names []string
--- a/pkg/poison/case.go
+++ b/pkg/poison/case.go
@@ -17,19 +17,19 @@
 	// Stage counts the ends one after the other: that of a run that began in stage n makes stage n+1, so servers that end
 	// together, under copies of a request that many send, make one stage. See severity for the ends of which it was cleared meanwhile.
 	Stage int `json:"stage"`
-	// Ends are the servers that ended under it since it was last cleared, Cleared those before.
-	Ends    []Lifetime    `json:"ends"`
-	Cleared []Lifetime    `json:"cleared,omitempty"`
-	Age     time.Duration `json:"age_ns"`          // since the last end, when this was written
-	Sound   bool          `json:"sound,omitempty"` // runs of it had ended well shortly before one of the ends
+	// Crashed are the servers that ended under it since it was last cleared, Cleared those before.
+	Crashed            []Lifetime    `json:"ends"`
+	Cleared            []Lifetime    `json:"cleared,omitempty"`
+	Age                time.Duration `json:"age_ns"`          // since the last end, when this was written
+	RecentlySuccessful bool          `json:"sound,omitempty"` // runs of it had ended well shortly before one of the ends
 }
 
 // severity is the stage that the ends bear out which it wasn't cleared of: news of an end may come after that of a run that ended well, and says then
 // how many ends there were when the run began, whether they count any more or not.
-func (c *Case) severity() int { return min(c.Stage, len(c.Ends)) }
+func (c *Case) severity() int { return min(c.Stage, len(c.Crashed)) }
 
 // live tells whether the request is under suspicion.
-func (c *Case) live() bool { return len(c.Ends) > 0 }
+func (c *Case) live() bool { return len(c.Crashed) > 0 }
 
 // add adds lifetimes that aren't in the list, and forgets the first ones of a list that is too long; it reports whether any was news.
 func add(list *[]Lifetime, more []Lifetime) bool {
--- a/pkg/poison/end.go
+++ b/pkg/poison/end.go
@@ -12,10 +12,10 @@
 }
 
 // Stages are those of a request's cases, by likeness.
-type Stages [Likenesses]int
+type Stages [ScopeCount]int
 
-// Any tells whether there is a case.
-func (s Stages) Any() bool { return s != Stages{} }
+// Suspected tells whether there is a case.
+func (s Stages) Suspected() bool { return s != Stages{} }
 
 // Max returns the later stage of each likeness.
 func (s Stages) Max(o Stages) Stages {
@@ -25,8 +25,8 @@
 	return s
 }
 
-// Without returns the stages but for those of likenesses whose runs have ended well.
-func (s Stages) Without(sound Sound) Stages {
+// WithoutSuccessful returns the stages but for those of likenesses whose runs have ended well.
+func (s Stages) WithoutSuccessful(sound RecentSuccess) Stages {
 	for i := range s {
 		if sound[i] {
 			s[i] = 0
@@ -50,15 +50,15 @@
 
 // Run is a request that ran in a server when that ended.
 type Run struct {
-	Identity Identity
-	Stages   Stages // of its cases when the run began
-	Route    string // for who reads about it
-	Request  string // id of the attempt, as above
-	Sound    Sound  // whether runs of it had ended well there of late
+	Identity      Identity
+	Stages        Stages        // of its cases when the run began
+	Route         string        // for who reads about it
+	Request       string        // id of the attempt, as above
+	RecentSuccess RecentSuccess // whether runs of it had ended well there of late
 }
 
-// End is the end of a server that nobody had announced.
-type End struct {
+// Crash is the end of a server that nobody had announced.
+type Crash struct {
 	Lifetime Lifetime
 	Service  string
 	Age      time.Duration // since it was noticed, when this was written
--- a/pkg/poison/fingerprint.go
+++ b/pkg/poison/fingerprint.go
@@ -17,8 +17,8 @@
 // Fingerprint tells what a request asks for, by one likeness: requests with the same one make a server do the same.
 type Fingerprint [fingerprintBytes]byte
 
-// Asked is what a request asks for. Of a body that isn't held whole the first part counts, and its length.
-type Asked struct {
+// RequestContent is what a request asks for. Of a body that isn't held whole the first part counts, and its length.
+type RequestContent struct {
 	Service string // that runs it: another one may well survive it
 	Method  string
 	Host    string
@@ -37,16 +37,16 @@
 	SamePath
 	// AnyCaller leaves the service as well beside which the request began: it may come in anywhere.
 	AnyCaller
-	// Likenesses is how many there are.
-	Likenesses
+	// ScopeCount is how many there are.
+	ScopeCount
 )
 
 // Identity has a request's fingerprint by each likeness. What ends servers by its path is found by the wider ones; what does so by its query, or for one
 // caller only, by the narrower ones, since the sound requests for the same path clear them of the wider ones.
-type Identity [Likenesses]Fingerprint
+type Identity [ScopeCount]Fingerprint
 
 // Identity returns the fingerprints. They are cryptographic hashes, so that no caller can have another one's requests held back.
-func (a Asked) Identity() Identity {
+func (a RequestContent) Identity() Identity {
 	var id Identity
 	for i, l := range a.likenesses() {
 		id[i] = a.fingerprint(l, int64(i))
@@ -57,9 +57,9 @@
 // likeness is what counts of a request by one of them, beside what does by all.
 type likeness struct{ uri, caller string }
 
-func (a Asked) likenesses() [Likenesses]likeness {
+func (a RequestContent) likenesses() [ScopeCount]likeness {
 	path, _, _ := strings.Cut(a.URI, "?")
-	return [Likenesses]likeness{
+	return [ScopeCount]likeness{
 		Exact:     {a.URI, a.Caller},
 		SamePath:  {path, a.Caller},
 		AnyCaller: {path, ""},
@@ -70,7 +70,7 @@
 func (id Identity) Widest() Fingerprint { return id[AnyCaller] }
 
 // fingerprint returns the one by a likeness.
-func (a Asked) fingerprint(l likeness, index int64) Fingerprint {
+func (a RequestContent) fingerprint(l likeness, index int64) Fingerprint {
 	h := sha256.New()
 	addLength(h, index)
 	for _, part := range []string{a.Service, a.Method, strings.ToLower(a.Host), l.uri, l.caller} {
--- a/pkg/poison/good_runs.go
+++ b/pkg/poison/good_runs.go
@@ -15,20 +15,20 @@
 	maxGoodRuns = 8192
 )
 
-// GoodRuns remembers which requests have ended well at one server of late: when that ends, such a request is hardly to blame. Its zero value is empty and
+// SuccessTracker remembers which requests have ended well at one server of late: when that ends, such a request is hardly to blame. Its zero value is empty and
 // works. It is safe for concurrent use.
-type GoodRuns struct {
+type SuccessTracker struct {
 	mu              sync.Mutex
 	seed            maphash.Seed // the zero one until something is noted
 	current, before map[uint64]struct{}
 	since           time.Time // when current began
 }
 
-// Sound tells by which likenesses a request has ended well of late.
-type Sound [Likenesses]bool
+// RecentSuccess tells by which likenesses a request has ended well of late.
+type RecentSuccess [ScopeCount]bool
 
-// Add notes that a run of a request has ended well.
-func (g *GoodRuns) Add(now time.Time, a Asked) {
+// RecordSuccess notes that a run of a request has ended well.
+func (g *SuccessTracker) RecordSuccess(now time.Time, a RequestContent) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.turn(now)
@@ -39,12 +39,12 @@
 	}
 }
 
-// Of tells whether runs of a request have ended well of late.
-func (g *GoodRuns) Of(now time.Time, a Asked) Sound {
+// Recent tells whether runs of a request have ended well of late.
+func (g *SuccessTracker) Recent(now time.Time, a RequestContent) RecentSuccess {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.turn(now)
-	var s Sound
+	var s RecentSuccess
 	for i, key := range g.keys(a) {
 		_, lately := g.current[key]
 		_, before := g.before[key]
@@ -54,7 +54,7 @@
 }
 
 // turn begins a new stretch of time once the present one is long enough; g.mu is held.
-func (g *GoodRuns) turn(now time.Time) {
+func (g *SuccessTracker) turn(now time.Time) {
 	if g.seed == (maphash.Seed{}) {
 		g.seed = maphash.MakeSeed()
 	}
@@ -70,8 +70,8 @@
 }
 
 // keys returns the request's likenesses by hashes that nobody outside this process can foresee.
-func (g *GoodRuns) keys(a Asked) [Likenesses]uint64 {
-	var keys [Likenesses]uint64
+func (g *SuccessTracker) keys(a RequestContent) [ScopeCount]uint64 {
+	var keys [ScopeCount]uint64
 	for i, l := range a.likenesses() {
 		keys[i] = g.key(a, l, byte(i))
 	}
@@ -79,7 +79,7 @@
 }
 
 // key returns the hash by one likeness.
-func (g *GoodRuns) key(a Asked, l likeness, index byte) uint64 {
+func (g *SuccessTracker) key(a RequestContent, l likeness, index byte) uint64 {
 	var h maphash.Hash
 	h.SetSeed(g.seed)
 	_ = h.WriteByte(index) // as below
--- a/pkg/poison/place.go
+++ b/pkg/poison/place.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place returns the index of the host to which a suspect goes, the same at every node that knows the same hosts, and -1 if there are none. Suspects
+// SelectHost returns the index of the host to which a suspect goes, the same at every node that knows the same hosts, and -1 if there are none. Suspects
 // of one server that ended are spread over all hosts, and one that a host is lost for is the only one that moves (rendezvous hashing).
-func Place(f Fingerprint, hosts []string) int {
+func SelectHost(f Fingerprint, hosts []string) int {
 	best, most := -1, uint64(0)
 	for i, h := range hosts {
 		if w := weight(f, h); best < 0 || w > most {
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -24,7 +24,7 @@
 
 // Table keeps the cases of all services; its zero value is empty and works. It is safe for concurrent use.
 type Table struct {
-	Rules Rules
+	Policy Policy
 
 	live atomic.Int64 // cases under suspicion
 
@@ -41,17 +41,17 @@
 	sound   time.Time // when runs of it were last known to end well; zero: not known
 }
 
-// Any tells whether any request is under suspicion; while none is, nothing else needs to be asked.
-func (t *Table) Any() bool { return t.live.Load() > 0 }
+// AnySuspects tells whether any request is under suspicion; while none is, nothing else needs to be asked.
+func (t *Table) AnySuspects() bool { return t.live.Load() > 0 }
 
-// Judge returns what is to be done with a request: the heaviest of what its cases say.
-func (t *Table) Judge(now time.Time, id Identity) Judgement {
-	if !t.Any() {
-		return Judgement{}
+// Decide returns what is to be done with a request: the heaviest of what its cases say.
+func (t *Table) Decide(now time.Time, id Identity) Decision {
+	if !t.AnySuspects() {
+		return Decision{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var worst Judgement
+	var worst Decision
 	var stages Stages
 	for i, f := range id {
 		k := t.cases[f]
@@ -62,25 +62,25 @@
 		switch j := t.rules().judge(&k.Case, now.Sub(k.last)); {
 		case j.Treatment > worst.Treatment:
 			worst = j
-		case j.Treatment == worst.Treatment && !j.Sound:
-			worst.Sound = false
+		case j.Treatment == worst.Treatment && !j.RecentlySuccessful:
+			worst.RecentlySuccessful = false
 		}
 	}
 	worst.Stages = stages
 	return worst
 }
 
-// JudgeCase returns what is to be done with a request by one case, as All told it.
-func (t *Table) JudgeCase(c Case) Judgement { return t.rules().judge(&c, c.Age) }
+// DecideCase returns what is to be done with a request by one case, as All told it.
+func (t *Table) DecideCase(c Case) Decision { return t.rules().judge(&c, c.Age) }
 
-func (t *Table) rules() Rules {
-	r := t.Rules
-	r.Fill()
+func (t *Table) rules() Policy {
+	r := t.Policy
+	r.SetDefaults()
 	return r
 }
 
-// TakeEnd takes the end of a server that was seen here or heard of; it reports whether it is news.
-func (t *Table) TakeEnd(now time.Time, e End) bool {
+// RecordCrash takes the end of a server that was seen here or heard of; it reports whether it is news.
+func (t *Table) RecordCrash(now time.Time, e Crash) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if slices.Contains(t.seen, e.Lifetime) {
@@ -90,7 +90,7 @@
 		t.seen = slices.Delete(t.seen, 0, 1)
 	}
 	for _, r := range e.Runs[:min(len(e.Runs), maxRuns)] {
-		for likeness := range Likenesses {
+		for likeness := range ScopeCount {
 			t.takeRun(now.Add(-e.Age), e, r, likeness)
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // takeRun notes that a server ended under a run; t.mu is held.
-func (t *Table) takeRun(at time.Time, e End, r Run, likeness int) {
+func (t *Table) takeRun(at time.Time, e Crash, r Run, likeness int) {
 	k := t.of(r.Identity[likeness], e.Service)
 	if slices.Contains(k.Cleared, e.Lifetime) {
 		return
@@ -108,16 +108,16 @@
 	if !was {
 		k.Stage = 0
 	}
-	add(&k.Ends, []Lifetime{e.Lifetime})
+	add(&k.Crashed, []Lifetime{e.Lifetime})
 	k.Stage = stageOf(&k.Case, r.Stages[likeness])
 	k.Route, k.Request = r.Route, r.Request
 	if at.After(k.last) {
 		k.last = at
 	}
-	if r.Sound[likeness] && at.After(k.sound) {
+	if r.RecentSuccess[likeness] && at.After(k.sound) {
 		k.sound = at
 	}
-	k.Sound = k.Sound || k.soundAt(at)
+	k.RecentlySuccessful = k.RecentlySuccessful || k.soundAt(at)
 	t.count(was, k.live())
 }
 
@@ -144,9 +144,9 @@
 	}
 }
 
-// Clear notes that a run of a request has ended well, with its server going on; it returns the cases that this cleared, to be told.
-func (t *Table) Clear(now time.Time, id Identity) []Case {
-	if !t.Any() {
+// RecordSuccess notes that a run of a request has ended well, with its server going on; it returns the cases that this cleared, to be told.
+func (t *Table) RecordSuccess(now time.Time, id Identity) []Case {
+	if !t.AnySuspects() {
 		return nil
 	}
 	t.mu.Lock()
@@ -154,21 +154,21 @@
 	var cleared []Case
 	for _, f := range id {
 		if k := t.cases[f]; k != nil && k.live() {
-			t.clear(now, k, k.Ends)
+			t.clear(now, k, k.Crashed)
 			cleared = append(cleared, k.told(now))
 		}
 	}
 	return cleared
 }
 
-// Lift clears the cases of a request by hand: those that name the attempt, or have the fingerprint. It returns what it cleared.
-func (t *Table) Lift(now time.Time, name string) []Case {
+// ClearByName clears the cases of a request by hand: those that name the attempt, or have the fingerprint. It returns what it cleared.
+func (t *Table) ClearByName(now time.Time, name string) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var lifted []Case
 	for f, k := range t.cases {
 		if k.live() && (k.Request == name || f.String() == name) {
-			t.clear(now, k, k.Ends)
+			t.clear(now, k, k.Crashed)
 			lifted = append(lifted, k.told(now))
 		}
 	}
@@ -182,32 +182,32 @@
 		return false
 	}
 	was := k.live()
-	k.Ends = without(k.Ends, k.Cleared)
+	k.Crashed = without(k.Crashed, k.Cleared)
 	k.cleared, k.sound = now, now
 	if !k.live() {
-		k.Stage, k.Sound = 0, false
+		k.Stage, k.RecentlySuccessful = 0, false
 	}
 	t.count(was, k.live())
 	return true
 }
 
-// TakeCase takes a case as another node knows it; it reports whether it is news.
-func (t *Table) TakeCase(now time.Time, c Case) bool {
+// MergeCase takes a case as another node knows it; it reports whether it is news.
+func (t *Table) MergeCase(now time.Time, c Case) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.of(c.Fingerprint, c.Service)
 	news := t.clear(now, k, c.Cleared)
-	ends := without(c.Ends, k.Cleared)
+	ends := without(c.Crashed, k.Cleared)
 	was := k.live()
-	if add(&k.Ends, ends) {
+	if add(&k.Crashed, ends) {
 		news = true
 	}
 	if len(ends) > 0 && c.Stage > k.Stage {
 		k.Stage = c.Stage
 		news = true
 	}
-	if len(ends) > 0 && (c.Sound || k.soundAt(now)) {
-		k.Sound = true
+	if len(ends) > 0 && (c.RecentlySuccessful || k.soundAt(now)) {
+		k.RecentlySuccessful = true
 	}
 	if at := now.Add(-c.Age); news && len(ends) > 0 && at.After(k.last) {
 		k.last, k.Route, k.Request = at, c.Route, c.Request
@@ -225,21 +225,23 @@
 // told returns the case as it is told to others.
 func (k *kept) told(now time.Time) Case {
 	c := k.Case
-	c.Ends, c.Cleared = slices.Clone(k.Ends), slices.Clone(k.Cleared)
+	c.Crashed, c.Cleared = slices.Clone(k.Crashed), slices.Clone(k.Cleared)
 	c.Age = now.Sub(k.last)
 	return c
 }
 
-// Held returns the cases that are or were held back, in order, for a node that has just started and for who asks.
-func (t *Table) Held(now time.Time) []Case {
+// QuarantinedCases returns the cases that are or were held back, in order, for a node that has just started and for who asks.
+func (t *Table) QuarantinedCases(now time.Time) []Case {
 	return t.some(now, func(k *kept) bool { return k.live() && k.severity() >= heldStage })
 }
 
-// All returns all requests under suspicion, in order.
-func (t *Table) All(now time.Time) []Case { return t.some(now, func(k *kept) bool { return k.live() }) }
+// SuspectCases returns all requests under suspicion, in order.
+func (t *Table) SuspectCases(now time.Time) []Case {
+	return t.some(now, func(k *kept) bool { return k.live() })
+}
 
 func (t *Table) some(now time.Time, wanted func(*kept) bool) []Case {
-	if !t.Any() {
+	if !t.AnySuspects() {
 		return nil
 	}
 	t.mu.Lock()
@@ -256,8 +258,8 @@
 	return cases
 }
 
-// Sweep forgets cases that are over.
-func (t *Table) Sweep(now time.Time) {
+// RemoveExpired forgets cases that are over.
+func (t *Table) RemoveExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rules := t.rules()
@@ -270,7 +272,7 @@
 }
 
 // over tells whether a case need not be kept any longer.
-func (k *kept) over(now time.Time, rules Rules) bool {
+func (k *kept) over(now time.Time, rules Policy) bool {
 	if k.live() {
 		return now.Sub(k.last) >= rules.memory(k.severity())
 	}
--- a/pkg/poison/table_test.go
+++ b/pkg/poison/table_test.go
@@ -16,11 +16,13 @@
 var start = time.Unix(1000, 0)
 
 // idOf returns the identity of a request for a path.
-func idOf(path string) Identity { return Asked{Service: "s", Method: "GET", URI: path}.Identity() }
+func idOf(path string) Identity {
+	return RequestContent{Service: "s", Method: "GET", URI: path}.Identity()
+}
 
 // endOf is the end of a server's life, under runs of requests that began in a stage.
-func endOf(host string, life, stage int, paths ...string) End {
-	e := End{Lifetime: Lifetime{host, fmt.Sprint("i", life)}, Service: "s"}
+func endOf(host string, life, stage int, paths ...string) Crash {
+	e := Crash{Lifetime: Lifetime{host, fmt.Sprint("i", life)}, Service: "s"}
 	for _, p := range paths {
 		e.Runs = append(e.Runs, Run{Identity: idOf(p), Stages: Stages{stage, stage, stage}, Route: "r", Request: "id-" + p})
 	}
@@ -31,20 +33,20 @@
 func TestThreeEndsInARowHoldARequestBack(t *testing.T) {
 	c := qt.New(t)
 	var x Table
-	c.Assert(x.Any(), qt.IsFalse)
-	c.Assert(x.Judge(start, idOf("/bad")).Treatment, qt.Equals, Free)
-	c.Assert(x.TakeEnd(start, endOf("a", 1, 0, "/bad", "/good")), qt.IsTrue)
-	c.Assert(x.Judge(start, idOf("/bad")).Treatment, qt.Equals, Confined)
-	c.Assert(x.Judge(start, idOf("/other")).Treatment, qt.Equals, Free)
-	c.Assert(x.Clear(start, idOf("/good")), qt.HasLen, Likenesses)
-	c.Assert(x.Judge(start, idOf("/good")).Treatment, qt.Equals, Free)
-	x.TakeEnd(start, endOf("b", 1, 1, "/bad"))
-	c.Assert(x.Judge(start, idOf("/bad")).Treatment, qt.Equals, Alone)
-	x.TakeEnd(start, endOf("c", 1, 2, "/bad"))
-	j := x.Judge(start.Add(time.Second), idOf("/bad"))
-	c.Assert(j.Treatment, qt.Equals, HeldBack)
-	c.Assert(j.For, qt.Equals, defaultHoldFirst-time.Second)
-	c.Assert(j.Ends, qt.HasLen, 3)
+	c.Assert(x.AnySuspects(), qt.IsFalse)
+	c.Assert(x.Decide(start, idOf("/bad")).Treatment, qt.Equals, Free)
+	c.Assert(x.RecordCrash(start, endOf("a", 1, 0, "/bad", "/good")), qt.IsTrue)
+	c.Assert(x.Decide(start, idOf("/bad")).Treatment, qt.Equals, Confined)
+	c.Assert(x.Decide(start, idOf("/other")).Treatment, qt.Equals, Free)
+	c.Assert(x.RecordSuccess(start, idOf("/good")), qt.HasLen, ScopeCount)
+	c.Assert(x.Decide(start, idOf("/good")).Treatment, qt.Equals, Free)
+	x.RecordCrash(start, endOf("b", 1, 1, "/bad"))
+	c.Assert(x.Decide(start, idOf("/bad")).Treatment, qt.Equals, Alone)
+	x.RecordCrash(start, endOf("c", 1, 2, "/bad"))
+	j := x.Decide(start.Add(time.Second), idOf("/bad"))
+	c.Assert(j.Treatment, qt.Equals, Quarantined)
+	c.Assert(j.Remaining, qt.Equals, defaultHoldFirst-time.Second)
+	c.Assert(j.Crashed, qt.HasLen, 3)
 }
 
 // Servers that end together, under copies of one request, make one stage; three of them have it tried alone, and a second stage is enough then.
@@ -52,12 +54,12 @@
 	c := qt.New(t)
 	var x Table
 	for i := range 5 {
-		x.TakeEnd(start, endOf(fmt.Sprint("h", i), 1, 0, "/popular"))
+		x.RecordCrash(start, endOf(fmt.Sprint("h", i), 1, 0, "/popular"))
 	}
-	c.Assert(x.Judge(start, idOf("/popular")).Treatment, qt.Equals, Alone)
-	c.Assert(x.Judge(start, idOf("/popular")).Stages, qt.Equals, Stages{1, 1, 1})
-	x.TakeEnd(start, endOf("h9", 1, 1, "/popular"))
-	c.Assert(x.Judge(start, idOf("/popular")).Treatment, qt.Equals, HeldBack)
+	c.Assert(x.Decide(start, idOf("/popular")).Treatment, qt.Equals, Alone)
+	c.Assert(x.Decide(start, idOf("/popular")).Stages, qt.Equals, Stages{1, 1, 1})
+	x.RecordCrash(start, endOf("h9", 1, 1, "/popular"))
+	c.Assert(x.Decide(start, idOf("/popular")).Treatment, qt.Equals, Quarantined)
 }
 
 // A request that is held back is tried again by itself, alone, and held for longer each time that ends one more server.
@@ -65,16 +67,16 @@
 	c := qt.New(t)
 	var x Table
 	for i := range heldStage {
-		x.TakeEnd(start, endOf("a", i, i, "/bad"))
+		x.RecordCrash(start, endOf("a", i, i, "/bad"))
 	}
 	later := start.Add(defaultHoldFirst)
-	c.Assert(x.Judge(later, idOf("/bad")).Treatment, qt.Equals, Alone)
-	x.TakeEnd(later, endOf("a", 9, heldStage, "/bad"))
-	c.Assert(x.Judge(later, idOf("/bad")).For, qt.Equals, defaultHoldTimes*defaultHoldFirst)
-	x.Sweep(later.Add(defaultHoldTimes * defaultHoldFirst))
-	c.Assert(x.Judge(later.Add(defaultHoldTimes*defaultHoldFirst), idOf("/bad")).Treatment, qt.Equals, Alone)
-	c.Assert(x.Clear(later, idOf("/bad")), qt.HasLen, Likenesses, qt.Commentf("the next release of the server is sound"))
-	c.Assert(x.Any(), qt.IsFalse)
+	c.Assert(x.Decide(later, idOf("/bad")).Treatment, qt.Equals, Alone)
+	x.RecordCrash(later, endOf("a", 9, heldStage, "/bad"))
+	c.Assert(x.Decide(later, idOf("/bad")).Remaining, qt.Equals, defaultHoldTimes*defaultHoldFirst)
+	x.RemoveExpired(later.Add(defaultHoldTimes * defaultHoldFirst))
+	c.Assert(x.Decide(later.Add(defaultHoldTimes*defaultHoldFirst), idOf("/bad")).Treatment, qt.Equals, Alone)
+	c.Assert(x.RecordSuccess(later, idOf("/bad")), qt.HasLen, ScopeCount, qt.Commentf("the next release of the server is sound"))
+	c.Assert(x.AnySuspects(), qt.IsFalse)
 }
 
 // News of an end that comes after the request was cleared of it, by another way, doesn't count again.
@@ -82,13 +84,13 @@
 	c := qt.New(t)
 	var near, far Table
 	e := endOf("a", 1, 0, "/good")
-	near.TakeEnd(start, e)
-	told := near.Clear(start, idOf("/good"))
-	c.Assert(told, qt.HasLen, Likenesses)
+	near.RecordCrash(start, e)
+	told := near.RecordSuccess(start, idOf("/good"))
+	c.Assert(told, qt.HasLen, ScopeCount)
 	takeAll(&far, told)
-	far.TakeEnd(start, e)
-	c.Assert(far.Judge(start, idOf("/good")).Treatment, qt.Equals, Free)
-	c.Assert(far.TakeCase(start, told[0]), qt.IsFalse, qt.Commentf("it is no news any more"))
+	far.RecordCrash(start, e)
+	c.Assert(far.Decide(start, idOf("/good")).Treatment, qt.Equals, Free)
+	c.Assert(far.MergeCase(start, told[0]), qt.IsFalse, qt.Commentf("it is no news any more"))
 }
 
 // Suspicion ends by itself, and what is kept is bounded: what is held back goes last.
@@ -96,28 +98,28 @@
 	c := qt.New(t)
 	var x Table
 	for i := range heldStage {
-		x.TakeEnd(start, endOf("a", i, i, "/bad"))
+		x.RecordCrash(start, endOf("a", i, i, "/bad"))
 	}
 	for i := range 20 {
 		var paths []string
 		for k := range 400 {
 			paths = append(paths, fmt.Sprint("/", i, "/", k))
 		}
-		x.TakeEnd(start, endOf("b", i, 0, paths...))
+		x.RecordCrash(start, endOf("b", i, 0, paths...))
 		c.Assert(len(x.cases) <= maxCases, qt.IsTrue, qt.Commentf("%d", len(x.cases)))
 	}
-	c.Assert(x.Judge(start, idOf("/bad")).Treatment, qt.Equals, HeldBack)
-	x.Sweep(start.Add(defaultSuspect))
-	c.Assert(x.All(start), qt.HasLen, Likenesses)
-	x.Sweep(start.Add(defaultHoldFirst + heldMemory))
-	c.Assert(x.Any(), qt.IsFalse)
+	c.Assert(x.Decide(start, idOf("/bad")).Treatment, qt.Equals, Quarantined)
+	x.RemoveExpired(start.Add(defaultSuspect))
+	c.Assert(x.SuspectCases(start), qt.HasLen, ScopeCount)
+	x.RemoveExpired(start.Add(defaultHoldFirst + heldMemory))
+	c.Assert(x.AnySuspects(), qt.IsFalse)
 	c.Assert(x.cases, qt.HasLen, 0)
 }
 
 // Whatever the order in which nodes hear of ends and cleared cases, and however often, they judge alike in the end.
 func TestNodesThatHeardTheSameJudgeAlike(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var ends []End
+		var ends []Crash
 		for i := range rapid.IntRange(1, 6).Draw(r, "ends") {
 			paths := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"/a", "/b", "/c"}), 1, 3, rapid.ID[string]).Draw(r, "paths")
 			ends = append(ends, endOf(fmt.Sprint("h", i), 1, rapid.IntRange(0, 3).Draw(r, "stage"), paths...))
@@ -125,9 +127,9 @@
 		var first, second Table
 		var told []Case
 		for _, e := range ends {
-			first.TakeEnd(start, e)
+			first.RecordCrash(start, e)
 			if rapid.Bool().Draw(r, "clears") {
-				told = append(told, first.Clear(start, idOf("/a"))...)
+				told = append(told, first.RecordSuccess(start, idOf("/a"))...)
 			}
 		}
 		order := rapid.Permutation(ends).Draw(r, "order")
@@ -137,14 +139,14 @@
 			if i == at {
 				takeAll(&second, told)
 			}
-			second.TakeEnd(start, e)
+			second.RecordCrash(start, e)
 		}
 		takeAll(&second, told)
-		takeAll(&second, first.All(start))
-		takeAll(&first, second.All(start))
+		takeAll(&second, first.SuspectCases(start))
+		takeAll(&first, second.SuspectCases(start))
 		for _, p := range []string{"/a", "/b", "/c"} {
-			one, other := first.Judge(start, idOf(p)), second.Judge(start, idOf(p))
-			if one.Treatment != other.Treatment || len(one.Ends) != len(other.Ends) {
+			one, other := first.Decide(start, idOf(p)), second.Decide(start, idOf(p))
+			if one.Treatment != other.Treatment || len(one.Crashed) != len(other.Crashed) {
 				r.Fatalf("%s: %+v and %+v", p, one, other)
 			}
 		}
@@ -153,15 +155,15 @@
 
 func takeAll(x *Table, cases []Case) {
 	for _, k := range cases {
-		x.TakeCase(start, k)
+		x.MergeCase(start, k)
 	}
 }
 
 // Requests that differ in anything that a server sees have other fingerprints; parts can't be moved from one field to the next.
 func TestFingerprintsTellRequestsApart(t *testing.T) {
 	c := qt.New(t)
-	whole := Asked{Service: "s", Method: "GET", Host: "h", URI: "/a?x=1", Caller: "c", Body: []byte("b")}
-	others := []Asked{whole, whole, whole, whole, whole, whole, whole, whole}
+	whole := RequestContent{Service: "s", Method: "GET", Host: "h", URI: "/a?x=1", Caller: "c", Body: []byte("b")}
+	others := []RequestContent{whole, whole, whole, whole, whole, whole, whole, whole}
 	others[0].Service = "t"
 	others[1].Method = "POST"
 	others[2].Host = "h2"
@@ -198,19 +200,19 @@
 	count := map[string]int{}
 	for i := range 400 {
 		f := idOf(fmt.Sprint("/", i)).Widest()
-		at := hosts[Place(f, hosts)]
+		at := hosts[SelectHost(f, hosts)]
 		count[at]++
 		turned := slices.Clone(hosts)
 		slices.Reverse(turned)
-		c.Assert(turned[Place(f, turned)], qt.Equals, at)
+		c.Assert(turned[SelectHost(f, turned)], qt.Equals, at)
 		if at != hosts[0] {
-			c.Assert(hosts[1:][Place(f, hosts[1:])], qt.Equals, at)
+			c.Assert(hosts[1:][SelectHost(f, hosts[1:])], qt.Equals, at)
 		}
 	}
 	for _, n := range count {
 		c.Check(n > 60 && n < 140, qt.IsTrue, qt.Commentf("%v", count))
 	}
-	c.Assert(Place(idOf("/").Widest(), nil), qt.Equals, -1)
+	c.Assert(SelectHost(idOf("/").Widest(), nil), qt.Equals, -1)
 }
 
 // A request whose query is another one each time is found by its path; where only some queries are guilty, the others clear the path, and only the guilty
@@ -219,17 +221,17 @@
 	c := qt.New(t)
 	var varies, guilty Table
 	for i := range heldStage {
-		varies.TakeEnd(start, End{Lifetime: Lifetime{"a", fmt.Sprint(i)}, Service: "s", Runs: []Run{{
-			Identity: idOf(fmt.Sprint("/bad?at=", i)), Stages: varies.Judge(start, idOf(fmt.Sprint("/bad?at=", i))).Stages,
+		varies.RecordCrash(start, Crash{Lifetime: Lifetime{"a", fmt.Sprint(i)}, Service: "s", Runs: []Run{{
+			Identity: idOf(fmt.Sprint("/bad?at=", i)), Stages: varies.Decide(start, idOf(fmt.Sprint("/bad?at=", i))).Stages,
 		}}})
-		guilty.TakeEnd(start, End{Lifetime: Lifetime{"a", fmt.Sprint(i)}, Service: "s", Runs: []Run{{
-			Identity: idOf("/find?q=bad"), Stages: guilty.Judge(start, idOf("/find?q=bad")).Stages,
+		guilty.RecordCrash(start, Crash{Lifetime: Lifetime{"a", fmt.Sprint(i)}, Service: "s", Runs: []Run{{
+			Identity: idOf("/find?q=bad"), Stages: guilty.Decide(start, idOf("/find?q=bad")).Stages,
 		}}})
-		guilty.Clear(start, idOf("/find?q=good"))
+		guilty.RecordSuccess(start, idOf("/find?q=good"))
 	}
-	c.Assert(varies.Judge(start, idOf("/bad?at=9")).Treatment, qt.Equals, HeldBack)
-	c.Assert(guilty.Judge(start, idOf("/find?q=bad")).Treatment, qt.Equals, HeldBack)
-	c.Assert(guilty.Judge(start, idOf("/find?q=other")).Treatment, qt.Equals, Free)
+	c.Assert(varies.Decide(start, idOf("/bad?at=9")).Treatment, qt.Equals, Quarantined)
+	c.Assert(guilty.Decide(start, idOf("/find?q=bad")).Treatment, qt.Equals, Quarantined)
+	c.Assert(guilty.Decide(start, idOf("/find?q=other")).Treatment, qt.Equals, Free)
 }
 
 // While nothing is under suspicion, a request costs one look at a number.
@@ -237,17 +239,17 @@
 	var x Table
 	f := idOf("/a")
 	for b.Loop() {
-		x.Judge(start, f)
+		x.Decide(start, f)
 	}
 }
 
 // With some suspects it costs a fingerprint and a look at a map.
 func BenchmarkJudgeBesideSuspects(b *testing.B) {
 	var x Table
-	x.TakeEnd(start, endOf("a", 1, 0, "/b", "/c", "/d"))
-	a := Asked{Service: "s", Method: "GET", Host: "h", URI: "/a", Caller: "c"}
+	x.RecordCrash(start, endOf("a", 1, 0, "/b", "/c", "/d"))
+	a := RequestContent{Service: "s", Method: "GET", Host: "h", URI: "/a", Caller: "c"}
 	b.ReportAllocs()
 	for b.Loop() {
-		x.Judge(start, a.Identity())
+		x.Decide(start, a.Identity())
 	}
 }
--- a/pkg/poison/treatment.go
+++ b/pkg/poison/treatment.go
@@ -14,8 +14,8 @@
 	Confined
 	// Alone ones go there one at a time: the next end tells who is to blame.
 	Alone
-	// HeldBack ones aren't sent to any server.
-	HeldBack
+	// Quarantined ones aren't sent to any server.
+	Quarantined
 )
 
 // String names the treatment for logs.
@@ -41,16 +41,16 @@
 	heldMemory = 10 * time.Minute
 )
 
-// Rules are how long requests are kept in mind; the zero value has the defaults of Fill.
-type Rules struct {
-	// Suspect is how long a request is a suspect if it doesn't come again: long enough for clients that ask every some seconds, and it costs
+// Policy are how long requests are kept in mind; the zero value has the defaults of Fill.
+type Policy struct {
+	// SuspectRetention is how long a request is a suspect if it doesn't come again: long enough for clients that ask every some seconds, and it costs
 	// an innocent one no more than the choice of server.
-	Suspect time.Duration
-	// HoldFirst is how long a request is held back at first, HoldTimes by how many times longer after each further end, and
+	SuspectRetention time.Duration
+	// FirstQuarantine is how long a request is held back at first, HoldTimes by how many times longer after each further end, and
 	// HoldMost the longest. Each try may cost a server and the requests in it, some seconds long; the next release of the server may be sound.
-	HoldFirst time.Duration
-	HoldTimes int
-	HoldMost  time.Duration
+	FirstQuarantine  time.Duration
+	QuarantineFactor int
+	MaxQuarantine    time.Duration
 }
 
 // The defaults of Rules. With them a request that goes on ending servers does so three times, once more after half a minute, and then after
@@ -62,81 +62,81 @@
 	defaultHoldMost  = 3 * time.Hour
 )
 
-// Fill puts the defaults where nothing is set.
-func (r *Rules) Fill() {
-	if r.Suspect == 0 {
-		r.Suspect = defaultSuspect
+// SetDefaults puts the defaults where nothing is set.
+func (r *Policy) SetDefaults() {
+	if r.SuspectRetention == 0 {
+		r.SuspectRetention = defaultSuspect
 	}
-	if r.HoldFirst == 0 {
-		r.HoldFirst = defaultHoldFirst
+	if r.FirstQuarantine == 0 {
+		r.FirstQuarantine = defaultHoldFirst
 	}
-	if r.HoldTimes == 0 {
-		r.HoldTimes = defaultHoldTimes
+	if r.QuarantineFactor == 0 {
+		r.QuarantineFactor = defaultHoldTimes
 	}
-	if r.HoldMost == 0 {
-		r.HoldMost = defaultHoldMost
+	if r.MaxQuarantine == 0 {
+		r.MaxQuarantine = defaultHoldMost
 	}
 }
 
 // hold returns for how long a request of the stage is held back after its last end.
-func (r Rules) hold(stage int) time.Duration {
+func (r Policy) hold(stage int) time.Duration {
 	if stage < heldStage {
 		return 0
 	}
-	h := r.HoldFirst
+	h := r.FirstQuarantine
 	for range stage - heldStage {
-		if h >= r.HoldMost {
+		if h >= r.MaxQuarantine {
 			break
 		}
-		h *= time.Duration(r.HoldTimes)
+		h *= time.Duration(r.QuarantineFactor)
 	}
-	return min(h, r.HoldMost)
+	return min(h, r.MaxQuarantine)
 }
 
 // memory returns for how long a case of the stage is kept after its last end. One that was held back is remembered, so that its next try is one try, not three.
-func (r Rules) memory(stage int) time.Duration {
+func (r Policy) memory(stage int) time.Duration {
 	if stage < heldStage {
-		return r.Suspect
+		return r.SuspectRetention
 	}
 	return r.hold(stage) + heldMemory
 }
 
-// Judgement is what is to be done with a request now.
-type Judgement struct {
+// Decision is what is to be done with a request now.
+type Decision struct {
 	Treatment Treatment
 	Stages    Stages
-	// For is how long the treatment lasts, of one that is held back, or how long the last server of the service is to be spared.
-	For time.Duration
-	// Sound tells that runs of it had ended well shortly before one of the ends.
-	Sound bool
-	// Ends are the servers that ended under it.
-	Ends []Lifetime
+	// Remaining is how long the treatment lasts, of one that is held back, or how long the last server of the service is to be spared.
+	Remaining time.Duration
+	// RecentlySuccessful tells that runs of it had ended well shortly before one of the ends.
+	RecentlySuccessful bool
+	// Crashed are the servers that ended under it.
+	Crashed []Lifetime
 }
 
 // judge returns what is to be done with a request some time after the last end under it.
-func (r Rules) judge(c *Case, since time.Duration) Judgement {
-	j := Judgement{Ends: c.Ends, Sound: c.Sound}
+func (r Policy) judge(c *Case, since time.Duration) Decision {
+	j := Decision{Crashed: c.Crashed, RecentlySuccessful: c.RecentlySuccessful}
 	stage := c.severity()
-	if c.Sound {
+	if c.RecentlySuccessful {
 		stage -= soundEnds
 	}
 	switch {
 	case since < r.hold(stage):
-		j.Treatment, j.For = HeldBack, r.hold(stage)-since
+		j.Treatment, j.Remaining = Quarantined, r.hold(stage)-since
 		return j
-	case stage >= aloneStage || len(c.Ends) >= heldEnds && !c.Sound:
+	case stage >= aloneStage || len(c.Crashed) >= heldEnds && !c.RecentlySuccessful:
 		j.Treatment = Alone
 	default:
 		j.Treatment = Confined
 	}
-	j.For = max(spareTime-since, 0)
+	j.Remaining = max(spareTime-since, 0)
 	return j
 }
 
 // stageOf returns the stage of a case under which one more server ended, in a run that began in some stage.
 func stageOf(c *Case, began int) int {
 	stage := max(c.Stage, began+1)
-	if stage == aloneStage && len(c.Ends) >= heldEnds {
+	if stage == aloneStage && len(c.Crashed) >= heldEnds {
 		return heldStage
 	}
 	return stage
--- a/pkg/settings/mechanism_test.go
+++ b/pkg/settings/mechanism_test.go
@@ -58,7 +58,7 @@
 		c.Check(err.Error(), qt.Contains, field)
 	}
 	rules := HoldTimes{First: time.Minute}.Rules()
-	rules.Fill()
-	c.Assert(rules.HoldFirst, qt.Equals, time.Minute)
-	c.Assert(rules.HoldTimes > 1, qt.IsTrue)
+	rules.SetDefaults()
+	c.Assert(rules.FirstQuarantine, qt.Equals, time.Minute)
+	c.Assert(rules.QuarantineFactor > 1, qt.IsTrue)
 }
--- a/pkg/settings/mesh_settings.go
+++ b/pkg/settings/mesh_settings.go
@@ -43,8 +43,8 @@
 }
 
 // Rules returns them as package poison goes by them.
-func (h HoldTimes) Rules() poison.Rules {
-	return poison.Rules{Suspect: h.Suspect, HoldFirst: h.First, HoldTimes: h.Times, HoldMost: h.Most}
+func (h HoldTimes) Rules() poison.Policy {
+	return poison.Policy{SuspectRetention: h.Suspect, FirstQuarantine: h.First, QuarantineFactor: h.Times, MaxQuarantine: h.Most}
 }
 
 // maxHeld is the longest time that a request may be held back.
