--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -115,7 +115,7 @@
 	n.watch.mayBegin = make(chan struct{})
 	n.watch.Within = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
-	n.quotas.owner.Rules = quotaRules(o.Settings.Mesh)
+	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
 	n.knowledge.told = o.Settings.Mesh.FirstStart // nobody knows anything yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
@@ -134,7 +134,7 @@
 	context.AfterFunc(ctx, func() { close(n.ended) })
 	n.started = n.clock.Now()
 	if n.cfg.Mesh.FirstStart {
-		n.quotas.owner.FullFrom = clock.Boot(n.clock).Add(quota.Settle)
+		n.quotas.owner.FillOnceAt = clock.Boot(n.clock).Add(quota.SettleTime)
 	}
 	for _, s := range n.servers {
 		if err := n.listen(s); err != nil {
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -61,22 +61,22 @@
 
 // otherOwner returns who owns a team of this zone, or this node's own host where that isn't known: it certainly isn't the owner.
 func (n *Node) otherOwner(team string) string {
-	if host := n.roles.Load().rings[n.cfg.Zone].Of(team); host != "" {
+	if host := n.roles.Load().rings[n.cfg.Zone].OwnerOf(team); host != "" {
 		return host
 	}
 	return n.ip
 }
 
 // electOwners takes who owns which teams in the own zone, and hands over what goes to others; without a ring nobody owns any.
-func (n *Node) electOwners(now time.Time, ring *quota.Ring, part float64) {
+func (n *Node) electOwners(now time.Time, ring *quota.ShardOwners, part float64) {
 	limits := limitsOf(n.state.Load())
 	owns := func(shard int) bool { return ring != nil && ring[shard] == n.ip }
 	n.quotas.mu.Lock()
-	left := n.quotas.owner.Elect(clock.Boot(n.clock), owns, part, n.quotaWait(now), limits)
+	left := n.quotas.owner.UpdateOwnership(clock.Boot(n.clock), owns, part, n.quotaWait(now), limits)
 	n.quotas.mu.Unlock()
 	byOwner := make(map[string][]quota.Balance)
 	for _, b := range left {
-		if host := ring.Of(b.Team); host != "" {
+		if host := ring.OwnerOf(b.Team); host != "" {
 			byOwner[host] = append(byOwner[host], b)
 		}
 	}
@@ -104,7 +104,7 @@
 	n.quotas.mu.Lock()
 	for _, b := range balances {
 		if team := state.Team(b.Team); team.Limited() && b.Tokens > 0 {
-			n.quotas.owner.Receive(now, b, limitOf(team))
+			n.quotas.owner.ReceiveBalance(now, b, limitOf(team))
 		}
 	}
 	n.quotas.mu.Unlock()
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -24,8 +24,8 @@
 }
 
 // quotaRules returns the operator's bounds.
-func quotaRules(m *settings.Mesh) quota.Rules {
-	return quota.Rules{Window: m.QuotaWindow, Excess: m.QuotaExcess, Slack: m.QuotaSlack, Zones: len(m.Zones)}
+func quotaRules(m *settings.Mesh) quota.Config {
+	return quota.Config{Window: m.QuotaWindow, Excess: m.QuotaExcess, Slack: m.QuotaSlack, Zones: len(m.Zones)}
 }
 
 const (
@@ -39,7 +39,7 @@
 func (n *Node) forgetTeams(s *desired.State) {
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
-	n.quotas.pool.Keep(func(team string) bool { return s.Team(team) != nil })
+	n.quotas.pool.RetainTeams(func(team string) bool { return s.Team(team) != nil })
 }
 
 // noteSilent notes an owner that didn't answer.
@@ -67,7 +67,7 @@
 func limitOf(t *desired.Team) quota.Limit { return quota.Limit{Rate: t.Rate, Burst: t.Burst} }
 
 // isLimited tells whether a request counts against a quota.
-func (n *Node) isLimited(q *request) bool { return q.team.Limited() && n.quotas.owner.Rules.Kept() }
+func (n *Node) isLimited(q *request) bool { return q.team.Limited() && n.quotas.owner.Config.Enabled() }
 
 // checkQuota takes one request off the team's quota; it returns the answer if there is nothing left, or nil. That comes
 // before admission, so that what is over a quota isn't taken for overload.
@@ -87,7 +87,7 @@
 		tokens, heard = n.askOwners(ctx, q.team, 1) // a node that has just started doesn't know the owners yet
 	}
 	n.quotas.mu.Lock()
-	n.quotas.pool.Put(asked, q.team.Name, tokens)
+	n.quotas.pool.AddGranted(asked, q.team.Name, tokens)
 	n.quotas.mu.Unlock()
 	if tokens > 0 {
 		return nil
@@ -113,7 +113,7 @@
 	}
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
-	n.quotas.pool.GiveBack(clock.Boot(n.clock), q.team.Name)
+	n.quotas.pool.ReturnToken(clock.Boot(n.clock), q.team.Name)
 }
 
 // askOwners asks the owner of the own zone for tokens, and those of the others, in an order by chance, if it has none; heard tells
@@ -141,7 +141,7 @@
 // askZone asks the owner of one zone, unless it had nothing a moment ago.
 func (n *Node) askZone(ctx context.Context, zone string, team *desired.Team, want int) (tokens int, heard bool) {
 	n.quotas.mu.Lock()
-	may := n.quotas.pool.MayHave(clock.Boot(n.clock), team.Name, zone)
+	may := n.quotas.pool.MayHaveTokens(clock.Boot(n.clock), team.Name, zone)
 	n.quotas.mu.Unlock()
 	if !may {
 		return 0, true
@@ -149,7 +149,7 @@
 	a, ok := n.askOwner(ctx, zone, team, want)
 	if ok && a.Tokens == 0 {
 		n.quotas.mu.Lock()
-		n.quotas.pool.Nothing(team.Name, zone, clock.Boot(n.clock).Add(a.Wait))
+		n.quotas.pool.MarkEmpty(team.Name, zone, clock.Boot(n.clock).Add(a.Wait))
 		n.quotas.mu.Unlock()
 	}
 	return a.Tokens, ok
@@ -158,7 +158,7 @@
 // askOwner asks the owner of one zone, and whom that one takes for the owner if it isn't.
 func (n *Node) askOwner(ctx context.Context, zone string, team *desired.Team, want int) (quotaAnswer, bool) {
 	question := quotaQuestion{Team: team.Name, Want: want, Zone: n.cfg.Zone}
-	host := n.roles.Load().rings[zone].Of(team.Name)
+	host := n.roles.Load().rings[zone].OwnerOf(team.Name)
 	for range 2 {
 		if host == n.ip {
 			a := n.grant(&question)
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -13,7 +13,7 @@
 // teamRoles says which nodes do what for keys and quotas; it is never changed once published.
 type teamRoles struct {
 	proofs freshness.Roles
-	rings  map[string]*quota.Ring // owners of quotas, by availability zone
+	rings  map[string]*quota.ShardOwners // owners of quotas, by availability zone
 }
 
 // zoneMembers is the nodes of each availability zone as the roles were last chosen; the control goroutine's.
@@ -33,11 +33,11 @@
 	}
 	n.control.members = members
 	old := n.roles.Load()
-	roles := &teamRoles{rings: make(map[string]*quota.Ring, len(members.byZone)), proofs: old.proofs}
+	roles := &teamRoles{rings: make(map[string]*quota.ShardOwners, len(members.byZone)), proofs: old.proofs}
 	for zone, hosts := range members.byZone {
 		roles.rings[zone] = old.rings[zone]
 		if !slices.Equal(hosts, before.byZone[zone]) {
-			roles.rings[zone] = quota.Owners(hosts)
+			roles.rings[zone] = quota.ChooseOwners(hosts)
 		}
 	}
 	own := members.byZone[n.cfg.Zone]
@@ -56,11 +56,11 @@
 func (n *Node) quotaWait(now time.Time) time.Duration {
 	for _, r := range n.control.reports {
 		if r.Epoch < n.epoch-youngZone.Milliseconds() {
-			return quota.Settle
+			return quota.SettleTime
 		}
 	}
 	if now.Sub(n.started) > youngZone {
-		return quota.Settle
+		return quota.SettleTime
 	}
 	return n.started.Sub(now)
 }
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -452,7 +452,7 @@
 	s.awaitKeys("kb1")
 	n := s.nodes[0]
 	n.quotas.mu.Lock()
-	n.quotas.pool.Put(clock.Boot(k), "blue", 5)
+	n.quotas.pool.AddGranted(clock.Boot(k), "blue", 5)
 	n.quotas.mu.Unlock()
 	s.store.turnAway(n.ip, true)
 	for i := range 20 { // whoever notices the suspension first
--- a/pkg/quota/first_start_test.go
+++ b/pkg/quota/first_start_test.go
@@ -12,15 +12,15 @@
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	l := Limit{Rate: 2, Burst: 2}
-	rules := Rules{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Zones: 3}
+	rules := Config{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Zones: 3}
 	depth := int(rules.depth(l))
 	grants := func(o *Owner, now time.Time) int { return o.Grant(now, "team", l, 100, false).Tokens }
 	owned := func(since, full time.Time) *Owner {
-		o := &Owner{Rules: rules, FullFrom: full}
-		o.Elect(since, func(int) bool { return true }, 1, 0, map[string]Limit{"team": l})
+		o := &Owner{Config: rules, FillOnceAt: full}
+		o.UpdateOwnership(since, func(int) bool { return true }, 1, 0, map[string]Limit{"team": l})
 		return o
 	}
-	full := start.Add(Settle)
+	full := start.Add(SettleTime)
 	o := owned(start, full)
 	c.Assert(grants(o, start), qt.Equals, 0)
 	first := 0
--- a/pkg/quota/owner.go
+++ b/pkg/quota/owner.go
@@ -30,10 +30,10 @@
 
 // Owner holds the buckets of the teams that a node owns. Its zero value owns none; it isn't safe for concurrent use.
 type Owner struct {
-	Rules Rules
-	// FullFrom is when the buckets that the node has owned since before are full, once: at the first start of the whole system nothing has run before, but
+	Config Config
+	// FillOnceAt is when the buckets that the node has owned since before are full, once: at the first start of the whole system nothing has run before, but
 	// until nodes agree on who owns what, several may give out the same tokens. Zero: they begin empty, since what has run lately isn't known.
-	FullFrom time.Time
+	FillOnceAt time.Time
 
 	since   [Shards]time.Time // from when on the node gives out tokens; zero: it isn't the owner
 	part    float64           // of the zone's tokens that may be given out
@@ -48,18 +48,18 @@
 }
 
 const (
-	// Settle is how much later than others a node may learn who owns a team: some rounds of exchanges. A new owner to whom the one before
+	// SettleTime is how much later than others a node may learn who owns a team: some rounds of exchanges. A new owner to whom the one before
 	// hands nothing over waits for that long, so that it doesn't give out what that one still gives.
-	Settle = time.Second
+	SettleTime = time.Second
 	// earlyTime is how long tokens are kept that were handed over before the node knew that it is the owner.
 	earlyTime = 3 * time.Second
 )
 
-// Elect takes which shards the node owns, and the part of the zone's nodes that it hears; what it has just come to own it gives
+// UpdateOwnership takes which shards the node owns, and the part of the zone's nodes that it hears; what it has just come to own it gives
 // out after the wait. What it doesn't own any more is forgotten: if it comes back, it begins with nothing.
 //
 // It returns what is left of the teams in shards that go to others, among those that there are, to be handed over.
-func (o *Owner) Elect(now time.Time, owns func(shard int) bool, part float64, wait time.Duration, limits map[string]Limit) []Balance {
+func (o *Owner) UpdateOwnership(now time.Time, owns func(shard int) bool, part float64, wait time.Duration, limits map[string]Limit) []Balance {
 	o.fillOwned(now, limits)
 	left := o.leave(owns, limits)
 	o.part = part
@@ -80,7 +80,7 @@
 func (o *Owner) fillOwned(now time.Time, limits map[string]Limit) {
 	for team, l := range limits {
 		if o.Owns(team) {
-			o.bucket(team).fill(now, o.Rules.rate(l)*o.part, o.Rules.depth(l)*o.part)
+			o.bucket(team).fill(now, o.Config.rate(l)*o.part, o.Config.depth(l)*o.part)
 		}
 	}
 }
@@ -104,8 +104,8 @@
 	return left
 }
 
-// Receive takes what the owner before hands over: from now on that one gives out nothing of it.
-func (o *Owner) Receive(now time.Time, b Balance, l Limit) {
+// ReceiveBalance takes what the owner before hands over: from now on that one gives out nothing of it.
+func (o *Owner) ReceiveBalance(now time.Time, b Balance, l Limit) {
 	shard := ShardOf(b.Team)
 	if o.since[shard].IsZero() {
 		if o.early == nil {
@@ -121,14 +121,14 @@
 	if mine.last.After(now) {
 		mine.last = now
 	}
-	mine.level = min(mine.level+float64(b.Tokens), o.Rules.depth(l)*o.part)
+	mine.level = min(mine.level+float64(b.Tokens), o.Config.depth(l)*o.part)
 }
 
 // takeEarly takes what came before the node knew that it is the owner.
 func (o *Owner) takeEarly(now time.Time, limits map[string]Limit) {
 	for team, b := range o.early {
 		if o.Owns(team) && now.Sub(b.at) < earlyTime {
-			o.Receive(now, Balance{team, b.tokens}, limits[team])
+			o.ReceiveBalance(now, Balance{team, b.tokens}, limits[team])
 		}
 		if o.Owns(team) || now.Sub(b.at) >= earlyTime {
 			delete(o.early, team)
@@ -141,7 +141,7 @@
 
 // Grant gives out tokens of a team that the node owns; far tells that a node of another zone asks.
 func (o *Owner) Grant(now time.Time, team string, l Limit, want int, far bool) Grant {
-	rate, depth := o.Rules.rate(l)*o.part, o.Rules.depth(l)*o.part
+	rate, depth := o.Config.rate(l)*o.part, o.Config.depth(l)*o.part
 	b := o.bucket(team)
 	b.fill(now, rate, depth) // a node that waits has a bucket as of a later time, in which nothing comes
 	if o.startsFull(now, team, b) {
@@ -161,7 +161,7 @@
 
 // startsFull tells whether a bucket is to be filled now for the first start.
 func (o *Owner) startsFull(now time.Time, team string, b *bucket) bool {
-	return !o.FullFrom.IsZero() && !b.begunFull && !now.Before(o.FullFrom) && o.since[ShardOf(team)].Before(o.FullFrom)
+	return !o.FillOnceAt.IsZero() && !b.begunFull && !now.Before(o.FillOnceAt) && o.since[ShardOf(team)].Before(o.FillOnceAt)
 }
 
 // waitFor returns when so many tokens have come.
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -36,33 +36,33 @@
 	if h.asking > 1 {
 		return false, 1
 	}
-	return false, 1 + int(h.coming.PerSecond(now)*HoldTime.Seconds()*askedAhead)
+	return false, 1 + int(h.coming.PerSecond(now)*TokenLifetime.Seconds()*askedAhead)
 }
 
-// Put ends a question that was asked then: one of the tokens is used at once, the others are kept until HoldTime after the
+// AddGranted ends a question that was asked then: one of the tokens is used at once, the others are kept until HoldTime after the
 // question, or for as long as those that are in hand already.
-func (p *Pool) Put(asked time.Time, team string, tokens int) {
+func (p *Pool) AddGranted(asked time.Time, team string, tokens int) {
 	h := p.holding(team)
 	h.asking--
 	if tokens == 0 {
 		return
 	}
-	if until := asked.Add(HoldTime); h.tokens == 0 || until.Before(h.until) {
+	if until := asked.Add(TokenLifetime); h.tokens == 0 || until.Before(h.until) {
 		h.until = until
 	}
 	h.tokens += tokens - 1
 }
 
-// GiveBack returns the token of a request that didn't run.
-func (p *Pool) GiveBack(now time.Time, team string) {
+// ReturnToken returns the token of a request that didn't run.
+func (p *Pool) ReturnToken(now time.Time, team string) {
 	h := p.holding(team)
 	if now.Before(h.until) {
 		h.tokens++
 	}
 }
 
-// Nothing notes that the owner of a zone had no token until a time.
-func (p *Pool) Nothing(team, zone string, until time.Time) {
+// MarkEmpty notes that the owner of a zone had no token until a time.
+func (p *Pool) MarkEmpty(team, zone string, until time.Time) {
 	h := p.holding(team)
 	if h.none == nil {
 		h.none = make(map[string]time.Time)
@@ -70,13 +70,13 @@
 	h.none[zone] = until
 }
 
-// MayHave tells whether it is worth asking the owner of a zone.
-func (p *Pool) MayHave(now time.Time, team, zone string) bool {
+// MayHaveTokens tells whether it is worth asking the owner of a zone.
+func (p *Pool) MayHaveTokens(now time.Time, team, zone string) bool {
 	return !now.Before(p.holding(team).none[zone])
 }
 
-// Keep forgets the teams that a new desired state lacks.
-func (p *Pool) Keep(has func(team string) bool) {
+// RetainTeams forgets the teams that a new desired state lacks.
+func (p *Pool) RetainTeams(has func(team string) bool) {
 	for team := range p.teams {
 		if !has(team) {
 			delete(p.teams, team)
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -10,11 +10,11 @@
 )
 
 // theirs is what the operator of the tests lets pass beyond a limit.
-var theirs = Rules{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Zones: 3}
+var theirs = Config{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Zones: 3}
 
 // fleet is nodes in made-up time that ask owners for tokens, as the nodes of a mesh do.
 type fleet struct {
-	rules Rules
+	rules Config
 	limit Limit
 	now   time.Time
 	nodes []*fleetNode
@@ -42,11 +42,11 @@
 
 const team = "t"
 
-func newFleet(rules Rules, limit Limit, perZone int) *fleet {
+func newFleet(rules Config, limit Limit, perZone int) *fleet {
 	f := &fleet{rules: rules, limit: limit, now: time.Unix(1000, 0), cut: map[int]bool{}}
 	for zone := range rules.Zones {
 		for i := range perZone {
-			f.nodes = append(f.nodes, &fleetNode{host: fmt.Sprintf("10.%d.0.%d", zone, i), zone: zone, owner: Owner{Rules: rules}})
+			f.nodes = append(f.nodes, &fleetNode{host: fmt.Sprintf("10.%d.0.%d", zone, i), zone: zone, owner: Owner{Config: rules}})
 		}
 	}
 	for _, n := range f.nodes {
@@ -65,7 +65,7 @@
 			f.views = append(f.views, v)
 			continue
 		}
-		f.look(v.node, Settle)
+		f.look(v.node, SettleTime)
 	}
 }
 
@@ -101,20 +101,20 @@
 			alive = append(alive, o.host)
 		}
 	}
-	ring := Owners(alive)
+	ring := ChooseOwners(alive)
 	limits := map[string]Limit{team: f.limit}
-	left := n.owner.Elect(f.now, func(shard int) bool { return ring[shard] == n.host }, float64(len(alive))/float64(max(known, 1)), wait, limits)
+	left := n.owner.UpdateOwnership(f.now, func(shard int) bool { return ring[shard] == n.host }, float64(len(alive))/float64(max(known, 1)), wait, limits)
 	for _, b := range left {
 		for _, o := range f.nodes {
-			if o.host == ring.Of(team) && f.hears(n, o) {
-				o.owner.Receive(f.now, b, f.limit)
+			if o.host == ring.OwnerOf(team) && f.hears(n, o) {
+				o.owner.ReceiveBalance(f.now, b, f.limit)
 			}
 		}
 	}
 }
 
 // kill starts a node anew: it has lost all that it knew.
-func (f *fleet) kill(n *fleetNode) { n.pool, n.owner = Pool{}, Owner{Rules: f.rules} }
+func (f *fleet) kill(n *fleetNode) { n.pool, n.owner = Pool{}, Owner{Config: f.rules} }
 
 // ask sends a request to a node; it reports whether it ran.
 func (f *fleet) ask(n *fleetNode) bool {
@@ -124,7 +124,7 @@
 	ok, want := n.pool.Take(f.now, team)
 	if !ok {
 		tokens := f.askOwners(n, want)
-		n.pool.Put(f.now, team, tokens)
+		n.pool.AddGranted(f.now, team, tokens)
 		ok = tokens > 0
 	}
 	if ok {
@@ -138,7 +138,7 @@
 	for i := range f.rules.Zones {
 		zone := (n.zone + i) % f.rules.Zones
 		name := fmt.Sprint(zone)
-		if !n.pool.MayHave(f.now, team, name) {
+		if !n.pool.MayHaveTokens(f.now, team, name) {
 			continue
 		}
 		for _, o := range f.nodes {
@@ -152,7 +152,7 @@
 			if g.Tokens > 0 {
 				return g.Tokens
 			}
-			n.pool.Nothing(team, name, f.now.Add(g.Wait))
+			n.pool.MarkEmpty(team, name, f.now.Add(g.Wait))
 		}
 	}
 	return 0
@@ -180,7 +180,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: float64(rapid.IntRange(10, 400).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 400).Draw(t, "burst"))}
 		f := newFleet(theirs, limit, rapid.IntRange(1, 8).Draw(t, "nodes a zone"))
-		f.late = Settle
+		f.late = SettleTime
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -258,7 +258,7 @@
 	f.now = f.now.Add(10 * time.Second)
 	f.play(330, 5*time.Second, all)
 	f.limit = Limit{20, 10}
-	f.now = f.now.Add(HoldTime)
+	f.now = f.now.Add(TokenLifetime)
 	f.ran = nil
 	f.play(330, 20*time.Second, all)
 	qt.Check(t, float64(f.mostIn(theirs.Window)) <= f.allowed(), qt.IsTrue)
@@ -279,13 +279,13 @@
 	c := qt.New(t)
 	for _, limit := range []Limit{{10, 10}, {310, 310}} {
 		f := newFleet(theirs, limit, 12)
-		f.late = Settle / 2
+		f.late = SettleTime / 2
 		f.now = f.now.Add(10 * time.Second)
 		served := 0.0
 		for i := range 24 {
 			leaver := f.nodes[i+i/8*4] // eight of the twelve of each zone
 			leaver.left = true
-			f.look(leaver, Settle)
+			f.look(leaver, SettleTime)
 			f.elect()
 			served += f.play(1.1*limit.Rate, time.Second, func(i int) *fleetNode { return f.nodes[8+i%4+i%3*12] }) / 24
 		}
@@ -296,12 +296,12 @@
 // What came in while a node heard a quarter of its zone is a quarter, also when it hears all again before anybody has asked.
 func TestAPartCountsForTheTimeInWhichItWasOne(t *testing.T) {
 	c := qt.New(t)
-	o := Owner{Rules: theirs}
+	o := Owner{Config: theirs}
 	now, limits := time.Unix(1000, 0), map[string]Limit{team: {100, 50}}
 	all := func(int) bool { return true }
-	o.Elect(now, all, 0.25, 0, limits)
+	o.UpdateOwnership(now, all, 0.25, 0, limits)
 	now = now.Add(time.Minute)
-	o.Elect(now, all, 1, 0, limits)
+	o.UpdateOwnership(now, all, 1, 0, limits)
 	g := o.Grant(now, team, limits[team], 1, false)
 	c.Assert(g.Tokens, qt.Equals, 1)
 	c.Assert(o.buckets[team].level <= theirs.depth(limits[team])/4, qt.IsTrue, qt.Commentf("%v of %v", o.buckets[team].level, theirs.depth(limits[team])))
@@ -310,14 +310,14 @@
 func TestOwnersMoveOnlyWithTheirNode(t *testing.T) {
 	c := qt.New(t)
 	hosts := []string{"a", "b", "c", "d"}
-	before, after := Owners(hosts), Owners(hosts[:3])
+	before, after := ChooseOwners(hosts), ChooseOwners(hosts[:3])
 	for shard, owner := range before {
 		if owner != "d" {
 			c.Check(after[shard], qt.Equals, owner)
 		}
 	}
-	c.Check((*Ring)(nil).Of(team), qt.Equals, "")
-	c.Check(Owners(nil).Of(team), qt.Equals, "")
+	c.Check((*ShardOwners)(nil).OwnerOf(team), qt.Equals, "")
+	c.Check(ChooseOwners(nil).OwnerOf(team), qt.Equals, "")
 }
 
 func TestWhatLapsedIsNotUsed(t *testing.T) {
@@ -326,17 +326,17 @@
 	now := time.Unix(1000, 0)
 	ok, _ := p.Take(now, team)
 	c.Assert(ok, qt.IsFalse)
-	p.Put(now, team, 3)
-	ok, _ = p.Take(now.Add(HoldTime/2), team)
+	p.AddGranted(now, team, 3)
+	ok, _ = p.Take(now.Add(TokenLifetime/2), team)
 	c.Assert(ok, qt.IsTrue)
-	ok, _ = p.Take(now.Add(HoldTime), team)
+	ok, _ = p.Take(now.Add(TokenLifetime), team)
 	c.Assert(ok, qt.IsFalse)
 }
 
 func BenchmarkTokenInHand(b *testing.B) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	p.Put(now, team, 1<<40)
+	p.AddGranted(now, team, 1<<40)
 	b.ReportAllocs()
 	for range b.N {
 		p.Take(now, team)
@@ -344,9 +344,9 @@
 }
 
 func BenchmarkGrant(b *testing.B) {
-	o := Owner{Rules: theirs}
+	o := Owner{Config: theirs}
 	now := time.Unix(1000, 0)
-	o.Elect(now, func(int) bool { return true }, 1, 0, nil)
+	o.UpdateOwnership(now, func(int) bool { return true }, 1, 0, nil)
 	b.ReportAllocs()
 	for i := range b.N {
 		o.Grant(now.Add(time.Duration(i)*time.Millisecond), team, Limit{310, 310}, 1, false)
--- a/pkg/quota/ring.go
+++ b/pkg/quota/ring.go
@@ -13,12 +13,12 @@
 // ShardOf returns the group that a team belongs to.
 func ShardOf(team string) int { return int(xxhash.Sum64String(team) % Shards) }
 
-// Ring is the owner of each group in one availability zone; empty: there is none.
-type Ring [Shards]string
+// ShardOwners is the owner of each group in one availability zone; empty: there is none.
+type ShardOwners [Shards]string
 
-// Owners returns the owners among the hosts, by rendezvous hashing: when a host comes or goes, only its own groups move.
-func Owners(hosts []string) *Ring {
-	var r Ring
+// ChooseOwners returns the owners among the hosts, by rendezvous hashing: when a host comes or goes, only its own groups move.
+func ChooseOwners(hosts []string) *ShardOwners {
+	var r ShardOwners
 	for shard := range r {
 		suffix := "/" + strconv.Itoa(shard)
 		var most uint64
@@ -31,8 +31,8 @@
 	return &r
 }
 
-// Of returns the owner of a team, or "".
-func (r *Ring) Of(team string) string {
+// OwnerOf returns the owner of a team, or "".
+func (r *ShardOwners) OwnerOf(team string) string {
 	if r == nil {
 		return ""
 	}
