--- a/pkg/freshness/freshness_test.go
+++ b/pkg/freshness/freshness_test.go
@@ -16,7 +16,7 @@
 
 // madeUpNode is a node with a clock that runs a little fast or slow.
 type madeUpNode struct {
-	keeper   Keeper
+	keeper   ProofTracker
 	schedule Schedule
 	own      int64
 	rate     float64 // of its clock
@@ -65,24 +65,24 @@
 func (w *world) step(delay func() time.Duration, pick func(n int) int) {
 	w.now = w.now.Add(20 * time.Millisecond)
 	w.arrive()
-	roles := Choose(w.hosts)
+	roles := ChooseRoles(w.hosts)
 	for i, n := range w.nodes {
 		if n.frozen.After(w.now) {
 			continue
 		}
 		now := n.clock(w.now)
-		age, known := n.keeper.Age(now, n.own)
-		switch n.schedule.Next(now, age, known, roles.Reads(w.hosts[i])) {
-		case Read:
+		age, known := n.keeper.ProofAge(now, n.own)
+		switch n.schedule.Next(now, age, known, roles.IsReader(w.hosts[i])) {
+		case ReadStore:
 			if !w.down && !n.silent {
 				there := delay()
 				w.way = append(w.way, onTheWay{at: w.now.Add(there + delay()), to: n, sent: now, ver: w.newestAt(w.now.Add(there)), own: n.own})
 			}
-		case Ask, AskWider:
+		case QueryUpstream, QueryAnyNode:
 			if o := w.nodes[pick(len(w.nodes))]; !n.silent && !o.silent && o != n && !o.frozen.After(w.now) {
 				// What the other one knows now is older than what it will know when the question arrives, and no less true.
-				if oage, known := o.keeper.Age(o.clock(w.now), o.own); known {
-					w.way = append(w.way, onTheWay{at: w.now.Add(delay() + delay()), to: n, sent: now, age: oage, ver: o.keeper.Held(o.own).Version, own: n.own})
+				if oage, known := o.keeper.ProofAge(o.clock(w.now), o.own); known {
+					w.way = append(w.way, onTheWay{at: w.now.Add(delay() + delay()), to: n, sent: now, age: oage, ver: o.keeper.YoungestProof(o.own).Version, own: n.own})
 				}
 			}
 		case Wait:
@@ -109,7 +109,7 @@
 			rest = append(rest, m)
 			continue
 		}
-		m.to.keeper.Take(Proof{Version: m.ver, Sent: m.sent.Add(-m.age)}, m.to.own)
+		m.to.keeper.AddProof(Proof{Version: m.ver, Sent: m.sent.Add(-m.age)}, m.to.own)
 	}
 	w.way = rest
 }
@@ -118,7 +118,7 @@
 func (w *world) check(fail func(format string, args ...any)) {
 	must := w.newestAt(w.now.Add(-bound))
 	for i, n := range w.nodes {
-		if n.keeper.Holds(n.clock(w.now), n.own) && n.own < must {
+		if n.keeper.MayAcceptKey(n.clock(w.now), n.own) && n.own < must {
 			fail("node %d serves by version %d; version %d was confirmed longer ago than the bound", i, n.own, must)
 		}
 	}
@@ -146,11 +146,11 @@
 			case 3:
 				n.frozen = w.now.Add(time.Duration(rapid.IntRange(1, 7000).Draw(t, "frozen ms")) * time.Millisecond)
 			case 4: // it started anew, and reads the state later
-				n.keeper, n.schedule = Keeper{Bound: bound}, Schedule{Bound: bound}
+				n.keeper, n.schedule = ProofTracker{Bound: bound}, Schedule{Bound: bound}
 				n.own = 1
 			default: // it hears of a newer state, from whomever
 				n.own = max(n.own, w.newestAt(w.now.Add(-delay())))
-				n.keeper.Raised(n.own)
+				n.keeper.VersionApplied(n.own)
 			}
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				w.step(delay, pick)
@@ -168,9 +168,9 @@
 		var oldest time.Duration
 		k := 0
 		for step := range 1500 {
-			roles := Choose(w.hosts)
+			roles := ChooseRoles(w.hosts)
 			k++
-			asked := roles.Asked("nobody")
+			asked := roles.QueryTargets("nobody")
 			w.step(func() time.Duration { return 2 * time.Millisecond }, func(int) int {
 				for i, h := range w.hosts {
 					if h == asked[k%len(asked)] {
@@ -180,7 +180,7 @@
 				return 0
 			})
 			for _, n := range w.nodes {
-				if age, known := n.keeper.Age(n.clock(w.now), n.own); step > 100 {
+				if age, known := n.keeper.ProofAge(n.clock(w.now), n.own); step > 100 {
 					c.Assert(known, qt.IsTrue)
 					oldest = max(oldest, age)
 				}
@@ -196,27 +196,27 @@
 	for i := range 3121 {
 		hosts = append(hosts, fmt.Sprintf("10.%d.%d.1", i/250, i%250))
 	}
-	r := Choose(hosts)
+	r := ChooseRoles(hosts)
 	c.Check(r.Readers, qt.HasLen, readers)
 	c.Check(r.Relays, qt.HasLen, 56)
-	c.Check(r.Asked(r.Relays[0]), qt.DeepEquals, r.Readers)
-	c.Check(r.Asked("else"), qt.DeepEquals, r.Relays)
-	c.Check(Choose(nil).Asked("a"), qt.HasLen, 0)
+	c.Check(r.QueryTargets(r.Relays[0]), qt.DeepEquals, r.Readers)
+	c.Check(r.QueryTargets("else"), qt.DeepEquals, r.Relays)
+	c.Check(ChooseRoles(nil).QueryTargets("a"), qt.HasLen, 0)
 }
 
 func TestAProofForALaterVersionWaitsForIt(t *testing.T) {
 	c := qt.New(t)
-	k := Keeper{Bound: bound}
-	k.Take(Proof{Version: 1, Sent: start}, 1)
-	k.Take(Proof{Version: 2, Sent: start.Add(time.Second)}, 1)
-	age, known := k.Age(start.Add(2*time.Second), 1)
+	k := ProofTracker{Bound: bound}
+	k.AddProof(Proof{Version: 1, Sent: start}, 1)
+	k.AddProof(Proof{Version: 2, Sent: start.Add(time.Second)}, 1)
+	age, known := k.ProofAge(start.Add(2*time.Second), 1)
 	c.Check(known, qt.IsTrue)
 	c.Check(age, qt.Equals, 2*time.Second)
-	k.Raised(2)
-	age, _ = k.Age(start.Add(2*time.Second), 2)
+	k.VersionApplied(2)
+	age, _ = k.ProofAge(start.Add(2*time.Second), 2)
 	c.Check(age, qt.Equals, time.Second)
-	c.Check(k.Holds(start.Add(2*time.Second), 1), qt.IsFalse) // a request that came in with the state before
-	k.Take(Proof{}, 2)
-	age, _ = k.Age(start.Add(2*time.Second), 2)
+	c.Check(k.MayAcceptKey(start.Add(2*time.Second), 1), qt.IsFalse) // a request that came in with the state before
+	k.AddProof(Proof{}, 2)
+	age, _ = k.ProofAge(start.Add(2*time.Second), 2)
 	c.Check(age, qt.Equals, time.Second)
 }
--- a/pkg/freshness/keeper.go
+++ b/pkg/freshness/keeper.go
@@ -12,8 +12,8 @@
 	Sent    time.Time // of the clock of the node that holds it
 }
 
-// Keeper holds what one node has of proofs. Its zero value has none; it isn't safe for concurrent use.
-type Keeper struct {
+// ProofTracker holds what one node has of proofs. Its zero value has none; it isn't safe for concurrent use.
+type ProofTracker struct {
 	// Bound is the time after the confirmation of a desired state from which on what it took away doesn't pass.
 	Bound time.Duration
 
@@ -21,8 +21,8 @@
 	ahead Proof // one for a version that isn't in force yet
 }
 
-// Take takes a proof; own is the version in force.
-func (k *Keeper) Take(p Proof, own int64) {
+// AddProof takes a proof; own is the version in force.
+func (k *ProofTracker) AddProof(p Proof, own int64) {
 	switch {
 	case p.Version <= 0:
 	case p.Version > own:
@@ -34,44 +34,44 @@
 	}
 }
 
-// Raised tells that a newer version is in force.
-func (k *Keeper) Raised(own int64) {
+// VersionApplied tells that a newer version is in force.
+func (k *ProofTracker) VersionApplied(own int64) {
 	if k.ahead.Version > own || k.ahead.Version == 0 {
 		return
 	}
 	p := k.ahead
 	k.ahead = Proof{}
-	k.Take(p, own)
+	k.AddProof(p, own)
 }
 
-// Held returns the youngest proof for a state in force of the version; its version is 0 if there is none.
-func (k *Keeper) Held(own int64) Proof {
+// YoungestProof returns the youngest proof for a state in force of the version; its version is 0 if there is none.
+func (k *ProofTracker) YoungestProof(own int64) Proof {
 	if k.held.Version > own {
 		return Proof{}
 	}
 	return k.held
 }
 
-// Age returns how old the proof for a state of the version is; it reports false if there is none.
-func (k *Keeper) Age(now time.Time, own int64) (time.Duration, bool) {
-	p := k.Held(own)
+// ProofAge returns how old the proof for a state of the version is; it reports false if there is none.
+func (k *ProofTracker) ProofAge(now time.Time, own int64) (time.Duration, bool) {
+	p := k.YoungestProof(own)
 	if p.Version == 0 {
 		return 0, false
 	}
 	return max(now.Sub(p.Sent), 0), true
 }
 
-// Holds tells whether a key may pass that a state of the version lets pass.
-func (k *Keeper) Holds(now time.Time, own int64) bool {
-	age, known := k.Age(now, own)
+// MayAcceptKey tells whether a key may pass that a state of the version lets pass.
+func (k *ProofTracker) MayAcceptKey(now time.Time, own int64) bool {
+	age, known := k.ProofAge(now, own)
 	return known && age <= k.hold()
 }
 
-// Sure tells whether a key that a state of the version doesn't have may be called unknown: where the proof is older, the key may
+// MayRejectUnknownKey tells whether a key that a state of the version doesn't have may be called unknown: where the proof is older, the key may
 // have been added since.
-func (k *Keeper) Sure(now time.Time, own int64) bool {
-	age, known := k.Age(now, own)
+func (k *ProofTracker) MayRejectUnknownKey(now time.Time, own int64) bool {
+	age, known := k.ProofAge(now, own)
 	return known && age <= k.hold()/2
 }
 
-func (k *Keeper) hold() time.Duration { return time.Duration(holdShare * float64(k.Bound)) }
+func (k *ProofTracker) hold() time.Duration { return time.Duration(holdShare * float64(k.Bound)) }
--- a/pkg/freshness/roles.go
+++ b/pkg/freshness/roles.go
@@ -23,8 +23,8 @@
 	Relays  []string // ask the readers, and are asked by the others; none in a small zone
 }
 
-// Choose returns the roles among the hosts of a zone that are alive. All nodes choose alike, without asking.
-func Choose(alive []string) Roles {
+// ChooseRoles returns the roles among the hosts of a zone that are alive. All nodes choose alike, without asking.
+func ChooseRoles(alive []string) Roles {
 	byRank := slices.Clone(alive)
 	slices.SortFunc(byRank, func(a, b string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)) })
 	r := Roles{Readers: byRank[:min(readers, len(byRank))]}
@@ -35,11 +35,11 @@
 	return r
 }
 
-// Reads tells whether the host asks the store.
-func (r Roles) Reads(host string) bool { return slices.Contains(r.Readers, host) }
+// IsReader tells whether the host asks the store.
+func (r Roles) IsReader(host string) bool { return slices.Contains(r.Readers, host) }
 
-// Asked returns whom the host asks.
-func (r Roles) Asked(host string) []string {
+// QueryTargets returns whom the host asks.
+func (r Roles) QueryTargets(host string) []string {
 	if len(r.Relays) == 0 || slices.Contains(r.Relays, host) {
 		return r.Readers
 	}
--- a/pkg/freshness/schedule.go
+++ b/pkg/freshness/schedule.go
@@ -28,10 +28,10 @@
 
 // The actions.
 const (
-	Wait     Action = iota
-	Read            // ask the store
-	Ask             // ask a node that knows more
-	AskWider        // ask any node
+	Wait          Action = iota
+	ReadStore            // ask the store
+	QueryUpstream        // ask a node that knows more
+	QueryAnyNode         // ask any node
 )
 
 // Schedule decides when one node asks whom. It isn't safe for concurrent use.
@@ -51,7 +51,7 @@
 	}
 	if s.readsNow(now, age, reads) {
 		s.read = now
-		return Read
+		return ReadStore
 	}
 	if reads && age <= s.share(widenShare) || now.Sub(s.asked) < pause {
 		return Wait
@@ -59,9 +59,9 @@
 	s.asked = now
 	s.wide = age > s.share(widenShare) && !s.wide
 	if s.wide {
-		return AskWider
+		return QueryAnyNode
 	}
-	return Ask
+	return QueryUpstream
 }
 
 // readsNow tells whether it is time to ask the store.
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -181,7 +181,7 @@
 		if !n.state.CompareAndSwap(old, s) {
 			continue
 		}
-		n.proofs.with(func(k *freshness.Keeper) { k.Raised(s.Version) })
+		n.proofs.with(func(k *freshness.ProofTracker) { k.VersionApplied(s.Version) })
 		if old == nil {
 			now := n.clock.Now()
 			n.knowledge.stateSince.Store(&now)
--- a/pkg/mesh/prove_state.go
+++ b/pkg/mesh/prove_state.go
@@ -15,17 +15,17 @@
 // stateProofs is a freshness.Keeper that all goroutines of a node use, and when it asks for younger proofs.
 type stateProofs struct {
 	mu sync.Mutex
-	freshness.Keeper
+	freshness.ProofTracker
 
 	schedule        freshness.Schedule // proveState's
 	reading, asking atomic.Bool        // a call is on its way
 }
 
 // with looks at or changes what is held.
-func (p *stateProofs) with(f func(k *freshness.Keeper)) {
+func (p *stateProofs) with(f func(k *freshness.ProofTracker)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f(&p.Keeper)
+	f(&p.ProofTracker)
 }
 
 // proofPath is where nodes ask each other for proofs.
@@ -63,12 +63,12 @@
 func (n *Node) proveNext(ctx context.Context) {
 	roles := n.roles.Load().proofs
 	age, known := n.proofAge()
-	switch n.proofs.schedule.Next(clock.Boot(n.clock), age, known, roles.Reads(n.ip)) {
-	case freshness.Read:
+	switch n.proofs.schedule.Next(clock.Boot(n.clock), age, known, roles.IsReader(n.ip)) {
+	case freshness.ReadStore:
 		startUnlessBusy(&n.proofs.reading, func() { n.readProof(ctx) })
-	case freshness.Ask:
-		startUnlessBusy(&n.proofs.asking, func() { n.askProof(ctx, n.anyOf(roles.Asked(n.ip))) })
-	case freshness.AskWider:
+	case freshness.QueryUpstream:
+		startUnlessBusy(&n.proofs.asking, func() { n.askProof(ctx, n.anyOf(roles.QueryTargets(n.ip))) })
+	case freshness.QueryAnyNode:
 		startUnlessBusy(&n.proofs.asking, func() { n.askProof(ctx, n.anyNode(ctx)) })
 	case freshness.Wait:
 	}
@@ -138,13 +138,13 @@
 
 // takeProof takes a proof that the store or another node gave.
 func (n *Node) takeProof(p freshness.Proof) {
-	n.proofs.with(func(k *freshness.Keeper) { k.Take(p, n.version()) })
+	n.proofs.with(func(k *freshness.ProofTracker) { k.AddProof(p, n.version()) })
 }
 
 // proofAge returns how old the proof for the state in force is; known is false if there is none.
 func (n *Node) proofAge() (age time.Duration, known bool) {
 	now, own := clock.Boot(n.clock), n.version()
-	n.proofs.with(func(k *freshness.Keeper) { age, known = k.Age(now, own) })
+	n.proofs.with(func(k *freshness.ProofTracker) { age, known = k.ProofAge(now, own) })
 	return age, known
 }
 
@@ -167,10 +167,10 @@
 func (n *Node) serveProof(w http.ResponseWriter, _ *http.Request) {
 	own := n.version()
 	var a proofAnswer
-	n.proofs.with(func(k *freshness.Keeper) {
+	n.proofs.with(func(k *freshness.ProofTracker) {
 		now := clock.Boot(n.clock)
-		if age, known := k.Age(now, own); known {
-			a = proofAnswer{Version: k.Held(own).Version, Age: age}
+		if age, known := k.ProofAge(now, own); known {
+			a = proofAnswer{Version: k.YoungestProof(own).Version, Age: age}
 		}
 	})
 	n.answerNode(w, a)
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -42,7 +42,7 @@
 	}
 	own := members.byZone[n.cfg.Zone]
 	if !slices.Equal(own, before.byZone[n.cfg.Zone]) {
-		roles.proofs = freshness.Choose(own)
+		roles.proofs = freshness.ChooseRoles(own)
 	}
 	n.electOwners(now, roles.rings[n.cfg.Zone], float64(len(own))/float64(max(members.known, 1)))
 	n.roles.Store(roles)
--- a/pkg/mesh/who_asks.go
+++ b/pkg/mesh/who_asks.go
@@ -103,7 +103,7 @@
 		return true
 	}
 	now := clock.Boot(n.clock)
-	n.proofs.with(func(k *freshness.Keeper) { may = k.Holds(now, s.Version) })
+	n.proofs.with(func(k *freshness.ProofTracker) { may = k.MayAcceptKey(now, s.Version) })
 	return may
 }
 
@@ -115,7 +115,7 @@
 	sure := true
 	if n.cfg.Mesh.StrictRevoke {
 		now := clock.Boot(n.clock)
-		n.proofs.with(func(k *freshness.Keeper) { sure = k.Sure(now, s.Version) })
+		n.proofs.with(func(k *freshness.ProofTracker) { sure = k.MayRejectUnknownKey(now, s.Version) })
 	}
 	return sure
 }
