--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -20,7 +20,7 @@
 func chosenOf(alive []string) []string {
 	var chosen []string
 	for _, h := range alive {
-		if Chosen(h, alive) {
+		if IsFollower(h, alive) {
 			chosen = append(chosen, h)
 		}
 	}
@@ -29,8 +29,8 @@
 
 func TestAllFollowInASmallZoneAndAFewInALargeOne(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(chosenOf(hosts(AllUpTo)), qt.HasLen, AllUpTo)
-	for _, n := range []int{AllUpTo + 1, 40, 2000} {
+	c.Assert(chosenOf(hosts(SmallZoneSize)), qt.HasLen, SmallZoneSize)
+	for _, n := range []int{SmallZoneSize + 1, 40, 2000} {
 		c.Assert(chosenOf(hosts(n)), qt.HasLen, followers)
 	}
 }
@@ -47,7 +47,7 @@
 			}
 		}
 		after := chosenOf(alive)
-		if len(alive) > AllUpTo && len(after) != followers {
+		if len(alive) > SmallZoneSize && len(after) != followers {
 			r.Fatalf("%d of %d follow", len(after), len(alive))
 		}
 		kept := map[string]bool{}
@@ -55,7 +55,7 @@
 			kept[h] = true
 		}
 		for _, h := range alive {
-			if Chosen(h, all) && !kept[h] {
+			if IsFollower(h, all) && !kept[h] {
 				r.Fatalf("%s of %v doesn't follow any more", h, before)
 			}
 		}
@@ -65,12 +65,12 @@
 var start = time.Unix(1_000_000, 0)
 
 // watch returns one of a node in a large zone that isn't chosen.
-func watch() *Watch {
-	w := &Watch{Within: 3 * time.Second}
+func watch() *Tracker {
+	w := &Tracker{ApplyBound: 3 * time.Second}
 	alive := hosts(40)
 	for _, h := range alive {
-		if !Chosen(h, alive) {
-			w.Elect(h, alive)
+		if !IsFollower(h, alive) {
+			w.UpdateRole(h, alive)
 			return w
 		}
 	}
@@ -80,44 +80,44 @@
 func TestANodeFollowsOnlyWhileNobodyTellsIt(t *testing.T) {
 	c := qt.New(t)
 	w := watch()
-	c.Assert(w.Follows(start), qt.IsFalse, qt.Commentf("before it begins"))
-	w.Begin(start, 2*time.Second)
-	c.Assert(w.Follows(start.Add(time.Second)), qt.IsFalse)
-	c.Assert(w.Follows(start.Add(2*time.Second)), qt.IsTrue)
+	c.Assert(w.ShouldContactStore(start), qt.IsFalse, qt.Commentf("before it begins"))
+	w.Start(start, 2*time.Second)
+	c.Assert(w.ShouldContactStore(start.Add(time.Second)), qt.IsFalse)
+	c.Assert(w.ShouldContactStore(start.Add(2*time.Second)), qt.IsTrue)
 	now := start.Add(10 * time.Second)
-	w.Hear(now, 7, 7, 500*time.Millisecond)
-	c.Assert(w.Follows(now.Add(1400*time.Millisecond)), qt.IsFalse)
-	c.Assert(w.Follows(now.Add(1600*time.Millisecond)), qt.IsTrue, qt.Commentf("a third of the bound is left"))
-	w.Hear(now.Add(time.Second), 7, 7, 3*time.Second)
-	age, known := w.Age(now)
+	w.AddPeerReport(now, 7, 7, 500*time.Millisecond)
+	c.Assert(w.ShouldContactStore(now.Add(1400*time.Millisecond)), qt.IsFalse)
+	c.Assert(w.ShouldContactStore(now.Add(1600*time.Millisecond)), qt.IsTrue, qt.Commentf("a third of the bound is left"))
+	w.AddPeerReport(now.Add(time.Second), 7, 7, 3*time.Second)
+	age, known := w.StateAge(now)
 	c.Assert(known && age == 500*time.Millisecond, qt.IsTrue, qt.Commentf("older news changes nothing: %v", age))
-	w.Hear(now.Add(time.Second), 7, 6, 0)
-	w.Hear(now.Add(time.Second), 7, 8, 0)
-	w.Hear(now.Add(time.Second), 7, 7, -time.Second)
-	c.Assert(w.Sure(now.Add(1600*time.Millisecond)), qt.IsFalse, qt.Commentf("of an older state, a newer one, and from the future"))
+	w.AddPeerReport(now.Add(time.Second), 7, 6, 0)
+	w.AddPeerReport(now.Add(time.Second), 7, 8, 0)
+	w.AddPeerReport(now.Add(time.Second), 7, 7, -time.Second)
+	c.Assert(w.IsCurrent(now.Add(1600*time.Millisecond)), qt.IsFalse, qt.Commentf("of an older state, a newer one, and from the future"))
 }
 
 func TestAChosenNodeFollowsAndTells(t *testing.T) {
 	c := qt.New(t)
-	w := &Watch{Within: 3 * time.Second}
-	w.Begin(start, time.Hour)
-	c.Assert(w.Elect("a", []string{"a"}), qt.IsTrue)
-	c.Assert(w.Elect("a", []string{"a"}), qt.IsFalse)
-	c.Assert(w.Follows(start), qt.IsTrue)
-	_, known := w.Age(start)
+	w := &Tracker{ApplyBound: 3 * time.Second}
+	w.Start(start, time.Hour)
+	c.Assert(w.UpdateRole("a", []string{"a"}), qt.IsTrue)
+	c.Assert(w.UpdateRole("a", []string{"a"}), qt.IsFalse)
+	c.Assert(w.ShouldContactStore(start), qt.IsTrue)
+	_, known := w.StateAge(start)
 	c.Assert(known, qt.IsFalse)
-	w.Fed(start)
+	w.WatchStarted(start)
 	later := start.Add(20 * time.Second)
-	c.Assert(w.Sure(later), qt.IsTrue, qt.Commentf("it would have heard of a change"))
-	w.Lost(later)
-	age, _ := w.Age(later)
+	c.Assert(w.IsCurrent(later), qt.IsTrue, qt.Commentf("it would have heard of a change"))
+	w.WatchLost(later)
+	age, _ := w.StateAge(later)
 	c.Assert(age, qt.Equals, noticeTime)
-	w.Lost(later.Add(time.Second))
-	age, _ = w.Age(later.Add(time.Second))
+	w.WatchLost(later.Add(time.Second))
+	age, _ = w.StateAge(later.Add(time.Second))
 	c.Assert(age, qt.Equals, noticeTime+time.Second)
-	w.Fed(later)
-	w.Left(later.Add(time.Second))
-	age, _ = w.Age(later.Add(time.Second))
+	w.WatchStarted(later)
+	w.WatchStopped(later.Add(time.Second))
+	age, _ = w.StateAge(later.Add(time.Second))
 	c.Assert(age, qt.Equals, time.Duration(0))
 }
 
@@ -125,26 +125,26 @@
 func TestAFrozenNodeReadsAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := watch()
-	w.Begin(start, 0)
-	w.Hear(start, 1, 1, 0)
-	c.Assert(w.Follows(start), qt.IsFalse)
-	c.Assert(w.Follows(start.Add(5*time.Second)), qt.IsTrue)
+	w.Start(start, 0)
+	w.AddPeerReport(start, 1, 1, 0)
+	c.Assert(w.ShouldContactStore(start), qt.IsFalse)
+	c.Assert(w.ShouldContactStore(start.Add(5*time.Second)), qt.IsTrue)
 }
 
 // A follower that woke after five seconds told its peers at once that its state was the newest.
 func TestAFollowerThatWasFrozenTellsNothingNew(t *testing.T) {
 	c := qt.New(t)
-	w := &Watch{Within: 3 * time.Second}
-	w.Begin(start, 0)
-	w.Elect("a", []string{"a"})
-	w.Fed(start)
-	w.Look(start)
-	w.Look(start.Add(200 * time.Millisecond))
-	c.Assert(w.Sure(start.Add(200*time.Millisecond)), qt.IsTrue)
+	w := &Tracker{ApplyBound: 3 * time.Second}
+	w.Start(start, 0)
+	w.UpdateRole("a", []string{"a"})
+	w.WatchStarted(start)
+	w.NoteRunning(start)
+	w.NoteRunning(start.Add(200 * time.Millisecond))
+	c.Assert(w.IsCurrent(start.Add(200*time.Millisecond)), qt.IsTrue)
 	awake := start.Add(5 * time.Second)
-	w.Look(awake)
-	age, known := w.Age(awake)
+	w.NoteRunning(awake)
+	age, known := w.StateAge(awake)
 	c.Assert(known && age == 4800*time.Millisecond, qt.IsTrue, qt.Commentf("%v", age))
-	w.Fed(awake.Add(time.Second))
-	c.Assert(w.Sure(awake.Add(time.Second)), qt.IsTrue, qt.Commentf("the store has answered"))
+	w.WatchStarted(awake.Add(time.Second))
+	c.Assert(w.IsCurrent(awake.Add(time.Second)), qt.IsTrue, qt.Commentf("the store has answered"))
 }
--- a/pkg/follow/followers.go
+++ b/pkg/follow/followers.go
@@ -3,16 +3,16 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// AllUpTo is the number of nodes of an availability zone up to which each of them follows the store: there is little to
+	// SmallZoneSize is the number of nodes of an availability zone up to which each of them follows the store: there is little to
 	// be saved.
-	AllUpTo = 8
+	SmallZoneSize = 8
 	// followers of a larger zone: any two of them may be lost at once, and the third still tells the zone.
 	followers = 3
 )
 
-// Chosen tells whether the host is one of the followers of its availability zone, given the hosts that are alive there.
-func Chosen(host string, alive []string) bool {
-	if len(alive) <= AllUpTo {
+// IsFollower tells whether the host is one of the followers of its availability zone, given the hosts that are alive there.
+func IsFollower(host string, alive []string) bool {
+	if len(alive) <= SmallZoneSize {
 		return true
 	}
 	before := 0
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -139,7 +139,7 @@
 		n.noticeVersion(m.From, m.Version)
 	}
 	if m.Sure {
-		n.watch.with(func(w *follow.Watch) { w.Hear(n.clock.Now(), n.version(), m.Version, m.Age) })
+		n.watch.with(func(w *follow.Tracker) { w.AddPeerReport(n.clock.Now(), n.version(), m.Version, m.Age) })
 	}
 	n.do(func() {
 		now := n.clock.Now()
--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -85,7 +85,7 @@
 		Digest: n.control.directory.Digest(), Records: n.control.news.recent(now),
 		Unlearned: n.unlearned(now), Held: n.heldDigest(now), Era: n.era.now(),
 	}
-	n.watch.with(func(w *follow.Watch) { m.Age, m.Sure = w.Age(now) })
+	n.watch.with(func(w *follow.Tracker) { m.Age, m.Sure = w.StateAge(now) })
 	if zone == n.cfg.Zone {
 		// Other zones are told once, by who saw it: with these in each exchange between zones, 57 of 95 servers that ended together, four times in half a
 		// minute, were 0.374 GB between zones at 194 nodes, 0.148 without (one play each).
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -15,15 +15,15 @@
 // stateWatch is a follow.Watch that all goroutines of a node use.
 type stateWatch struct {
 	mu sync.Mutex
-	follow.Watch
+	follow.Tracker
 	mayBegin chan struct{} // closed once peers were asked after a restart
 }
 
 // with looks at or changes the watch.
-func (w *stateWatch) with(f func(w *follow.Watch)) {
+func (w *stateWatch) with(f func(w *follow.Tracker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f(&w.Watch)
+	f(&w.Tracker)
 }
 
 // The times of following the store.
@@ -83,17 +83,17 @@
 			return false
 		}
 	}
-	n.watch.with(func(w *follow.Watch) { w.Begin(n.clock.Now(), patience) })
+	n.watch.with(func(w *follow.Tracker) { w.Start(n.clock.Now(), patience) })
 	return true
 }
 
 // followsNow tells whether the node goes to the store, and whether it is one of its zone's followers.
 func (n *Node) followsNow() (follows, chosen bool) {
-	n.watch.with(func(w *follow.Watch) {
+	n.watch.with(func(w *follow.Tracker) {
 		now := n.clock.Now()
-		follows, chosen = w.Follows(now), w.Chosen()
+		follows, chosen = w.ShouldContactStore(now), w.IsFollower()
 		if !follows {
-			w.Left(now)
+			w.WatchStopped(now)
 		}
 	})
 	return follows, chosen
@@ -101,7 +101,7 @@
 
 // sureOfState tells whether the desired state in force may be taken for the newest.
 func (n *Node) sureOfState() (sure bool) {
-	n.watch.with(func(w *follow.Watch) { sure = w.Sure(n.clock.Now()) })
+	n.watch.with(func(w *follow.Tracker) { sure = w.IsCurrent(n.clock.Now()) })
 	return sure
 }
 
@@ -115,7 +115,7 @@
 
 // noteFollowing writes down that the store isn't heard any more.
 func (n *Node) noteFollowing(err error) {
-	n.watch.with(func(w *follow.Watch) { w.Lost(n.clock.Now()) })
+	n.watch.with(func(w *follow.Tracker) { w.WatchLost(n.clock.Now()) })
 	n.controlLog.Warn("desired state not followed", "err", err)
 }
 
@@ -137,7 +137,7 @@
 		return next, err
 	}
 	version := n.takeStored(data)
-	n.watch.with(func(w *follow.Watch) { w.Fed(n.clock.Now()) })
+	n.watch.with(func(w *follow.Tracker) { w.WatchStarted(n.clock.Now()) })
 	if kind == readStateCall {
 		n.proven(sent, own, version)
 	}
@@ -207,10 +207,10 @@
 			alive = append(alive, host)
 		}
 	}
-	n.watch.with(func(w *follow.Watch) {
-		w.Look(now)
-		if w.Elect(n.ip, alive) {
-			n.controlLog.Info("follower of the desired state", "chosen", w.Chosen(), "alive", len(alive))
+	n.watch.with(func(w *follow.Tracker) {
+		w.NoteRunning(now)
+		if w.UpdateRole(n.ip, alive) {
+			n.controlLog.Info("follower of the desired state", "chosen", w.IsFollower(), "alive", len(alive))
 		}
 	})
 }
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -63,8 +63,8 @@
 func (s *site) followersOf() map[int]bool {
 	chosen := map[int]bool{}
 	for i, n := range s.nodes {
-		n.watch.with(func(w *follow.Watch) {
-			if w.Chosen() {
+		n.watch.with(func(w *follow.Tracker) {
+			if w.IsFollower() {
 				chosen[i] = true
 			}
 		})
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -70,7 +70,7 @@
 }
 
 // leavesStateToFollowers tells whether the own zone is so large that it has followers of its own.
-func (n *Node) leavesStateToFollowers() bool { return len(n.control.zoneHosts) > follow.AllUpTo }
+func (n *Node) leavesStateToFollowers() bool { return len(n.control.zoneHosts) > follow.SmallZoneSize }
 
 // announceState tells of a new desired state: in a large zone only its own nodes, since the others have followers too.
 func (n *Node) announceState() {
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -30,7 +30,7 @@
 	a := &asking{Node: &Node{ip: "n", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}, Listen: settings.Listen{Peers: "n:1"}}}}
 	a.controlLog = slog.New(slog.DiscardHandler)
 	a.peers = map[string]*peer{}
-	a.control.zoneHosts = make([]string, follow.AllUpTo+1)
+	a.control.zoneHosts = make([]string, follow.SmallZoneSize+1)
 	a.state.Store(&desired.State{Version: 1})
 	a.network.Dial = func(_ context.Context, _, addr string, _ time.Duration) (net.Conn, error) {
 		a.mu.Lock()
@@ -116,6 +116,6 @@
 	} {
 		c.Check(len(a.newAnswer(&x.to).State) > 0, qt.Equals, x.given, qt.Commentf("%+v", x.to))
 	}
-	a.control.zoneHosts = a.control.zoneHosts[:follow.AllUpTo]
+	a.control.zoneHosts = a.control.zoneHosts[:follow.SmallZoneSize]
 	c.Check(a.newAnswer(&message{Zone: "b", Version: 4}).State, qt.Not(qt.HasLen), 0, qt.Commentf("a small zone has no followers of its own"))
 }
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -113,7 +113,7 @@
 	n.metrics.init()
 	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
 	n.watch.mayBegin = make(chan struct{})
-	n.watch.Within = o.Settings.Mesh.Apply
+	n.watch.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
 	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
--- a/pkg/mesh/resumed.go
+++ b/pkg/mesh/resumed.go
@@ -15,7 +15,7 @@
 // with the steady clock, and the other sides of the connections that are kept may be gone without a word that could be heard.
 func (n *Node) resumed(d time.Duration) {
 	now := n.clock.Now()
-	n.watch.with(func(w *follow.Watch) { w.Look(now) })
+	n.watch.with(func(w *follow.Tracker) { w.NoteRunning(now) })
 	ended := n.limits.Lapse(now)
 	if d >= deadConnections {
 		n.eachPool((*httpconn.Pool).DropIdle)
