--- a/pkg/awaited/awaited_test.go
+++ b/pkg/awaited/awaited_test.go
@@ -18,51 +18,51 @@
 	c := qt.New(t)
 	var table Table
 	gone := 0
-	r := &Request{ID: "a", Sent: start, Patience: time.Second, GiveUp: func() { gone++ }}
+	r := &Request{ID: "a", Sent: start, QueryAfter: time.Second, Abort: func() { gone++ }}
 	table.Add(r)
-	c.Assert(table.Ask(after(time.Second-1)), qt.HasLen, 0)
-	asked := table.Ask(after(time.Second))
+	c.Assert(table.StartQuery(after(time.Second-1)), qt.HasLen, 0)
+	asked := table.StartQuery(after(time.Second))
 	c.Assert(asked, qt.HasLen, 1)
-	c.Assert(table.Ask(after(2*time.Second)), qt.HasLen, 0) // it is being asked
-	c.Assert(table.Told(after(time.Second), asked, []string{"a"}), qt.HasLen, 0)
-	c.Assert(table.Ask(after(time.Second+MissPause-1)), qt.HasLen, 0)
-	asked = table.Ask(after(time.Second + MissPause))
-	c.Assert(table.Told(after(time.Second+MissPause), asked, []string{"a"}), qt.HasLen, 1)
+	c.Assert(table.StartQuery(after(2*time.Second)), qt.HasLen, 0) // it is being asked
+	c.Assert(table.FinishQuery(after(time.Second), asked, []string{"a"}), qt.HasLen, 0)
+	c.Assert(table.StartQuery(after(time.Second+MissInterval-1)), qt.HasLen, 0)
+	asked = table.StartQuery(after(time.Second + MissInterval))
+	c.Assert(table.FinishQuery(after(time.Second+MissInterval), asked, []string{"a"}), qt.HasLen, 1)
 	c.Assert(gone, qt.Equals, 1)
-	c.Assert(table.Ask(after(time.Hour)), qt.HasLen, 0)
+	c.Assert(table.StartQuery(after(time.Hour)), qt.HasLen, 0)
 }
 
 func TestARequestThatThePeerHasIsAskedForAgainAndKept(t *testing.T) {
 	c := qt.New(t)
 	var table Table
-	r := &Request{ID: "a", Sent: start, Patience: time.Second, GiveUp: func() { t.Fatal("given up") }}
+	r := &Request{ID: "a", Sent: start, QueryAfter: time.Second, Abort: func() { t.Fatal("given up") }}
 	table.Add(r)
 	for i := range 10 { // lacked and had in turn: never lost
 		now := after(time.Duration(i+1) * time.Second)
-		asked := table.Ask(now)
+		asked := table.StartQuery(now)
 		c.Assert(asked, qt.HasLen, 1)
-		table.Told(now, asked, []string{"a"}[:i%2])
+		table.FinishQuery(now, asked, []string{"a"}[:i%2])
 	}
 	table.Remove(r)
-	c.Assert(table.Ask(after(time.Hour)), qt.HasLen, 0)
+	c.Assert(table.StartQuery(after(time.Hour)), qt.HasLen, 0)
 }
 
 // Whatever comes when: a request that is in progress at the peer whenever it is asked is never given up, and one that never is there, is.
 func TestOnlyLostRequestsAreGivenUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
-		var there Present
+		var there InProgress
 		lost := map[string]bool{}
 		var present, absent []string
 		now := start
 		for i := range rapid.IntRange(1, 100).Draw(t, "requests") {
 			id := fmt.Sprint("r", i)
 			table.Add(&Request{
-				ID: id, Sent: now, Patience: time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond,
-				GiveUp: func() { lost[id] = true },
+				ID: id, Sent: now, QueryAfter: time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond,
+				Abort: func() { lost[id] = true },
 			})
 			if rapid.Bool().Draw(t, "there") {
-				there.Begin(id)
+				there.Start(id)
 				present = append(present, id)
 			} else {
 				absent = append(absent, id)
@@ -71,7 +71,7 @@
 		}
 		for range 400 { // at the most 64 at a time
 			now = now.Add(50 * time.Millisecond)
-			asked := table.Ask(now)
+			asked := table.StartQuery(now)
 			if len(asked) == 0 {
 				continue
 			}
@@ -79,7 +79,7 @@
 			for _, r := range asked {
 				ids = append(ids, r.ID)
 			}
-			table.Told(now, asked, there.Missing(ids))
+			table.FinishQuery(now, asked, there.Missing(ids))
 		}
 		for _, id := range present {
 			if lost[id] {
@@ -96,8 +96,8 @@
 
 func TestPresent(t *testing.T) {
 	c := qt.New(t)
-	var p Present
-	first, second := p.Begin("a"), p.Begin("a")
+	var p InProgress
+	first, second := p.Start("a"), p.Start("a")
 	c.Assert(p.Missing([]string{"a", "b"}), qt.DeepEquals, []string{"b"})
 	first()
 	c.Assert(p.Missing([]string{"a"}), qt.HasLen, 0)
@@ -107,9 +107,9 @@
 }
 
 func BenchmarkPresent(b *testing.B) {
-	var p Present
+	var p InProgress
 	b.ReportAllocs()
 	for range b.N {
-		p.Begin("some-attempt-0123456789")()
+		p.Start("some-attempt-0123456789")()
 	}
 }
--- a/pkg/awaited/present.go
+++ b/pkg/awaited/present.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Present is the requests that are in progress here. Its zero value is empty; it is safe for concurrent use.
-type Present struct {
+// InProgress is the requests that are in progress here. Its zero value is empty; it is safe for concurrent use.
+type InProgress struct {
 	mu  sync.Mutex
 	ids map[string]int // how many have the id
 }
 
-// Begin notes a request; the function that it returns notes its end.
-func (p *Present) Begin(id string) (end func()) {
+// Start notes a request; the function that it returns notes its end.
+func (p *InProgress) Start(id string) (end func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ids == nil {
@@ -19,7 +19,7 @@
 	return func() { p.end(id) }
 }
 
-func (p *Present) end(id string) {
+func (p *InProgress) end(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ids[id]--; p.ids[id] == 0 {
@@ -28,7 +28,7 @@
 }
 
 // Missing returns those that aren't in progress here.
-func (p *Present) Missing(ids []string) []string {
+func (p *InProgress) Missing(ids []string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var missing []string
--- a/pkg/awaited/table.go
+++ b/pkg/awaited/table.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// MissesLeast is how often a peer has to lack a request before it counts as lost.
-	MissesLeast = 2
-	// MissPause is the time between: the answer may just be on its way, and a lost packet of it is sent again after 200 ms at the
+	// MinMisses is how often a peer has to lack a request before it counts as lost.
+	MinMisses = 2
+	// MissInterval is the time between: the answer may just be on its way, and a lost packet of it is sent again after 200 ms at the
 	// earliest (the least time-out of TCP on Linux).
-	MissPause = 250 * time.Millisecond
-	// MostAsked bounds how many requests are asked for at a time.
-	MostAsked = 64
+	MissInterval = 250 * time.Millisecond
+	// MaxQueried bounds how many requests are asked for at a time.
+	MaxQueried = 64
 )
 
 // Request is one that was sent and not answered yet.
 type Request struct {
-	ID       string
-	Sent     time.Time
-	Patience time.Duration // after which it takes much longer than usual
-	GiveUp   func()        // ends the wait for its answer
+	ID         string
+	Sent       time.Time
+	QueryAfter time.Duration // after which it takes much longer than usual
+	Abort      func()        // ends the wait for its answer
 
 	next   time.Time // when to ask for it
 	missed int
@@ -36,7 +36,7 @@
 
 // Add notes a request that is being sent.
 func (t *Table) Add(r *Request) {
-	r.next = r.Sent.Add(r.Patience)
+	r.next = r.Sent.Add(r.QueryAfter)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.requests == nil {
@@ -52,9 +52,9 @@
 	delete(t.requests, r)
 }
 
-// Ask returns the requests to ask the peer for now, the earliest first, or none while it is being asked already. Each Ask that returns
+// StartQuery returns the requests to ask the peer for now, the earliest first, or none while it is being asked already. Each StartQuery that returns
 // some is followed by one call of Told.
-func (t *Table) Ask(now time.Time) []*Request {
+func (t *Table) StartQuery(now time.Time) []*Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.asking {
@@ -67,14 +67,14 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *Request) int { return a.Sent.Compare(b.Sent) })
-	due = due[:min(len(due), MostAsked)]
+	due = due[:min(len(due), MaxQueried)]
 	t.asking = len(due) > 0
 	return due
 }
 
-// Told takes which of the requests that were asked for the peer lacks, and gives up those that are lost, which it returns. The answer
+// FinishQuery takes which of the requests that were asked for the peer lacks, and gives up those that are lost, which it returns. The answer
 // to a question that failed is that it has all of them.
-func (t *Table) Told(now time.Time, asked []*Request, missing []string) []*Request {
+func (t *Table) FinishQuery(now time.Time, asked []*Request, missing []string) []*Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asking = false
@@ -84,18 +84,18 @@
 			continue
 		}
 		if !slices.Contains(missing, r.ID) {
-			r.missed, r.next = 0, now.Add(r.Patience)
+			r.missed, r.next = 0, now.Add(r.QueryAfter)
 			continue
 		}
 		r.missed++
-		r.next = now.Add(MissPause)
-		if r.missed >= MissesLeast {
+		r.next = now.Add(MissInterval)
+		if r.missed >= MinMisses {
 			delete(t.requests, r)
 			lost = append(lost, r)
 		}
 	}
 	for _, r := range lost {
-		r.GiveUp()
+		r.Abort()
 	}
 	return lost
 }
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -40,7 +40,7 @@
 	}
 	done := n.stop.begin()
 	defer done()
-	defer n.present.Begin(r.Header.Get(n.names.AttemptID))()
+	defer n.present.Start(r.Header.Get(n.names.AttemptID))()
 	n.noticeVersion(r.RemoteAddr, c.Version)
 	if n.stop.refusesPeers() {
 		n.reply(w, refused(wire.ReasonLeaving))
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -21,7 +21,7 @@
 	// inProgressTime bounds such a question.
 	inProgressTime = 250 * time.Millisecond
 	// maxInProgress bounds it in bytes: MostAsked ids, each of which may be as long as a header line usually may.
-	maxInProgress = awaited.MostAsked * (8 << 10)
+	maxInProgress = awaited.MaxQueried * (8 << 10)
 )
 
 // inProgressQuestion asks which of some requests, by their attempt ids, a node doesn't have.
@@ -45,7 +45,7 @@
 	}
 	waiting, giveUp := context.WithCancelCause(ctx)
 	r := &awaited.Request{
-		ID: d.q.id, Sent: d.n.clock.Now(), Patience: silentLeast + silentHolds*usual, GiveUp: func() { giveUp(errNotThere) },
+		ID: d.q.id, Sent: d.n.clock.Now(), QueryAfter: silentLeast + silentHolds*usual, Abort: func() { giveUp(errNotThere) },
 	}
 	p.awaited.Add(r)
 	res, err := p.pool.Do(waiting, req)
@@ -64,7 +64,7 @@
 	n.peersMu.Lock()
 	defer n.peersMu.Unlock()
 	for _, p := range n.peers {
-		if asked := p.awaited.Ask(now); len(asked) > 0 {
+		if asked := p.awaited.StartQuery(now); len(asked) > 0 {
 			n.running.Go(func() { n.askFor(ctx, p, asked) })
 		}
 	}
@@ -81,7 +81,7 @@
 		n.controlLog.Debug("requests in progress not told", "peer", p.host, "err", err)
 		a.Missing = nil // nothing is known: they wait on
 	}
-	for _, r := range p.awaited.Told(n.clock.Now(), asked, a.Missing) {
+	for _, r := range p.awaited.FinishQuery(n.clock.Now(), asked, a.Missing) {
 		n.metrics.count("requests_lost_total")
 		n.callLog.Warn("connection went silent", "peer", p.host, "request", r.ID, "waited_ms", n.clock.Now().Sub(r.Sent).Milliseconds())
 		p.pool.DropRested(r.Sent)
@@ -91,7 +91,7 @@
 // serveInProgress tells another node which of its requests aren't here.
 func (n *Node) serveInProgress(w http.ResponseWriter, r *http.Request) {
 	var q inProgressQuestion
-	if n.readQuestion(w, r, maxInProgress, &q, func() bool { return len(q.IDs) <= awaited.MostAsked }) {
+	if n.readQuestion(w, r, maxInProgress, &q, func() bool { return len(q.IDs) <= awaited.MaxQueried }) {
 		n.answerNode(w, inProgressAnswer{Missing: n.present.Missing(q.IDs)})
 	}
 }
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -61,9 +61,9 @@
 	budgetMu sync.Mutex
 	budget   overload.RepeatBudget
 	poison   poison.Table
-	limits   clock.Limits    // of requests in progress
-	present  awaited.Present // requests of other nodes that are here
-	away     atomic.Bool     // the server on this VM has ended and wasn't heard since
+	limits   clock.Limits       // of requests in progress
+	present  awaited.InProgress // requests of other nodes that are here
+	away     atomic.Bool        // the server on this VM has ended and wasn't heard since
 	clients  clientconns.Connections
 
 	peersMu sync.Mutex
