--- a/pkg/poison/case.go
+++ b/pkg/poison/case.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// maxLifetimes bounds the servers that a case names: more say nothing new, and the newest are kept.
-const maxLifetimes = 8
+// maxLifetimesPerList bounds each list of lifetimes in a case; the newest are retained, since older ones add no evidence.
+const maxLifetimesPerList = 8
 
-// Case is what is known of one request that ran in servers when they ended.
+// Case holds the crashes during which requests with one fingerprint were running.
 type Case struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Service     string      `json:"service"`
 	Route       string      `json:"route"`
-	Request     string      `json:"request"` // id of the last attempt under which a server ended
-	// Stage counts the ends one after the other: that of a run that began in stage n makes stage n+1, so servers that end
-	// together, under copies of a request that many send, make one stage. See severity for the ends of which it was cleared meanwhile.
+	Request     string      `json:"request"` // id of the last attempt that was running when a server crashed
+	// Stage counts crashes in sequence: a crash of a run that began in stage n leads to stage n+1. Servers that crash together,
+	// under copies of a request that many clients send, so count as one stage. See severity for crashes that were cleared since.
 	Stage int `json:"stage"`
-	// Crashed are the servers that ended under it since it was last cleared, Cleared those before.
+	// Crashed lists the servers that crashed under it since it was last cleared, Cleared those that it was cleared of.
 	Crashed            []Lifetime    `json:"ends"`
 	Cleared            []Lifetime    `json:"cleared,omitempty"`
-	Age                time.Duration `json:"age_ns"`          // since the last end, when this was written
-	RecentlySuccessful bool          `json:"sound,omitempty"` // runs of it had ended well shortly before one of the ends
+	Age                time.Duration `json:"age_ns"`          // since the last crash, when this was written
+	RecentlySuccessful bool          `json:"sound,omitempty"` // a run had succeeded shortly before one of the crashes
 }
 
-// severity is the stage that the ends bear out which it wasn't cleared of: news of an end may come after that of a run that ended well, and says then
-// how many ends there were when the run began, whether they count any more or not.
+// severity returns the stage, limited to the number of crashes that weren't cleared. A crash report may arrive after the report of a
+// successful run; its stage then still counts the crashes that were known when the run began, cleared or not.
 func (c *Case) severity() int { return min(c.Stage, len(c.Crashed)) }
 
-// live tells whether the request is under suspicion.
-func (c *Case) live() bool { return len(c.Crashed) > 0 }
+// isSuspect reports whether any crash counts against the request.
+func (c *Case) isSuspect() bool { return len(c.Crashed) > 0 }
 
-// add adds lifetimes that aren't in the list, and forgets the first ones of a list that is too long; it reports whether any was news.
-func add(list *[]Lifetime, more []Lifetime) bool {
+// mergeLifetimes appends the lifetimes that aren't in the list yet and drops the oldest beyond the limit; it reports whether any was new.
+func mergeLifetimes(list *[]Lifetime, more []Lifetime) bool {
 	news := false
 	for _, l := range more {
 		if !slices.Contains(*list, l) {
@@ -40,14 +40,14 @@
 			news = true
 		}
 	}
-	if over := len(*list) - maxLifetimes; over > 0 {
+	if over := len(*list) - maxLifetimesPerList; over > 0 {
 		*list = slices.Delete(*list, 0, over)
 	}
 	return news
 }
 
-// without returns the lifetimes that aren't in the other list.
-func without(list, other []Lifetime) []Lifetime {
+// subtract returns the lifetimes of list that aren't in other.
+func subtract(list, other []Lifetime) []Lifetime {
 	var kept []Lifetime
 	for _, l := range list {
 		if !slices.Contains(other, l) {
--- a/pkg/poison/fingerprint.go
+++ b/pkg/poison/fingerprint.go
@@ -10,92 +10,92 @@
 	"strings"
 )
 
-// fingerprintBytes is the length of a Fingerprint: two requests that a caller makes up have the same one by chance in one
-// of 2^64 tries, and one that somebody else sends can't be met at all.
+// fingerprintBytes is the length of a Fingerprint. A caller needs about 2^64 tries to find two requests with the same fingerprint,
+// and can't feasibly match the fingerprint of another caller's request.
 const fingerprintBytes = 16
 
-// Fingerprint tells what a request asks for, by one likeness: requests with the same one make a server do the same.
+// Fingerprint is a hash of a request's content in one scope; requests with the same fingerprint are treated as the same request.
 type Fingerprint [fingerprintBytes]byte
 
-// RequestContent is what a request asks for. Of a body that isn't held whole the first part counts, and its length.
+// RequestContent is the part of a request that fingerprints are computed from. Of a body that isn't buffered whole, it has the first part and the length.
 type RequestContent struct {
-	Service string // that runs it: another one may well survive it
+	Service string // that runs it; the same request may be harmless to another service
 	Method  string
 	Host    string
 	URI     string // path and query
 	Caller  string // the service on whose VM the request began
 	Body    []byte
-	Length  int64 // of a body that isn't held whole, in bytes; -1: not known, 0: it is held whole
+	Length  int64 // in bytes, of a body that isn't buffered whole; -1: unknown, 0: Body is the whole body
 }
 
-// Likenesses of requests, from the narrowest.
+// Fingerprint scopes, from the narrowest: each wider one leaves out more of the content.
 const (
-	// Exact is that of all that is asked for, query and caller included.
+	// Exact covers all content, query and caller included.
 	Exact = iota
-	// SamePath leaves the query out: a client that asks again may well give another page or a time, and a request that ends
-	// servers does so whatever these are.
+	// SamePath leaves out the query: a client's retry may have another page number or timestamp, and a poison request
+	// crashes servers whatever these are.
 	SamePath
-	// AnyCaller leaves the service as well beside which the request began: it may come in anywhere.
+	// AnyCaller also leaves out the calling service, since the request may enter the mesh at any VM.
 	AnyCaller
-	// ScopeCount is how many there are.
+	// ScopeCount is the number of scopes.
 	ScopeCount
 )
 
-// Identity has a request's fingerprint by each likeness. What ends servers by its path is found by the wider ones; what does so by its query, or for one
-// caller only, by the narrower ones, since the sound requests for the same path clear them of the wider ones.
+// Identity holds a request's fingerprint in each scope. The wider scopes find requests that crash servers by their path. The narrower ones
+// find those that do so by their query or for one caller only, as successful requests for the same path clear the wider ones.
 type Identity [ScopeCount]Fingerprint
 
-// Identity returns the fingerprints. They are cryptographic hashes, so that no caller can have another one's requests held back.
+// Identity computes the fingerprints. They are cryptographic hashes, so that no caller can get another caller's requests quarantined.
 func (a RequestContent) Identity() Identity {
 	var id Identity
-	for i, l := range a.likenesses() {
+	for i, l := range a.scopes() {
 		id[i] = a.fingerprint(l, int64(i))
 	}
 	return id
 }
 
-// likeness is what counts of a request by one of them, beside what does by all.
-type likeness struct{ uri, caller string }
+// scope holds the values that differ between fingerprint scopes; all other content counts in each.
+type scope struct{ uri, caller string }
 
-func (a RequestContent) likenesses() [ScopeCount]likeness {
+func (a RequestContent) scopes() [ScopeCount]scope {
 	path, _, _ := strings.Cut(a.URI, "?")
-	return [ScopeCount]likeness{
+	return [ScopeCount]scope{
 		Exact:     {a.URI, a.Caller},
 		SamePath:  {path, a.Caller},
 		AnyCaller: {path, ""},
 	}
 }
 
-// Widest returns the fingerprint that the most requests share.
+// Widest returns the fingerprint in the widest scope, which the most requests share.
 func (id Identity) Widest() Fingerprint { return id[AnyCaller] }
 
-// fingerprint returns the one by a likeness.
-func (a RequestContent) fingerprint(l likeness, index int64) Fingerprint {
+// fingerprint hashes the request's content in one scope.
+func (a RequestContent) fingerprint(l scope, index int64) Fingerprint {
 	h := sha256.New()
-	addLength(h, index)
+	writeInt64(h, index)
 	for _, part := range []string{a.Service, a.Method, strings.ToLower(a.Host), l.uri, l.caller} {
-		addLength(h, int64(len(part)))
-		_, _ = io.WriteString(h, part) // a hash takes all bytes
+		writeInt64(h, int64(len(part)))
+		_, _ = io.WriteString(h, part) // a hash never returns an error
 	}
-	addLength(h, a.Length)
-	_, _ = h.Write(a.Body) // as above
+	writeInt64(h, a.Length)
+	_, _ = h.Write(a.Body) // never returns an error
 	return Fingerprint(h.Sum(nil)[:fingerprintBytes])
 }
 
-// addLength keeps the parts apart.
-func addLength(h hash.Hash, n int64) {
+// writeInt64 writes n to the hash. A length before each part keeps content from moving between fields unnoticed.
+func writeInt64(h hash.Hash, n int64) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
-	_, _ = h.Write(b[:]) // a hash takes all bytes
+	_, _ = h.Write(b[:]) // a hash never returns an error
 }
 
-// String writes the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// MarshalText writes the fingerprint as String does.
+// MarshalText returns the same text as String.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote; the error is a *FingerprintError.
+// UnmarshalText parses the output of MarshalText; the error is a *FingerprintError.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != fingerprintBytes {
@@ -105,10 +105,10 @@
 	return nil
 }
 
-// FingerprintError reports a text that is no fingerprint.
+// FingerprintError reports a text that isn't a valid fingerprint.
 type FingerprintError struct{ Text string }
 
-// Error says so.
+// Error names the text and the expected length.
 func (e *FingerprintError) Error() string {
-	return fmt.Sprintf("%q is no fingerprint: %d hexadecimal digits", e.Text, 2*fingerprintBytes)
+	return fmt.Sprintf("%q is not a fingerprint of %d hexadecimal digits", e.Text, 2*fingerprintBytes)
 }
--- a/pkg/poison/place.go
+++ b/pkg/poison/select_host.go
@@ -6,19 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SelectHost returns the index of the host to which a suspect goes, the same at every node that knows the same hosts, and -1 if there are none. Suspects
-// of one server that ended are spread over all hosts, and one that a host is lost for is the only one that moves (rendezvous hashing).
+// SelectHost returns the index of the host that runs a suspect, the same at every node that knows the same hosts, or -1 if there are none.
+// By rendezvous hashing, the suspects of one crashed server are spread over all hosts, and when a host is lost only its suspects move.
 func SelectHost(f Fingerprint, hosts []string) int {
 	best, most := -1, uint64(0)
 	for i, h := range hosts {
-		if w := weight(f, h); best < 0 || w > most {
+		if w := hashWeight(f, h); best < 0 || w > most {
 			best, most = i, w
 		}
 	}
 	return best
 }
 
-func weight(f Fingerprint, host string) uint64 {
+func hashWeight(f Fingerprint, host string) uint64 {
 	b := make([]byte, 0, fingerprintBytes+len(host))
 	b = append(b, f[:]...)
 	b = append(b, host...)
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -10,41 +10,41 @@
 
 // The bounds of a Table.
 const (
-	// maxCases bounds the requests that are kept in mind, some 300 bytes each. Where there are more, those of the lowest stage go, the oldest first.
+	// maxCases bounds the number of cases, some 300 bytes each. Beyond it those of the lowest stage are evicted, the oldest first.
 	maxCases = 2048
-	// maxRuns bounds the runs of one End that are taken.
+	// maxRuns bounds the runs of one Crash that are recorded.
 	maxRuns = 512
-	// maxSeen bounds the lives of servers whose end was taken.
-	maxSeen = 256
-	// clearedMemory is how long a cleared case is kept, so that news of the ends before, which is still on its way, doesn't count again.
-	clearedMemory = 10 * time.Second
-	// soundMemory is for how long a request counts as one whose runs end well.
-	soundMemory = 10 * time.Second
+	// maxSeenCrashes bounds the lifetimes that are remembered to recognize repeated crash reports.
+	maxSeenCrashes = 256
+	// clearedRetention is how long a cleared case is retained, so that late reports of its crashes don't count again.
+	clearedRetention = 10 * time.Second
+	// successValidity is how long a request counts as recently successful after a success.
+	successValidity = 10 * time.Second
 )
 
-// Table keeps the cases of all services; its zero value is empty and works. It is safe for concurrent use.
+// Table holds the cases of all services. Its zero value is empty and ready to use. It is safe for concurrent use.
 type Table struct {
 	Policy Policy
 
-	live atomic.Int64 // cases under suspicion
+	suspectCount atomic.Int64 // cases with a crash that counts
 
-	mu    sync.Mutex
-	cases map[Fingerprint]*kept
-	seen  []Lifetime // whose end was taken, the newest last
+	mu          sync.Mutex
+	cases       map[Fingerprint]*trackedCase
+	seenCrashes []Lifetime // whose crash was recorded, the newest last
 }
 
-// kept is a case with the times of this node's clock.
-type kept struct {
+// trackedCase is a case with its times by the local clock.
+type trackedCase struct {
 	Case
-	last    time.Time // when the last server ended under it
-	cleared time.Time // when it was last cleared; zero: never
-	sound   time.Time // when runs of it were last known to end well; zero: not known
+	lastCrash   time.Time // when the last server crashed under it
+	lastCleared time.Time // when it was last cleared; zero: never
+	lastSuccess time.Time // when a run was last known to succeed; zero: not known
 }
 
-// AnySuspects tells whether any request is under suspicion; while none is, nothing else needs to be asked.
-func (t *Table) AnySuspects() bool { return t.live.Load() > 0 }
+// AnySuspects reports whether any request is a suspect. While none is, callers can skip all other checks.
+func (t *Table) AnySuspects() bool { return t.suspectCount.Load() > 0 }
 
-// Decide returns what is to be done with a request: the heaviest of what its cases say.
+// Decide returns the most restrictive decision over the request's cases.
 func (t *Table) Decide(now time.Time, id Identity) Decision {
 	if !t.AnySuspects() {
 		return Decision{}
@@ -55,11 +55,11 @@
 	var stages Stages
 	for i, f := range id {
 		k := t.cases[f]
-		if k == nil || !k.live() {
+		if k == nil || !k.isSuspect() {
 			continue
 		}
 		stages[i] = k.severity()
-		switch j := t.rules().judge(&k.Case, now.Sub(k.last)); {
+		switch j := t.policyWithDefaults().decide(&k.Case, now.Sub(k.lastCrash)); {
 		case j.Treatment > worst.Treatment:
 			worst = j
 		case j.Treatment == worst.Treatment && !j.RecentlySuccessful:
@@ -70,81 +70,81 @@
 	return worst
 }
 
-// DecideCase returns what is to be done with a request by one case, as All told it.
-func (t *Table) DecideCase(c Case) Decision { return t.rules().judge(&c, c.Age) }
+// DecideCase returns the decision for one case that SuspectCases returned.
+func (t *Table) DecideCase(c Case) Decision { return t.policyWithDefaults().decide(&c, c.Age) }
 
-func (t *Table) rules() Policy {
+func (t *Table) policyWithDefaults() Policy {
 	r := t.Policy
 	r.SetDefaults()
 	return r
 }
 
-// RecordCrash takes the end of a server that was seen here or heard of; it reports whether it is news.
+// RecordCrash records the crash of a server, detected locally or received from a peer; it reports whether the crash was unknown before.
 func (t *Table) RecordCrash(now time.Time, e Crash) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if slices.Contains(t.seen, e.Lifetime) {
+	if slices.Contains(t.seenCrashes, e.Lifetime) {
 		return false
 	}
-	if t.seen = append(t.seen, e.Lifetime); len(t.seen) > maxSeen {
-		t.seen = slices.Delete(t.seen, 0, 1)
+	if t.seenCrashes = append(t.seenCrashes, e.Lifetime); len(t.seenCrashes) > maxSeenCrashes {
+		t.seenCrashes = slices.Delete(t.seenCrashes, 0, 1)
 	}
 	for _, r := range e.Runs[:min(len(e.Runs), maxRuns)] {
 		for likeness := range ScopeCount {
-			t.takeRun(now.Add(-e.Age), e, r, likeness)
+			t.addRun(now.Add(-e.Age), e, r, likeness)
 		}
 	}
-	t.bound()
+	t.evictExcess()
 	return true
 }
 
-// takeRun notes that a server ended under a run; t.mu is held.
-func (t *Table) takeRun(at time.Time, e Crash, r Run, likeness int) {
-	k := t.of(r.Identity[likeness], e.Service)
+// addRun records in one scope that a server crashed under a run; t.mu is held.
+func (t *Table) addRun(at time.Time, e Crash, r Run, likeness int) {
+	k := t.caseOf(r.Identity[likeness], e.Service)
 	if slices.Contains(k.Cleared, e.Lifetime) {
 		return
 	}
-	was := k.live()
+	was := k.isSuspect()
 	if !was {
 		k.Stage = 0
 	}
-	add(&k.Crashed, []Lifetime{e.Lifetime})
-	k.Stage = stageOf(&k.Case, r.Stages[likeness])
+	mergeLifetimes(&k.Crashed, []Lifetime{e.Lifetime})
+	k.Stage = stageAfterCrash(&k.Case, r.Stages[likeness])
 	k.Route, k.Request = r.Route, r.Request
-	if at.After(k.last) {
-		k.last = at
+	if at.After(k.lastCrash) {
+		k.lastCrash = at
 	}
-	if r.RecentSuccess[likeness] && at.After(k.sound) {
-		k.sound = at
+	if r.RecentSuccess[likeness] && at.After(k.lastSuccess) {
+		k.lastSuccess = at
 	}
-	k.RecentlySuccessful = k.RecentlySuccessful || k.soundAt(at)
-	t.count(was, k.live())
+	k.RecentlySuccessful = k.RecentlySuccessful || k.successfulBefore(at)
+	t.updateSuspectCount(was, k.isSuspect())
 }
 
-// of returns the case of a request, made if there is none; t.mu is held.
-func (t *Table) of(f Fingerprint, service string) *kept {
+// caseOf returns the case of a fingerprint, which it creates if there is none; t.mu is held.
+func (t *Table) caseOf(f Fingerprint, service string) *trackedCase {
 	if t.cases == nil {
-		t.cases = make(map[Fingerprint]*kept)
+		t.cases = make(map[Fingerprint]*trackedCase)
 	}
 	k := t.cases[f]
 	if k == nil {
-		k = &kept{Case: Case{Fingerprint: f, Service: service}}
+		k = &trackedCase{Case: Case{Fingerprint: f, Service: service}}
 		t.cases[f] = k
 	}
 	return k
 }
 
-// count follows the number of live cases.
-func (t *Table) count(was, is bool) {
+// updateSuspectCount adjusts suspectCount to a case that was, and now is, a suspect or not.
+func (t *Table) updateSuspectCount(was, is bool) {
 	switch {
 	case is && !was:
-		t.live.Add(1)
+		t.suspectCount.Add(1)
 	case was && !is:
-		t.live.Add(-1)
+		t.suspectCount.Add(-1)
 	}
 }
 
-// RecordSuccess notes that a run of a request has ended well, with its server going on; it returns the cases that this cleared, to be told.
+// RecordSuccess clears the cases of a request of which a run succeeded and left its server running; it returns the cleared cases for the peers.
 func (t *Table) RecordSuccess(now time.Time, id Identity) []Case {
 	if !t.AnySuspects() {
 		return nil
@@ -153,94 +153,94 @@
 	defer t.mu.Unlock()
 	var cleared []Case
 	for _, f := range id {
-		if k := t.cases[f]; k != nil && k.live() {
-			t.clear(now, k, k.Crashed)
-			cleared = append(cleared, k.told(now))
+		if k := t.cases[f]; k != nil && k.isSuspect() {
+			t.clearCrashes(now, k, k.Crashed)
+			cleared = append(cleared, k.snapshot(now))
 		}
 	}
 	return cleared
 }
 
-// ClearByName clears the cases of a request by hand: those that name the attempt, or have the fingerprint. It returns what it cleared.
+// ClearByName clears, for an operator, the cases with this attempt id or fingerprint and returns them.
 func (t *Table) ClearByName(now time.Time, name string) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var lifted []Case
 	for f, k := range t.cases {
-		if k.live() && (k.Request == name || f.String() == name) {
-			t.clear(now, k, k.Crashed)
-			lifted = append(lifted, k.told(now))
+		if k.isSuspect() && (k.Request == name || f.String() == name) {
+			t.clearCrashes(now, k, k.Crashed)
+			lifted = append(lifted, k.snapshot(now))
 		}
 	}
 	return lifted
 }
 
-// clear notes that some ends say nothing against the request; t.mu is held.
-func (t *Table) clear(now time.Time, k *kept, ends []Lifetime) bool {
-	news := add(&k.Cleared, slices.Clone(ends))
+// clearCrashes moves crashes to the cleared ones of a case and reports whether any was new; t.mu is held.
+func (t *Table) clearCrashes(now time.Time, k *trackedCase, ends []Lifetime) bool {
+	news := mergeLifetimes(&k.Cleared, slices.Clone(ends))
 	if !news {
 		return false
 	}
-	was := k.live()
-	k.Crashed = without(k.Crashed, k.Cleared)
-	k.cleared, k.sound = now, now
-	if !k.live() {
+	was := k.isSuspect()
+	k.Crashed = subtract(k.Crashed, k.Cleared)
+	k.lastCleared, k.lastSuccess = now, now
+	if !k.isSuspect() {
 		k.Stage, k.RecentlySuccessful = 0, false
 	}
-	t.count(was, k.live())
+	t.updateSuspectCount(was, k.isSuspect())
 	return true
 }
 
-// MergeCase takes a case as another node knows it; it reports whether it is news.
+// MergeCase merges a case that a peer sent; it reports whether that changed anything.
 func (t *Table) MergeCase(now time.Time, c Case) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.of(c.Fingerprint, c.Service)
-	news := t.clear(now, k, c.Cleared)
-	ends := without(c.Crashed, k.Cleared)
-	was := k.live()
-	if add(&k.Crashed, ends) {
+	k := t.caseOf(c.Fingerprint, c.Service)
+	news := t.clearCrashes(now, k, c.Cleared)
+	ends := subtract(c.Crashed, k.Cleared)
+	was := k.isSuspect()
+	if mergeLifetimes(&k.Crashed, ends) {
 		news = true
 	}
 	if len(ends) > 0 && c.Stage > k.Stage {
 		k.Stage = c.Stage
 		news = true
 	}
-	if len(ends) > 0 && (c.RecentlySuccessful || k.soundAt(now)) {
+	if len(ends) > 0 && (c.RecentlySuccessful || k.successfulBefore(now)) {
 		k.RecentlySuccessful = true
 	}
-	if at := now.Add(-c.Age); news && len(ends) > 0 && at.After(k.last) {
-		k.last, k.Route, k.Request = at, c.Route, c.Request
+	if at := now.Add(-c.Age); news && len(ends) > 0 && at.After(k.lastCrash) {
+		k.lastCrash, k.Route, k.Request = at, c.Route, c.Request
 	}
-	t.count(was, k.live())
-	t.bound()
+	t.updateSuspectCount(was, k.isSuspect())
+	t.evictExcess()
 	return news
 }
 
-// soundAt tells whether runs of the request had ended well of late at a time.
-func (k *kept) soundAt(at time.Time) bool {
-	return !k.sound.IsZero() && at.Sub(k.sound) < soundMemory
+// successfulBefore reports whether a run had succeeded within successValidity before the time.
+func (k *trackedCase) successfulBefore(at time.Time) bool {
+	return !k.lastSuccess.IsZero() && at.Sub(k.lastSuccess) < successValidity
 }
 
-// told returns the case as it is told to others.
-func (k *kept) told(now time.Time) Case {
+// snapshot returns a copy of the case for other nodes, with its current age.
+func (k *trackedCase) snapshot(now time.Time) Case {
 	c := k.Case
 	c.Crashed, c.Cleared = slices.Clone(k.Crashed), slices.Clone(k.Cleared)
-	c.Age = now.Sub(k.last)
+	c.Age = now.Sub(k.lastCrash)
 	return c
 }
 
-// QuarantinedCases returns the cases that are or were held back, in order, for a node that has just started and for who asks.
+// QuarantinedCases returns the cases that are or were quarantined, the highest stage first, for nodes that have just started and for operators.
 func (t *Table) QuarantinedCases(now time.Time) []Case {
-	return t.some(now, func(k *kept) bool { return k.live() && k.severity() >= heldStage })
+	return t.sortedCases(now, func(k *trackedCase) bool { return k.isSuspect() && k.severity() >= quarantineStage })
 }
 
-// SuspectCases returns all requests under suspicion, in order.
+// SuspectCases returns the cases of all suspects, the highest stage first.
 func (t *Table) SuspectCases(now time.Time) []Case {
-	return t.some(now, func(k *kept) bool { return k.live() })
+	return t.sortedCases(now, func(k *trackedCase) bool { return k.isSuspect() })
 }
 
-func (t *Table) some(now time.Time, wanted func(*kept) bool) []Case {
+func (t *Table) sortedCases(now time.Time, wanted func(*trackedCase) bool) []Case {
 	if !t.AnySuspects() {
 		return nil
 	}
@@ -249,7 +249,7 @@
 	var cases []Case
 	for _, k := range t.cases {
 		if wanted(k) {
-			cases = append(cases, k.told(now))
+			cases = append(cases, k.snapshot(now))
 		}
 	}
 	slices.SortFunc(cases, func(a, b Case) int {
@@ -258,40 +258,42 @@
 	return cases
 }
 
-// RemoveExpired forgets cases that are over.
+// RemoveExpired removes the cases whose retention is over.
 func (t *Table) RemoveExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rules := t.rules()
+	rules := t.policyWithDefaults()
 	for f, k := range t.cases {
-		if k.over(now, rules) {
-			t.count(k.live(), false)
+		if k.expired(now, rules) {
+			t.updateSuspectCount(k.isSuspect(), false)
 			delete(t.cases, f)
 		}
 	}
 }
 
-// over tells whether a case need not be kept any longer.
-func (k *kept) over(now time.Time, rules Policy) bool {
-	if k.live() {
-		return now.Sub(k.last) >= rules.memory(k.severity())
+// expired reports whether the retention of a case is over.
+func (k *trackedCase) expired(now time.Time, rules Policy) bool {
+	if k.isSuspect() {
+		return now.Sub(k.lastCrash) >= rules.retention(k.severity())
 	}
-	return now.Sub(k.cleared) >= clearedMemory
+	return now.Sub(k.lastCleared) >= clearedRetention
 }
 
-// bound drops cases where there are too many; t.mu is held.
-func (t *Table) bound() {
+// evictExcess evicts cases beyond maxCases; t.mu is held.
+func (t *Table) evictExcess() {
 	over := len(t.cases) - maxCases
 	if over <= 0 {
 		return
 	}
-	all := make([]*kept, 0, len(t.cases))
+	all := make([]*trackedCase, 0, len(t.cases))
 	for _, k := range t.cases {
 		all = append(all, k)
 	}
-	slices.SortFunc(all, func(a, b *kept) int { return cmp.Or(cmp.Compare(a.severity(), b.severity()), a.last.Compare(b.last)) })
-	for _, k := range all[:over+maxCases/8] { // some more, so that this is done seldom
-		t.count(k.live(), false)
+	slices.SortFunc(all, func(a, b *trackedCase) int {
+		return cmp.Or(cmp.Compare(a.severity(), b.severity()), a.lastCrash.Compare(b.lastCrash))
+	})
+	for _, k := range all[:over+maxCases/8] { // an eighth more, so that evictions are rare
+		t.updateSuspectCount(k.isSuspect(), false)
 		delete(t.cases, k.Fingerprint)
 	}
 }
--- a/pkg/poison/treatment.go
+++ b/pkg/poison/treatment.go
@@ -2,89 +2,90 @@
 
 import "time"
 
-// Treatment is what may be done with a request.
+// Treatment is the restriction under which a request may run.
 type Treatment uint8
 
-// The treatments, from the lightest.
+// The treatments, from the least restrictive.
 const (
-	// Free requests go anywhere.
+	// Free requests may go to any server.
 	Free Treatment = iota
-	// Confined ones go to one server only, the same for all their copies. One of tens of requests that ran in a server when it ended
-	// is to blame; the others, and all copies of a popular one, are served on, while the guilty one can end one more server, not several.
+	// Confined requests go to one server only, the same for all their copies. Of the tens of requests that ran in a server when it crashed
+	// one is the cause. The others, and all copies of a popular one, are still served, while the cause can crash one more server, not several.
 	Confined
-	// Alone ones go there one at a time: the next end tells who is to blame.
+	// Alone requests go to that server one at a time, so that the next crash identifies the cause.
 	Alone
-	// Quarantined ones aren't sent to any server.
+	// Quarantined requests aren't sent to any server.
 	Quarantined
 )
 
-// String names the treatment for logs.
+// String returns the treatment's name in logs and operators' tools.
 func (t Treatment) String() string { return [...]string{"free", "confined", "alone", "held back"}[t&3] }
 
-// The constants of judging.
+// The thresholds and times of Policy.decide.
 const (
-	// aloneStage is the stage from which on copies are tried one at a time.
+	// aloneStage is the stage from which copies run one at a time.
 	aloneStage = 2
-	// heldStage is the stage from which on a request is held back: a third end in a row, each of a run that began when the end before was
-	// known, without one run between that ended well. An innocent request, of tens in each server that ends, comes there only by
-	// meeting the guilty one three times, and in the second and third it ran on a server of its own choice with those few that met it too.
-	heldStage = 3
-	// heldEnds servers that ended are enough in aloneStage: a request that many clients sent at once ends several servers in its first stage.
-	heldEnds = 3
-	// soundEnds is how many stages more a request needs of which runs have ended well of late: most likely others end the servers, and tried alone a popular
-	// one would mostly be refused. Should it have turned into one that ends servers, it ends so many more.
-	soundEnds = 3
-	// spareTime after an end is how long a suspect isn't sent to the last server of its service that is there: servers that end are back after some
-	// seconds, and the others' requests need the last one. After that it is tried even there, since a service may have one server for good.
-	spareTime = 4 * time.Second
-	// heldMemory is how long a request that was held back is remembered after that: long enough for clients that ask every some minutes.
-	heldMemory = 10 * time.Minute
+	// quarantineStage is the stage from which a request is quarantined: a third crash in a row, each of a run that began when the
+	// previous crash was known, without a successful run in between. An innocent request, one of tens in each crashed server, gets there
+	// only if it runs beside the cause three times, and the second and third time it ran on a server selected for it, with the few others selected for that server.
+	quarantineStage = 3
+	// manyCrashes crashed servers lead to Alone, and in aloneStage to quarantine: a request that many clients sent at once
+	// crashes several servers in its first stage.
+	manyCrashes = 3
+	// successStageAllowance is how many more stages a recently successful request needs. Other requests most likely crash the servers, and
+	// a popular request that runs one at a time would mostly be refused. If it did become a poison request, it crashes this many more servers.
+	successStageAllowance = 3
+	// lastServerProtection is how long after a crash a suspect isn't sent to the last available server of its service. Crashed servers are back
+	// after some seconds, and the other requests need the last one. Then the suspect may run even there, since a service may have only one server.
+	lastServerProtection = 4 * time.Second
+	// postQuarantineRetention is how long a case is retained after its quarantine: long enough for clients that retry every few minutes.
+	postQuarantineRetention = 10 * time.Minute
 )
 
-// Policy are how long requests are kept in mind; the zero value has the defaults of Fill.
+// Policy sets how long cases are retained and requests quarantined; SetDefaults replaces zero fields by defaults.
 type Policy struct {
-	// SuspectRetention is how long a request is a suspect if it doesn't come again: long enough for clients that ask every some seconds, and it costs
-	// an innocent one no more than the choice of server.
+	// SuspectRetention is how long a request that doesn't run again stays a suspect: long enough for clients that retry every few seconds.
+	// An innocent request loses only the choice of server by it.
 	SuspectRetention time.Duration
-	// FirstQuarantine is how long a request is held back at first, HoldTimes by how many times longer after each further end, and
-	// HoldMost the longest. Each try may cost a server and the requests in it, some seconds long; the next release of the server may be sound.
+	// FirstQuarantine is the length of the first quarantine, QuarantineFactor multiplies it after each further crash, and MaxQuarantine
+	// limits it. Each trial may cost a server and the requests in it, for some seconds; the next release of the server may be free of the fault.
 	FirstQuarantine  time.Duration
 	QuarantineFactor int
 	MaxQuarantine    time.Duration
 }
 
-// The defaults of Rules. With them a request that goes on ending servers does so three times, once more after half a minute, and then after
+// The defaults of Policy. With them a poison request crashes three servers, one more after half a minute, and then one each after
 // 5 min, 50 min and every three hours.
 const (
-	defaultSuspect   = time.Minute
-	defaultHoldFirst = 30 * time.Second
-	defaultHoldTimes = 10
-	defaultHoldMost  = 3 * time.Hour
+	defaultSuspectRetention = time.Minute
+	defaultFirstQuarantine  = 30 * time.Second
+	defaultQuarantineFactor = 10
+	defaultMaxQuarantine    = 3 * time.Hour
 )
 
-// SetDefaults puts the defaults where nothing is set.
+// SetDefaults sets the fields that are zero to their defaults.
 func (r *Policy) SetDefaults() {
 	if r.SuspectRetention == 0 {
-		r.SuspectRetention = defaultSuspect
+		r.SuspectRetention = defaultSuspectRetention
 	}
 	if r.FirstQuarantine == 0 {
-		r.FirstQuarantine = defaultHoldFirst
+		r.FirstQuarantine = defaultFirstQuarantine
 	}
 	if r.QuarantineFactor == 0 {
-		r.QuarantineFactor = defaultHoldTimes
+		r.QuarantineFactor = defaultQuarantineFactor
 	}
 	if r.MaxQuarantine == 0 {
-		r.MaxQuarantine = defaultHoldMost
+		r.MaxQuarantine = defaultMaxQuarantine
 	}
 }
 
-// hold returns for how long a request of the stage is held back after its last end.
-func (r Policy) hold(stage int) time.Duration {
-	if stage < heldStage {
+// quarantineTime returns how long after its last crash a request of the stage is quarantined; 0: not at all.
+func (r Policy) quarantineTime(stage int) time.Duration {
+	if stage < quarantineStage {
 		return 0
 	}
 	h := r.FirstQuarantine
-	for range stage - heldStage {
+	for range stage - quarantineStage {
 		if h >= r.MaxQuarantine {
 			break
 		}
@@ -93,51 +94,53 @@
 	return min(h, r.MaxQuarantine)
 }
 
-// memory returns for how long a case of the stage is kept after its last end. One that was held back is remembered, so that its next try is one try, not three.
-func (r Policy) memory(stage int) time.Duration {
-	if stage < heldStage {
+// retention returns how long after its last crash a case of the stage is retained. After a quarantine the case is retained for longer, so
+// that one more crash, not three, quarantines the request again.
+func (r Policy) retention(stage int) time.Duration {
+	if stage < quarantineStage {
 		return r.SuspectRetention
 	}
-	return r.hold(stage) + heldMemory
+	return r.quarantineTime(stage) + postQuarantineRetention
 }
 
-// Decision is what is to be done with a request now.
+// Decision is the current treatment of a request, with the evidence for it.
 type Decision struct {
 	Treatment Treatment
 	Stages    Stages
-	// Remaining is how long the treatment lasts, of one that is held back, or how long the last server of the service is to be spared.
+	// Remaining is how much longer a quarantine lasts or, for a suspect that isn't quarantined, how much longer it isn't sent to
+	// the last available server of its service.
 	Remaining time.Duration
-	// RecentlySuccessful tells that runs of it had ended well shortly before one of the ends.
+	// RecentlySuccessful tells that a run had succeeded shortly before one of the crashes.
 	RecentlySuccessful bool
-	// Crashed are the servers that ended under it.
+	// Crashed lists the servers that crashed under the request.
 	Crashed []Lifetime
 }
 
-// judge returns what is to be done with a request some time after the last end under it.
-func (r Policy) judge(c *Case, since time.Duration) Decision {
+// decide returns the treatment of a request, a time after the last crash under it.
+func (r Policy) decide(c *Case, since time.Duration) Decision {
 	j := Decision{Crashed: c.Crashed, RecentlySuccessful: c.RecentlySuccessful}
 	stage := c.severity()
 	if c.RecentlySuccessful {
-		stage -= soundEnds
+		stage -= successStageAllowance
 	}
 	switch {
-	case since < r.hold(stage):
-		j.Treatment, j.Remaining = Quarantined, r.hold(stage)-since
+	case since < r.quarantineTime(stage):
+		j.Treatment, j.Remaining = Quarantined, r.quarantineTime(stage)-since
 		return j
-	case stage >= aloneStage || len(c.Crashed) >= heldEnds && !c.RecentlySuccessful:
+	case stage >= aloneStage || len(c.Crashed) >= manyCrashes && !c.RecentlySuccessful:
 		j.Treatment = Alone
 	default:
 		j.Treatment = Confined
 	}
-	j.Remaining = max(spareTime-since, 0)
+	j.Remaining = max(lastServerProtection-since, 0)
 	return j
 }
 
-// stageOf returns the stage of a case under which one more server ended, in a run that began in some stage.
-func stageOf(c *Case, began int) int {
+// stageAfterCrash returns the stage of a case after a crash of a run that began in stage began.
+func stageAfterCrash(c *Case, began int) int {
 	stage := max(c.Stage, began+1)
-	if stage == aloneStage && len(c.Crashed) >= heldEnds {
-		return heldStage
+	if stage == aloneStage && len(c.Crashed) >= manyCrashes {
+		return quarantineStage
 	}
 	return stage
 }
