--- a/pkg/poison/case.go
+++ b/pkg/poison/case.go
@@ -33,17 +33,17 @@
 
 // mergeLifetimes appends the lifetimes that aren't in the list yet and drops the oldest beyond the limit; it reports whether any was new.
 func mergeLifetimes(list *[]Lifetime, more []Lifetime) bool {
-	news := false
+	added := false
 	for _, l := range more {
 		if !slices.Contains(*list, l) {
 			*list = append(*list, l)
-			news = true
+			added = true
 		}
 	}
 	if over := len(*list) - maxLifetimesPerList; over > 0 {
 		*list = slices.Delete(*list, 0, over)
 	}
-	return news
+	return added
 }
 
 // subtract returns the lifetimes of list that aren't in other.
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -177,8 +177,8 @@
 
 // clearCrashes moves crashes to the cleared ones of a case and reports whether any was new; t.mu is held.
 func (t *Table) clearCrashes(now time.Time, k *trackedCase, ends []Lifetime) bool {
-	news := mergeLifetimes(&k.Cleared, slices.Clone(ends))
-	if !news {
+	added := mergeLifetimes(&k.Cleared, slices.Clone(ends))
+	if !added {
 		return false
 	}
 	was := k.isSuspect()
@@ -196,25 +196,25 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.caseOf(c.Fingerprint, c.Service)
-	news := t.clearCrashes(now, k, c.Cleared)
+	changed := t.clearCrashes(now, k, c.Cleared)
 	ends := subtract(c.Crashed, k.Cleared)
 	was := k.isSuspect()
 	if mergeLifetimes(&k.Crashed, ends) {
-		news = true
+		changed = true
 	}
 	if len(ends) > 0 && c.Stage > k.Stage {
 		k.Stage = c.Stage
-		news = true
+		changed = true
 	}
 	if len(ends) > 0 && (c.RecentlySuccessful || k.successfulBefore(now)) {
 		k.RecentlySuccessful = true
 	}
-	if at := now.Add(-c.Age); news && len(ends) > 0 && at.After(k.lastCrash) {
+	if at := now.Add(-c.Age); changed && len(ends) > 0 && at.After(k.lastCrash) {
 		k.lastCrash, k.Route, k.Request = at, c.Route, c.Request
 	}
 	t.updateSuspectCount(was, k.isSuspect())
 	t.evictExcess()
-	return news
+	return changed
 }
 
 // successfulBefore reports whether a run had succeeded within successValidity before the time.
--- a/pkg/poison/treatment.go
+++ b/pkg/poison/treatment.go
@@ -26,8 +26,9 @@
 	// aloneStage is the stage from which copies run one at a time.
 	aloneStage = 2
 	// quarantineStage is the stage from which a request is quarantined: a third crash in a row, each of a run that began when the
-	// previous crash was known, without a successful run in between. An innocent request, one of tens in each crashed server, gets there
-	// only if it runs beside the cause three times, and the second and third time it ran on a server selected for it, with the few others selected for that server.
+	// previous crash was known, without a successful run in between. An innocent request is one of tens in each crashed server. It gets
+	// there only if it runs beside the cause three times; the second and third time it runs on the server selected for it, where the cause
+	// is only one of the few other suspects that may be selected for the same server.
 	quarantineStage = 3
 	// manyCrashes crashed servers lead to Alone, and in aloneStage to quarantine: a request that many clients sent at once
 	// crashes several servers in its first stage.
