--- a/pkg/quota/first_start_test.go
+++ b/pkg/quota/first_start_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A bucket that was owned before the time is full from then on, once; one that came later, or of a system that has run before, begins empty.
+// A bucket that is owned before FillOnceAt is full from then on, once. One that is owned later, or in a system that has run before, starts empty.
 func TestBucketsAreFullOnceAfterTheFirstStart(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
--- a/pkg/quota/owner.go
+++ b/pkg/quota/owner.go
@@ -6,87 +6,87 @@
 )
 
 const (
-	// lentAbove is the part of a bucket that is kept for the own zone: nodes of others get what lies above it. With more, a team all of
-	// whose requests come in at one entry is refused below its limit.
-	lentAbove = 0.2
-	// aheadAbove is the part above which a node gets more than the one token that it needs now.
-	aheadAbove = 0.5
-	// waitLeast and waitMost bound the time after which it is worth asking again.
-	waitLeast = 40 * time.Millisecond
-	waitMost  = 500 * time.Millisecond
+	// ownZoneReserve is the fraction of a bucket that is reserved for the owner's zone: nodes of other zones get only tokens above it. With
+	// a larger reserve, a team all of whose requests enter at one entry VM is refused below its limit.
+	ownZoneReserve = 0.2
+	// prefetchReserve is the fraction of a bucket above which a node gets more than the one token that it needs now.
+	prefetchReserve = 0.5
+	// minWait and maxWait bound the time after which a node may query again.
+	minWait = 40 * time.Millisecond
+	maxWait = 500 * time.Millisecond
 )
 
-// Grant is an owner's answer.
+// Grant is an owner's answer to a query for tokens.
 type Grant struct {
 	Tokens int
-	Wait   time.Duration // if there are none: when to ask again
+	Wait   time.Duration // without tokens: how long to wait before the next query
 }
 
-// Balance is the tokens of one team that go from one owner to the next.
+// Balance is a team's remaining tokens, handed over from one owner to the next.
 type Balance struct {
 	Team   string
 	Tokens int
 }
 
-// Owner holds the buckets of the teams that a node owns. Its zero value owns none; it isn't safe for concurrent use.
+// Owner holds the buckets of the teams that a node owns. Its zero value owns none. It isn't safe for concurrent use.
 type Owner struct {
 	Config Config
-	// FillOnceAt is when the buckets that the node has owned since before are full, once: at the first start of the whole system nothing has run before, but
-	// until nodes agree on who owns what, several may give out the same tokens. Zero: they begin empty, since what has run lately isn't known.
+	// FillOnceAt is when the buckets that the node has owned since before are filled, once. At the first start of the whole system nothing
+	// has run before, but until nodes agree on the owners, several may grant the same tokens. If zero, buckets start empty, since what ran recently is unknown.
 	FillOnceAt time.Time
 
-	since   [Shards]time.Time // from when on the node gives out tokens; zero: it isn't the owner
-	part    float64           // of the zone's tokens that may be given out
-	buckets map[string]*bucket
-	early   map[string]earlyBalance // of teams that the node doesn't own yet
+	grantsFrom    [Shards]time.Time // from when the node may grant tokens; zero: it isn't the owner
+	fraction      float64           // of the zone's tokens that may be granted
+	buckets       map[string]*bucket
+	earlyBalances map[string]earlyBalance // by team, of teams that the node doesn't own yet
 }
 
-// earlyBalance came before the node knew that it is the owner.
+// earlyBalance is a balance that arrived before the node learned that it is the owner.
 type earlyBalance struct {
 	tokens int
 	at     time.Time
 }
 
 const (
-	// SettleTime is how much later than others a node may learn who owns a team: some rounds of exchanges. A new owner to whom the one before
-	// hands nothing over waits for that long, so that it doesn't give out what that one still gives.
+	// SettleTime is how much later than others a node may learn who owns a team: some rounds of exchanges. A new owner that gets no balance
+	// from the previous one waits this long, so that it doesn't grant what the previous owner still grants.
 	SettleTime = time.Second
-	// earlyTime is how long tokens are kept that were handed over before the node knew that it is the owner.
-	earlyTime = 3 * time.Second
+	// earlyBalanceLifetime is how long an early balance is retained.
+	earlyBalanceLifetime = 3 * time.Second
 )
 
-// UpdateOwnership takes which shards the node owns, and the part of the zone's nodes that it hears; what it has just come to own it gives
-// out after the wait. What it doesn't own any more is forgotten: if it comes back, it begins with nothing.
+// UpdateOwnership sets which shards the node owns, and the fraction of its zone's nodes that it hears. It grants tokens of newly owned shards
+// only after wait. State of shards that it no longer owns is dropped: if they return, their buckets start empty.
 //
-// It returns what is left of the teams in shards that go to others, among those that there are, to be handed over.
-func (o *Owner) UpdateOwnership(now time.Time, owns func(shard int) bool, part float64, wait time.Duration, limits map[string]Limit) []Balance {
-	o.fillOwned(now, limits)
-	left := o.leave(owns, limits)
-	o.part = part
-	for shard := range o.since {
+// It returns the balances of the teams in limits whose shards move to other owners, to be handed over.
+func (o *Owner) UpdateOwnership(now time.Time, owns func(shard int) bool, fraction float64, wait time.Duration, limits map[string]Limit) []Balance {
+	o.fillOwnedBuckets(now, limits)
+	left := o.releaseShards(owns, limits)
+	o.fraction = fraction
+	for shard := range o.grantsFrom {
 		switch {
 		case !owns(shard):
-			o.since[shard] = time.Time{}
-		case o.since[shard].IsZero():
-			o.since[shard] = now.Add(wait)
+			o.grantsFrom[shard] = time.Time{}
+		case o.grantsFrom[shard].IsZero():
+			o.grantsFrom[shard] = now.Add(wait)
 		}
 	}
-	o.takeEarly(now, limits)
+	o.applyEarlyBalances(now, limits)
 	return left
 }
 
-// fillOwned brings all buckets up to date by the part that the node had until now: a node that had a quarter of its zone's tokens while it
-// was cut off mustn't count the whole zone's for that time once it hears the others again.
-func (o *Owner) fillOwned(now time.Time, limits map[string]Limit) {
+// fillOwnedBuckets fills all owned buckets by the fraction in force until now. A node that had a quarter of its zone's tokens while it
+// was partitioned must not accrue the whole zone's for that time once it hears the others again.
+func (o *Owner) fillOwnedBuckets(now time.Time, limits map[string]Limit) {
 	for team, l := range limits {
 		if o.Owns(team) {
-			o.bucket(team).fill(now, o.Config.rate(l)*o.part, o.Config.depth(l)*o.part)
+			o.bucket(team).fill(now, o.Config.rate(l)*o.fraction, o.Config.depth(l)*o.fraction)
 		}
 	}
 }
 
-// leave forgets the shards that go to others, and returns what is left of their teams.
-func (o *Owner) leave(owns func(shard int) bool, limits map[string]Limit) []Balance {
+// releaseShards drops the buckets of shards that move to other owners, and returns what is left of their teams.
+func (o *Owner) releaseShards(owns func(shard int) bool, limits map[string]Limit) []Balance {
 	var left []Balance
 	for team := range limits {
 		if !o.Owns(team) || owns(ShardOf(team)) {
@@ -104,54 +104,54 @@
 	return left
 }
 
-// ReceiveBalance takes what the owner before hands over: from now on that one gives out nothing of it.
+// ReceiveBalance adds what the previous owner hands over, and starts granting at once, since that owner has stopped.
 func (o *Owner) ReceiveBalance(now time.Time, b Balance, l Limit) {
 	shard := ShardOf(b.Team)
-	if o.since[shard].IsZero() {
-		if o.early == nil {
-			o.early = make(map[string]earlyBalance)
+	if o.grantsFrom[shard].IsZero() {
+		if o.earlyBalances == nil {
+			o.earlyBalances = make(map[string]earlyBalance)
 		}
-		o.early[b.Team] = earlyBalance{b.Tokens, now}
+		o.earlyBalances[b.Team] = earlyBalance{b.Tokens, now}
 		return
 	}
-	if o.since[shard].After(now) {
-		o.since[shard] = now
+	if o.grantsFrom[shard].After(now) {
+		o.grantsFrom[shard] = now
 	}
 	mine := o.bucket(b.Team)
 	if mine.last.After(now) {
 		mine.last = now
 	}
-	mine.level = min(mine.level+float64(b.Tokens), o.Config.depth(l)*o.part)
+	mine.level = min(mine.level+float64(b.Tokens), o.Config.depth(l)*o.fraction)
 }
 
-// takeEarly takes what came before the node knew that it is the owner.
-func (o *Owner) takeEarly(now time.Time, limits map[string]Limit) {
-	for team, b := range o.early {
-		if o.Owns(team) && now.Sub(b.at) < earlyTime {
+// applyEarlyBalances receives the early balances of teams that the node owns now, and drops them and those that have expired.
+func (o *Owner) applyEarlyBalances(now time.Time, limits map[string]Limit) {
+	for team, b := range o.earlyBalances {
+		if o.Owns(team) && now.Sub(b.at) < earlyBalanceLifetime {
 			o.ReceiveBalance(now, Balance{team, b.tokens}, limits[team])
 		}
-		if o.Owns(team) || now.Sub(b.at) >= earlyTime {
-			delete(o.early, team)
+		if o.Owns(team) || now.Sub(b.at) >= earlyBalanceLifetime {
+			delete(o.earlyBalances, team)
 		}
 	}
 }
 
-// Owns tells whether the node owns the team.
-func (o *Owner) Owns(team string) bool { return !o.since[ShardOf(team)].IsZero() }
+// Owns reports whether the node owns the team.
+func (o *Owner) Owns(team string) bool { return !o.grantsFrom[ShardOf(team)].IsZero() }
 
-// Grant gives out tokens of a team that the node owns; far tells that a node of another zone asks.
+// Grant takes up to want tokens of a team that the node owns; far tells that the requester is in another zone.
 func (o *Owner) Grant(now time.Time, team string, l Limit, want int, far bool) Grant {
-	rate, depth := o.Config.rate(l)*o.part, o.Config.depth(l)*o.part
+	rate, depth := o.Config.rate(l)*o.fraction, o.Config.depth(l)*o.fraction
 	b := o.bucket(team)
-	b.fill(now, rate, depth) // a node that waits has a bucket as of a later time, in which nothing comes
-	if o.startsFull(now, team, b) {
-		b.level, b.begunFull = depth, true
+	b.fill(now, rate, depth) // while the node waits, last lies ahead and nothing accrues
+	if o.needsInitialFill(now, team, b) {
+		b.level, b.initiallyFilled = depth, true
 	}
 	kept := 0.0
 	if far {
-		kept = lentAbove * depth
+		kept = ownZoneReserve * depth
 	}
-	n := b.take(max(want-1, 0), max(kept, aheadAbove*depth))
+	n := b.take(max(want-1, 0), max(kept, prefetchReserve*depth))
 	n += b.take(1, kept)
 	if n > 0 {
 		return Grant{Tokens: n}
@@ -159,27 +159,27 @@
 	return Grant{Wait: o.waitFor(kept+1-b.level, rate)}
 }
 
-// startsFull tells whether a bucket is to be filled now for the first start.
-func (o *Owner) startsFull(now time.Time, team string, b *bucket) bool {
-	return !o.FillOnceAt.IsZero() && !b.begunFull && !now.Before(o.FillOnceAt) && o.since[ShardOf(team)].Before(o.FillOnceAt)
+// needsInitialFill reports whether the bucket is to be filled now because of FillOnceAt.
+func (o *Owner) needsInitialFill(now time.Time, team string, b *bucket) bool {
+	return !o.FillOnceAt.IsZero() && !b.initiallyFilled && !now.Before(o.FillOnceAt) && o.grantsFrom[ShardOf(team)].Before(o.FillOnceAt)
 }
 
-// waitFor returns when so many tokens have come.
+// waitFor returns how long it takes until the missing tokens have accrued, between minWait and maxWait.
 func (o *Owner) waitFor(missing, rate float64) time.Duration {
 	if rate <= 0 {
-		return waitMost
+		return maxWait
 	}
-	return min(max(time.Duration(missing/rate*float64(time.Second)), waitLeast), waitMost)
+	return min(max(time.Duration(missing/rate*float64(time.Second)), minWait), maxWait)
 }
 
-// bucket returns that of a team. One that nobody asked for yet has filled since the node became its owner.
+// bucket returns a team's bucket. A new one accrues tokens from the time at which the node may grant them.
 func (o *Owner) bucket(team string) *bucket {
 	b := o.buckets[team]
 	if b == nil {
 		if o.buckets == nil {
 			o.buckets = make(map[string]*bucket)
 		}
-		b = &bucket{last: o.since[ShardOf(team)]}
+		b = &bucket{last: o.grantsFrom[ShardOf(team)]}
 		o.buckets[team] = b
 	}
 	return b
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// theirs is what the operator of the tests lets pass beyond a limit.
-var theirs = Config{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Zones: 3}
+// testConfig sets what the tests' operator allows beyond a limit.
+var testConfig = Config{Window: 5 * time.Second, Excess: 0.1, Slack: 20, Zones: 3}
 
-// fleet is nodes in made-up time that ask owners for tokens, as the nodes of a mesh do.
+// fleet is a set of nodes in simulated time that query owners for tokens, as the nodes of a mesh do.
 type fleet struct {
-	rules Config
-	limit Limit
-	now   time.Time
-	nodes []*fleetNode
-	cut   map[int]bool  // zones that are cut off from the others
-	late  time.Duration // after which nodes learn who they hear, at the most
-	views []lateView
-	ran   []time.Time
+	rules        Config
+	limit        Limit
+	now          time.Time
+	nodes        []*fleetNode
+	cut          map[int]bool  // zones that are partitioned from the others
+	maxViewDelay time.Duration // maximum delay after which nodes learn which nodes they hear
+	views        []lateView
+	ran          []time.Time
 }
 
 type fleetNode struct {
@@ -30,11 +30,11 @@
 	pool  Pool
 	owner Owner
 	dead  bool
-	alone bool // cut off from all others
-	left  bool // stops in order: it is no member any more, and knows it
+	alone bool // partitioned from all others
+	left  bool // shut down in order: no longer a member, and knows it
 }
 
-// lateView is a node that learns at a time whom it hears.
+// lateView is a node that learns at a later time which nodes it hears.
 type lateView struct {
 	at   time.Time
 	node *fleetNode
@@ -50,12 +50,12 @@
 		}
 	}
 	for _, n := range f.nodes {
-		f.look(n, 0)
+		f.updateView(n, 0)
 	}
 	return f
 }
 
-// pass lets time go by.
+// pass advances the time and updates the views that are due.
 func (f *fleet) pass(d time.Duration) {
 	f.now = f.now.Add(d)
 	views := f.views
@@ -65,11 +65,11 @@
 			f.views = append(f.views, v)
 			continue
 		}
-		f.look(v.node, SettleTime)
+		f.updateView(v.node, SettleTime)
 	}
 }
 
-// hears tells whether one node hears another.
+// hears reports whether node a hears node b.
 func (f *fleet) hears(a, b *fleetNode) bool {
 	switch {
 	case a == b:
@@ -80,16 +80,16 @@
 	return a.zone == b.zone || !f.cut[a.zone] && !f.cut[b.zone]
 }
 
-// elect has each node choose the owners among those that it hears, each at a time of its own.
+// elect schedules each node's choice of owners among the nodes that it hears, with a different delay for each.
 func (f *fleet) elect() {
 	for i, n := range f.nodes {
-		f.views = append(f.views, lateView{f.now.Add(f.late * time.Duration(i*7%10) / 10), n})
+		f.views = append(f.views, lateView{f.now.Add(f.maxViewDelay * time.Duration(i*7%10) / 10), n})
 	}
 	f.pass(0)
 }
 
-// look has a node choose the owners.
-func (f *fleet) look(n *fleetNode, wait time.Duration) {
+// updateView makes a node choose the owners and hand over its balances.
+func (f *fleet) updateView(n *fleetNode, wait time.Duration) {
 	var alive []string
 	known := 0
 	for _, o := range f.nodes {
@@ -113,17 +113,17 @@
 	}
 }
 
-// kill starts a node anew: it has lost all that it knew.
-func (f *fleet) kill(n *fleetNode) { n.pool, n.owner = Pool{}, Owner{Config: f.rules} }
+// restart replaces a node's state by an empty one.
+func (f *fleet) restart(n *fleetNode) { n.pool, n.owner = Pool{}, Owner{Config: f.rules} }
 
-// ask sends a request to a node; it reports whether it ran.
-func (f *fleet) ask(n *fleetNode) bool {
+// request sends a request to a node; it reports whether it ran.
+func (f *fleet) request(n *fleetNode) bool {
 	if n.dead {
 		return false
 	}
 	ok, want := n.pool.Take(f.now, team)
 	if !ok {
-		tokens := f.askOwners(n, want)
+		tokens := f.queryOwners(n, want)
 		n.pool.AddGranted(f.now, team, tokens)
 		ok = tokens > 0
 	}
@@ -133,8 +133,8 @@
 	return ok
 }
 
-// askOwners asks the owner of the own zone and then those of the others.
-func (f *fleet) askOwners(n *fleetNode, want int) int {
+// queryOwners queries the owner in the node's zone and then those in the others; it returns the tokens granted.
+func (f *fleet) queryOwners(n *fleetNode, want int) int {
 	for i := range f.rules.Zones {
 		zone := (n.zone + i) % f.rules.Zones
 		name := fmt.Sprint(zone)
@@ -158,7 +158,7 @@
 	return 0
 }
 
-// mostIn returns the most that ran in any window.
+// mostIn returns the largest number of requests that ran in any window.
 func (f *fleet) mostIn(window time.Duration) int {
 	most, first := 0, 0
 	for i, t := range f.ran {
@@ -170,22 +170,22 @@
 	return most
 }
 
-// allowed is the stated bound of a window.
+// allowed returns the documented maximum for a window.
 func (f *fleet) allowed() float64 {
 	return (f.limit.Rate*f.rules.Window.Seconds()+f.limit.Burst)*(1+f.rules.Excess) + f.rules.Slack
 }
 
-// What runs in a window stays within the bound, whatever is cut off from what, killed, started anew or sent.
+// What runs in a window stays within the maximum, whichever nodes are partitioned, killed, restarted or sent requests.
 func TestNoWindowHasMoreThanItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: float64(rapid.IntRange(10, 400).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 400).Draw(t, "burst"))}
-		f := newFleet(theirs, limit, rapid.IntRange(1, 8).Draw(t, "nodes a zone"))
-		f.late = SettleTime
+		f := newFleet(testConfig, limit, rapid.IntRange(1, 8).Draw(t, "nodes a zone"))
+		f.maxViewDelay = SettleTime
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")]
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				f.kill(n)
+				f.restart(n)
 				f.elect()
 			case 1:
 				n.alone = !n.alone
@@ -197,28 +197,28 @@
 				n.dead = !n.dead
 				f.elect()
 			case 4, 5:
-				for range rapid.IntRange(1, 300).Draw(t, "at once") {
-					f.ask(n)
+				for range rapid.IntRange(1, 300).Draw(t, "requests to one node") {
+					f.request(n)
 				}
 			default:
-				for i := range rapid.IntRange(1, 300).Draw(t, "spread") {
-					f.ask(f.nodes[i%len(f.nodes)])
+				for i := range rapid.IntRange(1, 300).Draw(t, "requests to all nodes") {
+					f.request(f.nodes[i%len(f.nodes)])
 					f.pass(time.Duration(rapid.IntRange(0, 8).Draw(t, "ms")) * time.Millisecond)
 				}
 			}
 			f.pass(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause ms")) * time.Millisecond)
 		}
-		if most := f.mostIn(theirs.Window); float64(most) > f.allowed() {
+		if most := f.mostIn(testConfig.Window); float64(most) > f.allowed() {
 			t.Fatalf("%d ran in a window, at most %.0f may", most, f.allowed())
 		}
 	})
 }
 
-// play sends a rate evenly, from node to node, and returns the share that ran.
-func (f *fleet) play(rate float64, span time.Duration, next func(i int) *fleetNode) float64 {
+// sendEvenly sends requests at an even rate, to the nodes that next returns, and returns the fraction that ran.
+func (f *fleet) sendEvenly(rate float64, span time.Duration, next func(i int) *fleetNode) float64 {
 	sent, ran := 0, 0
 	for end := f.now.Add(span); f.now.Before(end); sent++ {
-		if f.ask(next(sent)) {
+		if f.request(next(sent)) {
 			ran++
 		}
 		f.pass(time.Duration(float64(time.Second) / rate))
@@ -233,70 +233,70 @@
 			"one node": func(f *fleet) func(int) *fleetNode { return func(int) *fleetNode { return f.nodes[1] } },
 			"one zone": func(f *fleet) func(int) *fleetNode { return func(i int) *fleetNode { return f.nodes[i%20] } },
 		} {
-			f := newFleet(theirs, limit, 20)
+			f := newFleet(testConfig, limit, 20)
 			f.now = f.now.Add(10 * time.Second)
-			served := f.play(0.9*limit.Rate, 30*time.Second, next(f))
+			served := f.sendEvenly(0.9*limit.Rate, 30*time.Second, next(f))
 			qt.Check(t, served, qt.Equals, 1.0, qt.Commentf("%v %s", limit, name))
 		}
 	}
 }
 
-func TestATeamFarOverItsLimitGetsIt(t *testing.T) {
+func TestATeamFarOverItsLimitGetsItsLimit(t *testing.T) {
 	c := qt.New(t)
 	for _, limit := range []Limit{{10, 10}, {40, 40}, {310, 310}, {100, 50}} {
-		f := newFleet(theirs, limit, 20)
+		f := newFleet(testConfig, limit, 20)
 		f.now = f.now.Add(10 * time.Second)
-		served := f.play(7.5*limit.Rate, 30*time.Second, func(i int) *fleetNode { return f.nodes[i%len(f.nodes)] })
+		served := f.sendEvenly(7.5*limit.Rate, 30*time.Second, func(i int) *fleetNode { return f.nodes[i%len(f.nodes)] })
 		c.Check(served*7.5 >= 0.95, qt.IsTrue, qt.Commentf("%v: %.3f of the limit", limit, served*7.5))
-		c.Check(float64(f.mostIn(theirs.Window)) <= f.allowed(), qt.IsTrue, qt.Commentf("%v", limit))
+		c.Check(float64(f.mostIn(testConfig.Window)) <= f.allowed(), qt.IsTrue, qt.Commentf("%v", limit))
 	}
 }
 
-func TestAFallenLimitBindsAtOnce(t *testing.T) {
-	f := newFleet(theirs, Limit{100, 50}, 4)
+func TestALoweredLimitAppliesAtOnce(t *testing.T) {
+	f := newFleet(testConfig, Limit{100, 50}, 4)
 	all := func(i int) *fleetNode { return f.nodes[i%len(f.nodes)] }
 	f.now = f.now.Add(10 * time.Second)
-	f.play(330, 5*time.Second, all)
+	f.sendEvenly(330, 5*time.Second, all)
 	f.limit = Limit{20, 10}
 	f.now = f.now.Add(TokenLifetime)
 	f.ran = nil
-	f.play(330, 20*time.Second, all)
-	qt.Check(t, float64(f.mostIn(theirs.Window)) <= f.allowed(), qt.IsTrue)
+	f.sendEvenly(330, 20*time.Second, all)
+	qt.Check(t, float64(f.mostIn(testConfig.Window)) <= f.allowed(), qt.IsTrue)
 }
 
-func TestACutZoneHasItsPart(t *testing.T) {
+func TestAPartitionedZoneKeepsItsShare(t *testing.T) {
 	c := qt.New(t)
-	f := newFleet(theirs, Limit{100, 50}, 4)
+	f := newFleet(testConfig, Limit{100, 50}, 4)
 	f.now = f.now.Add(10 * time.Second)
 	f.cut[0] = true
 	f.elect()
-	served := f.play(100.0/3*0.9, 10*time.Second, func(i int) *fleetNode { return f.nodes[i%4] })
+	served := f.sendEvenly(100.0/3*0.9, 10*time.Second, func(i int) *fleetNode { return f.nodes[i%4] })
 	c.Check(served, qt.Equals, 1.0)
 }
 
-// Where nodes leave and join in order, as in a release, a team below its limit is served all the while.
+// While nodes leave and join in order, as in a release, a team below its limit is not refused.
 func TestOwnersThatChangeInOrderHandOver(t *testing.T) {
 	c := qt.New(t)
 	for _, limit := range []Limit{{10, 10}, {310, 310}} {
-		f := newFleet(theirs, limit, 12)
-		f.late = SettleTime / 2
+		f := newFleet(testConfig, limit, 12)
+		f.maxViewDelay = SettleTime / 2
 		f.now = f.now.Add(10 * time.Second)
 		served := 0.0
 		for i := range 24 {
 			leaver := f.nodes[i+i/8*4] // eight of the twelve of each zone
 			leaver.left = true
-			f.look(leaver, SettleTime)
+			f.updateView(leaver, SettleTime)
 			f.elect()
-			served += f.play(1.1*limit.Rate, time.Second, func(i int) *fleetNode { return f.nodes[8+i%4+i%3*12] }) / 24
+			served += f.sendEvenly(1.1*limit.Rate, time.Second, func(i int) *fleetNode { return f.nodes[8+i%4+i%3*12] }) / 24
 		}
 		c.Check(served > 0.99, qt.IsTrue, qt.Commentf("%v: %.3f", limit, served))
 	}
 }
 
-// What came in while a node heard a quarter of its zone is a quarter, also when it hears all again before anybody has asked.
-func TestAPartCountsForTheTimeInWhichItWasOne(t *testing.T) {
+// Tokens that accrue while a node hears a quarter of its zone are a quarter, also if it hears all nodes again before the next query.
+func TestTokensAccrueAtTheFractionThenInForce(t *testing.T) {
 	c := qt.New(t)
-	o := Owner{Config: theirs}
+	o := Owner{Config: testConfig}
 	now, limits := time.Unix(1000, 0), map[string]Limit{team: {100, 50}}
 	all := func(int) bool { return true }
 	o.UpdateOwnership(now, all, 0.25, 0, limits)
@@ -304,10 +304,10 @@
 	o.UpdateOwnership(now, all, 1, 0, limits)
 	g := o.Grant(now, team, limits[team], 1, false)
 	c.Assert(g.Tokens, qt.Equals, 1)
-	c.Assert(o.buckets[team].level <= theirs.depth(limits[team])/4, qt.IsTrue, qt.Commentf("%v of %v", o.buckets[team].level, theirs.depth(limits[team])))
+	c.Assert(o.buckets[team].level <= testConfig.depth(limits[team])/4, qt.IsTrue, qt.Commentf("%v of %v", o.buckets[team].level, testConfig.depth(limits[team])))
 }
 
-func TestOwnersMoveOnlyWithTheirNode(t *testing.T) {
+func TestShardsMoveOnlyWithTheirOwner(t *testing.T) {
 	c := qt.New(t)
 	hosts := []string{"a", "b", "c", "d"}
 	before, after := ChooseOwners(hosts), ChooseOwners(hosts[:3])
@@ -320,7 +320,7 @@
 	c.Check(ChooseOwners(nil).OwnerOf(team), qt.Equals, "")
 }
 
-func TestWhatLapsedIsNotUsed(t *testing.T) {
+func TestExpiredTokensAreNotUsed(t *testing.T) {
 	c := qt.New(t)
 	var p Pool
 	now := time.Unix(1000, 0)
@@ -333,7 +333,7 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-func BenchmarkTokenInHand(b *testing.B) {
+func BenchmarkTakeHeldToken(b *testing.B) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	p.AddGranted(now, team, 1<<40)
@@ -344,7 +344,7 @@
 }
 
 func BenchmarkGrant(b *testing.B) {
-	o := Owner{Config: theirs}
+	o := Owner{Config: testConfig}
 	now := time.Unix(1000, 0)
 	o.UpdateOwnership(now, func(int) bool { return true }, 1, 0, nil)
 	b.ReportAllocs()
--- a/pkg/quota/ring.go
+++ b/pkg/quota/shard_owners.go
@@ -6,17 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shards is how many groups the teams are divided into. Each group has one owner in a zone; with more groups than that the work is
-// spread more evenly, and choosing the owners takes longer: 64 times 3,000 nodes take some milliseconds, whenever one comes or goes.
+// Shards is the number of groups that the teams are divided into, each with one owner in a zone. More groups would spread the work more
+// evenly but slow down the choice of owners: 64 times 3,000 nodes take some milliseconds, whenever a node joins or leaves.
 const Shards = 64
 
-// ShardOf returns the group that a team belongs to.
+// ShardOf returns the shard of a team.
 func ShardOf(team string) int { return int(xxhash.Sum64String(team) % Shards) }
 
-// ShardOwners is the owner of each group in one availability zone; empty: there is none.
+// ShardOwners holds the owner host of each shard in one availability zone, or "" where there is none.
 type ShardOwners [Shards]string
 
-// ChooseOwners returns the owners among the hosts, by rendezvous hashing: when a host comes or goes, only its own groups move.
+// ChooseOwners returns the owners among the hosts, by rendezvous hashing: when a host joins or leaves, only its own shards move.
 func ChooseOwners(hosts []string) *ShardOwners {
 	var r ShardOwners
 	for shard := range r {
@@ -31,7 +31,7 @@
 	return &r
 }
 
-// OwnerOf returns the owner of a team, or "".
+// OwnerOf returns the owner host of a team, or "" if there is none.
 func (r *ShardOwners) OwnerOf(team string) string {
 	if r == nil {
 		return ""
