--- a/pkg/freshness/freshness_test.go
+++ b/pkg/freshness/freshness_test.go
@@ -11,49 +11,49 @@
 
 const bound = 5 * time.Second
 
-// start is when the made-up time begins.
+// start is when the simulated time begins.
 var start = time.Unix(1000, 0)
 
-// madeUpNode is a node with a clock that runs a little fast or slow.
-type madeUpNode struct {
+// simulatedNode is a node with a clock that runs a little fast or slow.
+type simulatedNode struct {
 	keeper   ProofTracker
 	schedule Schedule
 	own      int64
-	rate     float64 // of its clock
+	rate     float64 // of its clock, relative to true time
 	ahead    time.Duration
-	silent   bool      // cut off from the store and the other nodes
-	frozen   time.Time // until when it does nothing
+	silent   bool      // partitioned from the store and the other nodes
+	frozen   time.Time // doesn't run until then
 }
 
 // clock returns what the node's clock shows at a true time.
-func (n *madeUpNode) clock(now time.Time) time.Time {
+func (n *simulatedNode) clock(now time.Time) time.Time {
 	return start.Add(n.ahead + time.Duration(float64(now.Sub(start))*n.rate))
 }
 
-// onTheWay is a message between two nodes, or from the store, with what it was made of.
-type onTheWay struct {
-	at   time.Time // when it arrives
-	to   *madeUpNode
-	sent time.Time // when its question was sent, by the clock of the one who asked
-	age  time.Duration
-	ver  int64
-	own  int64 // in force there when the question was sent
+// inFlightMessage is an answer from a node or the store, with the values at the time of the query.
+type inFlightMessage struct {
+	at      time.Time // when it arrives
+	to      *simulatedNode
+	sent    time.Time // when its query was sent, by the requester's clock
+	age     time.Duration
+	version int64
+	own     int64 // version in force at the requester when the query was sent
 }
 
-// world is nodes and a store in made-up time.
-type world struct {
+// simulation is nodes and a store in simulated time.
+type simulation struct {
 	now       time.Time
-	nodes     []*madeUpNode
+	nodes     []*simulatedNode
 	confirmed []time.Time // of version i+1
-	way       []onTheWay
-	down      bool // the store answers nobody
+	inFlight  []inFlightMessage
+	down      bool // the store doesn't answer
 	hosts     []string
 }
 
-func newWorld(n int, rate func(i int) float64) *world {
-	w := &world{now: start, confirmed: []time.Time{start}}
+func newSimulation(n int, rate func(i int) float64) *simulation {
+	w := &simulation{now: start, confirmed: []time.Time{start}}
 	for i := range n {
-		node := &madeUpNode{rate: rate(i), ahead: time.Duration(i) * time.Hour, own: 1}
+		node := &simulatedNode{rate: rate(i), ahead: time.Duration(i) * time.Hour, own: 1}
 		node.keeper.Bound, node.schedule.Bound = bound, bound
 		w.nodes = append(w.nodes, node)
 		w.hosts = append(w.hosts, fmt.Sprintf("10.0.0.%d", i))
@@ -61,8 +61,8 @@
 	return w
 }
 
-// step lets a little time pass; delay returns how long a message is on its way, back and forth alike.
-func (w *world) step(delay func() time.Duration, pick func(n int) int) {
+// step advances the time by 20 ms and runs all nodes; delay returns a message's delay in one direction, pick the index of a node to query.
+func (w *simulation) step(delay func() time.Duration, pick func(n int) int) {
 	w.now = w.now.Add(20 * time.Millisecond)
 	w.arrive()
 	roles := ChooseRoles(w.hosts)
@@ -76,13 +76,13 @@
 		case ReadStore:
 			if !w.down && !n.silent {
 				there := delay()
-				w.way = append(w.way, onTheWay{at: w.now.Add(there + delay()), to: n, sent: now, ver: w.newestAt(w.now.Add(there)), own: n.own})
+				w.inFlight = append(w.inFlight, inFlightMessage{at: w.now.Add(there + delay()), to: n, sent: now, version: w.newestAt(w.now.Add(there)), own: n.own})
 			}
 		case QueryUpstream, QueryAnyNode:
 			if o := w.nodes[pick(len(w.nodes))]; !n.silent && !o.silent && o != n && !o.frozen.After(w.now) {
-				// What the other one knows now is older than what it will know when the question arrives, and no less true.
+				// The other node's proof is read now. When the query arrives it may have a younger one, and this one is still valid.
 				if oage, known := o.keeper.ProofAge(o.clock(w.now), o.own); known {
-					w.way = append(w.way, onTheWay{at: w.now.Add(delay() + delay()), to: n, sent: now, age: oage, ver: o.keeper.YoungestProof(o.own).Version, own: n.own})
+					w.inFlight = append(w.inFlight, inFlightMessage{at: w.now.Add(delay() + delay()), to: n, sent: now, age: oage, version: o.keeper.YoungestProof(o.own).Version, own: n.own})
 				}
 			}
 		case Wait:
@@ -90,8 +90,8 @@
 	}
 }
 
-// newestAt returns the version in force in the store at a time.
-func (w *world) newestAt(at time.Time) int64 {
+// newestAt returns the newest version in the store at a time.
+func (w *simulation) newestAt(at time.Time) int64 {
 	v := int64(0)
 	for _, c := range w.confirmed {
 		if !c.After(at) {
@@ -101,21 +101,21 @@
 	return v
 }
 
-// arrive hands over what has come by now, to those who aren't frozen.
-func (w *world) arrive() {
-	rest := w.way[:0]
-	for _, m := range w.way {
+// arrive delivers the messages that are due to nodes that aren't frozen.
+func (w *simulation) arrive() {
+	rest := w.inFlight[:0]
+	for _, m := range w.inFlight {
 		if m.at.After(w.now) || m.to.frozen.After(w.now) {
 			rest = append(rest, m)
 			continue
 		}
-		m.to.keeper.AddProof(Proof{Version: m.ver, Sent: m.sent.Add(-m.age)}, m.to.own)
+		m.to.keeper.AddProof(Proof{Version: m.version, Sent: m.sent.Add(-m.age)}, m.to.own)
 	}
-	w.way = rest
+	w.inFlight = rest
 }
 
-// check tells whether a node lets a key pass that a version took away longer ago than the bound.
-func (w *world) check(fail func(format string, args ...any)) {
+// check fails if a node accepts keys by a version that was replaced longer ago than the bound.
+func (w *simulation) check(fail func(format string, args ...any)) {
 	must := w.newestAt(w.now.Add(-bound))
 	for i, n := range w.nodes {
 		if n.keeper.MayAcceptKey(n.clock(w.now), n.own) && n.own < must {
@@ -124,19 +124,19 @@
 	}
 }
 
-// No node serves by a version for longer than the bound after the next one was confirmed: whoever is cut off, frozen or slow, with
-// clocks that differ and messages that wait for as long as they like.
+// No node accepts keys by a version for longer than the bound after the next one was confirmed, whichever nodes are partitioned, frozen or
+// slow, with clocks of different rates and messages of any delay.
 func TestNoKeyPassesAfterTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 7).Draw(t, "nodes"), func(i int) float64 {
+		w := newSimulation(rapid.IntRange(1, 7).Draw(t, "nodes"), func(i int) float64 {
 			return 1 + float64(rapid.IntRange(-4, 4).Draw(t, "permille"))/1000
 		})
 		slow := rapid.IntRange(1, 3000).Draw(t, "slowest message ms")
 		delay := func() time.Duration { return time.Duration(rapid.IntRange(0, slow).Draw(t, "ms")) * time.Millisecond }
-		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "whom") }
+		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "node") }
 		for range rapid.IntRange(10, 60).Draw(t, "events") {
 			n := w.nodes[pick(len(w.nodes))]
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
+			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
 				w.confirmed = append(w.confirmed, w.now)
 			case 1:
@@ -145,10 +145,10 @@
 				w.down = !w.down
 			case 3:
 				n.frozen = w.now.Add(time.Duration(rapid.IntRange(1, 7000).Draw(t, "frozen ms")) * time.Millisecond)
-			case 4: // it started anew, and reads the state later
+			case 4: // it restarts, and reads the state later
 				n.keeper, n.schedule = ProofTracker{Bound: bound}, Schedule{Bound: bound}
 				n.own = 1
-			default: // it hears of a newer state, from whomever
+			default: // it receives a newer state from any node
 				n.own = max(n.own, w.newestAt(w.now.Add(-delay())))
 				n.keeper.VersionApplied(n.own)
 			}
@@ -160,11 +160,11 @@
 	})
 }
 
-// Where nothing is wrong every node's proof is young enough that it still serves for some seconds once its way to the store is lost.
-func TestProofsStayYoung(t *testing.T) {
+// Without faults every node's proof is young enough that the node still accepts keys for some seconds once it can't reach the store.
+func TestProofsStayFresh(t *testing.T) {
 	c := qt.New(t)
 	for _, nodes := range []int{1, 3, 24, 48} {
-		w := newWorld(nodes, func(int) float64 { return 1 })
+		w := newSimulation(nodes, func(int) float64 { return 1 })
 		var oldest time.Duration
 		k := 0
 		for step := range 1500 {
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestALargeZoneAsksInTwoSteps(t *testing.T) {
+func TestALargeZoneQueriesThroughRelays(t *testing.T) {
 	c := qt.New(t)
 	var hosts []string
 	for i := range 3121 {
@@ -215,7 +215,7 @@
 	k.VersionApplied(2)
 	age, _ = k.ProofAge(start.Add(2*time.Second), 2)
 	c.Check(age, qt.Equals, time.Second)
-	c.Check(k.MayAcceptKey(start.Add(2*time.Second), 1), qt.IsFalse) // a request that came in with the state before
+	c.Check(k.MayAcceptKey(start.Add(2*time.Second), 1), qt.IsFalse) // a request that was admitted under the previous state
 	k.AddProof(Proof{}, 2)
 	age, _ = k.ProofAge(start.Add(2*time.Second), 2)
 	c.Check(age, qt.Equals, time.Second)
--- a/pkg/freshness/roles.go
+++ b/pkg/freshness/roles.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// readers of an availability zone ask the store: one may be lost, and the other still tells the zone. The store's calls
-	// are paid for one by one, so they grow with the zones and not with the nodes.
+	// readers is the number of nodes of an availability zone that query the store: if one is lost, the other still supplies the zone. The
+	// store's calls are billed one by one, so they should grow with the zones and not with the nodes.
 	readers = 2
-	// directUpTo is the number of nodes of a zone up to which all ask the readers. In a larger one some nodes ask on behalf
-	// of the others, so that nobody is asked by more than about as many as these.
+	// directUpTo is the largest number of nodes of a zone for which all query the readers. In a larger zone relays query on behalf of
+	// the others, so that no node is queried by many more nodes than this.
 	directUpTo = 48
 )
 
-// Roles says who asks whom in one availability zone.
+// Roles says which node queries which in one availability zone.
 type Roles struct {
-	Readers []string // ask the store
-	Relays  []string // ask the readers, and are asked by the others; none in a small zone
+	Readers []string // query the store
+	Relays  []string // query the readers and answer the others; none in a small zone
 }
 
-// ChooseRoles returns the roles among the hosts of a zone that are alive. All nodes choose alike, without asking.
+// ChooseRoles returns the roles among the hosts of a zone that are alive. All nodes with the same list choose alike.
 func ChooseRoles(alive []string) Roles {
 	byRank := slices.Clone(alive)
 	slices.SortFunc(byRank, func(a, b string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)) })
@@ -35,10 +35,10 @@
 	return r
 }
 
-// IsReader tells whether the host asks the store.
+// IsReader reports whether the host queries the store.
 func (r Roles) IsReader(host string) bool { return slices.Contains(r.Readers, host) }
 
-// QueryTargets returns whom the host asks.
+// QueryTargets returns the hosts that the host queries.
 func (r Roles) QueryTargets(host string) []string {
 	if len(r.Relays) == 0 || slices.Contains(r.Relays, host) {
 		return r.Readers
--- a/pkg/freshness/schedule.go
+++ b/pkg/freshness/schedule.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// The times of asking, as shares of the bound. With a bound of 5 s the store is asked 0.8 times a second by each reader, and the
-// oldest proof of a node that is in touch is 1.2 s + 0.4 s old (2 s in a large zone): a node that loses its way to the store then still
-// serves keys for three of the five seconds.
+// The times between queries, as fractions of the bound. With a bound of 5 s each reader queries the store 0.8 times a second, and the
+// oldest proof of a node with connectivity is 1.2 s + 0.4 s old (2 s in a large zone). A node that loses its connection to the store then
+// still accepts keys for three of the five seconds.
 const (
-	// readShare is the time between a reader's calls to the store.
-	readShare = 0.24
-	// askShare is the time between questions to a node that knows more.
-	askShare = 0.08
-	// firstAsks is how many times more often a node asks that has no proof yet: after a loss of all nodes a reader has the first
-	// some hundredths of a second after the others have asked it.
-	firstAsks = 4
-	// widenShare is the age of a proof from which on nodes of all zones are asked as well.
-	widenShare = 0.4
-	// aloneShare is the age from which on a node that isn't a reader asks the store by itself, after aloneFirstShare more.
-	aloneShare = 0.42
-	// aloneFirstShare and aloneMostShare are the time between such calls: where the store is away for all, the readers find out
-	// when it is back.
-	aloneFirstShare = 0.12
-	aloneMostShare  = 0.48
+	// readIntervalShare is the time between a reader's calls to the store.
+	readIntervalShare = 0.24
+	// queryIntervalShare is the time between queries to a node that has younger proofs.
+	queryIntervalShare = 0.08
+	// initialQueryFactor is how many times more often a node without a proof queries: after a loss of all nodes a reader has the first proof
+	// some hundredths of a second after the others have queried it.
+	initialQueryFactor = 4
+	// widenAgeShare is the age of a proof from which nodes of all zones are queried as well.
+	widenAgeShare = 0.4
+	// ownReadAgeShare is the age of a proof from which a node that isn't a reader queries the store itself, after minOwnReadShare more.
+	ownReadAgeShare = 0.42
+	// minOwnReadShare and maxOwnReadShare are the shortest and longest time between such calls. Where the store is down for all nodes, the
+	// readers find out when it is back.
+	minOwnReadShare = 0.12
+	maxOwnReadShare = 0.48
 )
 
 // Action is what a node does next to get a younger proof.
@@ -29,61 +29,63 @@
 // The actions.
 const (
 	Wait          Action = iota
-	ReadStore            // ask the store
-	QueryUpstream        // ask a node that knows more
-	QueryAnyNode         // ask any node
+	ReadStore            // query the store
+	QueryUpstream        // query a reader or relay
+	QueryAnyNode         // query any node
 )
 
-// Schedule decides when one node asks whom. It isn't safe for concurrent use.
+// Schedule decides when one node queries which kind of node. It isn't safe for concurrent use.
 type Schedule struct {
 	Bound time.Duration
 
-	read, asked time.Time
-	alone       time.Duration // between calls to the store of a node that isn't a reader
-	wide        bool          // the last question went to any node
+	lastRead, lastQuery time.Time
+	ownReadInterval     time.Duration // between calls to the store of a node that isn't a reader
+	wide                bool          // the last query went to any node
 }
 
-// Next returns what to do now, given the age of the proof in hand.
+// Next returns what to do now, given the age of the youngest proof, if one is known, and whether the node is a reader.
 func (s *Schedule) Next(now time.Time, age time.Duration, known, reads bool) Action {
-	pause := s.share(askShare)
+	pause := s.fractionOfBound(queryIntervalShare)
 	if !known {
-		age, pause = s.Bound, pause/firstAsks
+		age, pause = s.Bound, pause/initialQueryFactor
 	}
-	if s.readsNow(now, age, reads) {
-		s.read = now
+	if s.readDue(now, age, reads) {
+		s.lastRead = now
 		return ReadStore
 	}
-	if reads && age <= s.share(widenShare) || now.Sub(s.asked) < pause {
+	if reads && age <= s.fractionOfBound(widenAgeShare) || now.Sub(s.lastQuery) < pause {
 		return Wait
 	}
-	s.asked = now
-	s.wide = age > s.share(widenShare) && !s.wide
+	s.lastQuery = now
+	s.wide = age > s.fractionOfBound(widenAgeShare) && !s.wide
 	if s.wide {
 		return QueryAnyNode
 	}
 	return QueryUpstream
 }
 
-// readsNow tells whether it is time to ask the store.
-func (s *Schedule) readsNow(now time.Time, age time.Duration, reads bool) bool {
+// readDue reports whether to query the store now.
+func (s *Schedule) readDue(now time.Time, age time.Duration, reads bool) bool {
 	if reads {
-		s.alone = 0
-		return now.Sub(s.read) >= s.share(readShare)
+		s.ownReadInterval = 0
+		return now.Sub(s.lastRead) >= s.fractionOfBound(readIntervalShare)
 	}
-	if age <= s.share(aloneShare) {
-		s.alone = 0
+	if age <= s.fractionOfBound(ownReadAgeShare) {
+		s.ownReadInterval = 0
 		return false
 	}
-	if s.alone == 0 {
-		// Others may know already: of 68 nodes that started at once, half asked the store before they asked each other.
-		s.alone, s.read = s.share(aloneFirstShare), now
+	if s.ownReadInterval == 0 {
+		// Other nodes may have a proof already: of 68 nodes that started at once, half queried the store before they queried each other.
+		s.ownReadInterval, s.lastRead = s.fractionOfBound(minOwnReadShare), now
 		return false
 	}
-	if now.Sub(s.read) < s.alone {
+	if now.Sub(s.lastRead) < s.ownReadInterval {
 		return false
 	}
-	s.alone = min(2*s.alone, s.share(aloneMostShare))
+	s.ownReadInterval = min(2*s.ownReadInterval, s.fractionOfBound(maxOwnReadShare))
 	return true
 }
 
-func (s *Schedule) share(x float64) time.Duration { return time.Duration(x * float64(s.Bound)) }
+func (s *Schedule) fractionOfBound(x float64) time.Duration {
+	return time.Duration(x * float64(s.Bound))
+}
