--- a/pkg/follow/doc.go
+++ b/pkg/follow/doc.go
@@ -2,13 +2,13 @@
 // take theirs for the newest.
 //
 // In a small availability zone every node follows. In a larger one a few do, which all nodes choose alike and
-// without asking: by a hash over those that are alive, so that one that is lost is replaced by itself. The others hear
+// without messages: by a hash over the nodes that are alive, so that a lost one is replaced automatically. The others receive
 // from their peers, with every exchange, when the desired state was last known to be the newest. Where that
-// was too long ago, since their zone's followers died, froze or are turned away by the store, a node reads the state by itself,
-// and its peers hear of that. So the calls to the store grow with zones and changes, and not with nodes, while everything is well, and with nodes
-// only where nobody else can tell.
+// was too long ago, because their zone's followers crashed, froze or are rejected by the store, a node reads the state itself,
+// and its peers learn of that. So without faults the calls to the store grow with zones and changes and not with nodes, and with nodes
+// only where no follower can supply the zone.
 //
-// followers.go chooses, watch.go is what one node knows and whether it follows.
+// followers.go chooses the followers; tracker.go is what one node knows and whether it contacts the store.
 //
-// A Watch does no I/O, starts no goroutine and reads no clock.
+// A Tracker does no I/O, starts no goroutine and reads no clock.
 package follow
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -17,7 +17,7 @@
 	return all
 }
 
-func chosenOf(alive []string) []string {
+func followersOf(alive []string) []string {
 	var chosen []string
 	for _, h := range alive {
 		if IsFollower(h, alive) {
@@ -29,16 +29,16 @@
 
 func TestAllFollowInASmallZoneAndAFewInALargeOne(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(chosenOf(hosts(SmallZoneSize)), qt.HasLen, SmallZoneSize)
+	c.Assert(followersOf(hosts(SmallZoneSize)), qt.HasLen, SmallZoneSize)
 	for _, n := range []int{SmallZoneSize + 1, 40, 2000} {
-		c.Assert(chosenOf(hosts(n)), qt.HasLen, followers)
+		c.Assert(followersOf(hosts(n)), qt.HasLen, followers)
 	}
 }
 
-// Whichever nodes are lost, the zone has its followers again as soon as that is known, and those that were left stay.
+// Whichever nodes are lost, the zone has its number of followers as soon as that is known, and the followers that are left stay.
 func TestLostFollowersAreReplaced(t *testing.T) {
 	all := hosts(40)
-	before := chosenOf(all)
+	before := followersOf(all)
 	rapid.Check(t, func(r *rapid.T) {
 		var alive []string
 		for _, h := range all {
@@ -46,7 +46,7 @@
 				alive = append(alive, h)
 			}
 		}
-		after := chosenOf(alive)
+		after := followersOf(alive)
 		if len(alive) > SmallZoneSize && len(after) != followers {
 			r.Fatalf("%d of %d follow", len(after), len(alive))
 		}
@@ -64,8 +64,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// watch returns one of a node in a large zone that isn't chosen.
-func watch() *Tracker {
+// newNonFollower returns the tracker of a node in a large zone that isn't a follower.
+func newNonFollower() *Tracker {
 	w := &Tracker{ApplyBound: 3 * time.Second}
 	alive := hosts(40)
 	for _, h := range alive {
@@ -77,10 +77,10 @@
 	return nil
 }
 
-func TestANodeFollowsOnlyWhileNobodyTellsIt(t *testing.T) {
+func TestANodeReadsTheStateOnlyWithoutPeerReports(t *testing.T) {
 	c := qt.New(t)
-	w := watch()
-	c.Assert(w.ShouldContactStore(start), qt.IsFalse, qt.Commentf("before it begins"))
+	w := newNonFollower()
+	c.Assert(w.ShouldContactStore(start), qt.IsFalse, qt.Commentf("before Start"))
 	w.Start(start, 2*time.Second)
 	c.Assert(w.ShouldContactStore(start.Add(time.Second)), qt.IsFalse)
 	c.Assert(w.ShouldContactStore(start.Add(2*time.Second)), qt.IsTrue)
@@ -90,14 +90,14 @@
 	c.Assert(w.ShouldContactStore(now.Add(1600*time.Millisecond)), qt.IsTrue, qt.Commentf("a third of the bound is left"))
 	w.AddPeerReport(now.Add(time.Second), 7, 7, 3*time.Second)
 	age, known := w.StateAge(now)
-	c.Assert(known && age == 500*time.Millisecond, qt.IsTrue, qt.Commentf("older news changes nothing: %v", age))
+	c.Assert(known && age == 500*time.Millisecond, qt.IsTrue, qt.Commentf("an older report changes nothing: %v", age))
 	w.AddPeerReport(now.Add(time.Second), 7, 6, 0)
 	w.AddPeerReport(now.Add(time.Second), 7, 8, 0)
 	w.AddPeerReport(now.Add(time.Second), 7, 7, -time.Second)
 	c.Assert(w.IsCurrent(now.Add(1600*time.Millisecond)), qt.IsFalse, qt.Commentf("of an older state, a newer one, and from the future"))
 }
 
-func TestAChosenNodeFollowsAndTells(t *testing.T) {
+func TestAFollowerKeepsItsStateCurrent(t *testing.T) {
 	c := qt.New(t)
 	w := &Tracker{ApplyBound: 3 * time.Second}
 	w.Start(start, time.Hour)
@@ -108,7 +108,7 @@
 	c.Assert(known, qt.IsFalse)
 	w.WatchStarted(start)
 	later := start.Add(20 * time.Second)
-	c.Assert(w.IsCurrent(later), qt.IsTrue, qt.Commentf("it would have heard of a change"))
+	c.Assert(w.IsCurrent(later), qt.IsTrue, qt.Commentf("it would have received a change"))
 	w.WatchLost(later)
 	age, _ := w.StateAge(later)
 	c.Assert(age, qt.Equals, noticeTime)
@@ -121,18 +121,18 @@
 	c.Assert(age, qt.Equals, time.Duration(0))
 }
 
-// A node that was frozen for longer than the bound trusts nothing that it heard before.
+// A node that was frozen for longer than the bound relies on no report from before.
 func TestAFrozenNodeReadsAtOnce(t *testing.T) {
 	c := qt.New(t)
-	w := watch()
+	w := newNonFollower()
 	w.Start(start, 0)
 	w.AddPeerReport(start, 1, 1, 0)
 	c.Assert(w.ShouldContactStore(start), qt.IsFalse)
 	c.Assert(w.ShouldContactStore(start.Add(5*time.Second)), qt.IsTrue)
 }
 
-// A follower that woke after five seconds told its peers at once that its state was the newest.
-func TestAFollowerThatWasFrozenTellsNothingNew(t *testing.T) {
+// A follower that was frozen for five seconds reported its state as the newest to its peers at once.
+func TestAFollowerThatWasFrozenReportsAnOldState(t *testing.T) {
 	c := qt.New(t)
 	w := &Tracker{ApplyBound: 3 * time.Second}
 	w.Start(start, 0)
--- a/pkg/follow/followers.go
+++ b/pkg/follow/followers.go
@@ -3,14 +3,14 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// SmallZoneSize is the number of nodes of an availability zone up to which each of them follows the store: there is little to
-	// be saved.
+	// SmallZoneSize is the number of nodes of an availability zone up to which each of them follows the store, as little would be
+	// saved otherwise.
 	SmallZoneSize = 8
-	// followers of a larger zone: any two of them may be lost at once, and the third still tells the zone.
+	// followers is the number of followers of a larger zone: two of them may be lost at once, and the third still supplies the zone.
 	followers = 3
 )
 
-// IsFollower tells whether the host is one of the followers of its availability zone, given the hosts that are alive there.
+// IsFollower reports whether the host is one of the followers of its availability zone, given the hosts that are alive there.
 func IsFollower(host string, alive []string) bool {
 	if len(alive) <= SmallZoneSize {
 		return true
