--- a/pkg/awaited/awaited_test.go
+++ b/pkg/awaited/awaited_test.go
@@ -23,7 +23,7 @@
 	c.Assert(table.StartQuery(after(time.Second-1)), qt.HasLen, 0)
 	asked := table.StartQuery(after(time.Second))
 	c.Assert(asked, qt.HasLen, 1)
-	c.Assert(table.StartQuery(after(2*time.Second)), qt.HasLen, 0) // it is being asked
+	c.Assert(table.StartQuery(after(2*time.Second)), qt.HasLen, 0) // a query is in flight
 	c.Assert(table.FinishQuery(after(time.Second), asked, []string{"a"}), qt.HasLen, 0)
 	c.Assert(table.StartQuery(after(time.Second+MissInterval-1)), qt.HasLen, 0)
 	asked = table.StartQuery(after(time.Second + MissInterval))
@@ -32,12 +32,12 @@
 	c.Assert(table.StartQuery(after(time.Hour)), qt.HasLen, 0)
 }
 
-func TestARequestThatThePeerHasIsAskedForAgainAndKept(t *testing.T) {
+func TestARequestInProgressAtThePeerIsNotAborted(t *testing.T) {
 	c := qt.New(t)
 	var table Table
-	r := &Request{ID: "a", Sent: start, QueryAfter: time.Second, Abort: func() { t.Fatal("given up") }}
+	r := &Request{ID: "a", Sent: start, QueryAfter: time.Second, Abort: func() { t.Fatal("aborted") }}
 	table.Add(r)
-	for i := range 10 { // lacked and had in turn: never lost
+	for i := range 10 { // missing and present in turn: never lost
 		now := after(time.Duration(i+1) * time.Second)
 		asked := table.StartQuery(now)
 		c.Assert(asked, qt.HasLen, 1)
@@ -47,8 +47,8 @@
 	c.Assert(table.StartQuery(after(time.Hour)), qt.HasLen, 0)
 }
 
-// Whatever comes when: a request that is in progress at the peer whenever it is asked is never given up, and one that never is there, is.
-func TestOnlyLostRequestsAreGivenUp(t *testing.T) {
+// In any order of events, a request that is in progress at the peer at every query is never aborted, and one that never is there is aborted.
+func TestOnlyLostRequestsAreAborted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		var there InProgress
@@ -61,7 +61,7 @@
 				ID: id, Sent: now, QueryAfter: time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond,
 				Abort: func() { lost[id] = true },
 			})
-			if rapid.Bool().Draw(t, "there") {
+			if rapid.Bool().Draw(t, "in progress at the peer") {
 				there.Start(id)
 				present = append(present, id)
 			} else {
@@ -69,7 +69,7 @@
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond)
 		}
-		for range 400 { // at the most 64 at a time
+		for range 400 { // at most 64 per query
 			now = now.Add(50 * time.Millisecond)
 			asked := table.StartQuery(now)
 			if len(asked) == 0 {
@@ -83,18 +83,18 @@
 		}
 		for _, id := range present {
 			if lost[id] {
-				t.Fatalf("%s was there", id)
+				t.Fatalf("%s was in progress but aborted", id)
 			}
 		}
 		for _, id := range absent {
 			if !lost[id] {
-				t.Fatalf("%s wasn't found lost", id)
+				t.Fatalf("%s was not detected as lost", id)
 			}
 		}
 	})
 }
 
-func TestPresent(t *testing.T) {
+func TestInProgress(t *testing.T) {
 	c := qt.New(t)
 	var p InProgress
 	first, second := p.Start("a"), p.Start("a")
@@ -106,7 +106,7 @@
 	c.Assert(p.ids, qt.HasLen, 0)
 }
 
-func BenchmarkPresent(b *testing.B) {
+func BenchmarkInProgress(b *testing.B) {
 	var p InProgress
 	b.ReportAllocs()
 	for range b.N {
--- a/pkg/awaited/present.go
+++ b/pkg/awaited/in_progress.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// InProgress is the requests that are in progress here. Its zero value is empty; it is safe for concurrent use.
+// InProgress is the set of requests in progress at this node. Its zero value is empty. It is safe for concurrent use.
 type InProgress struct {
 	mu  sync.Mutex
-	ids map[string]int // how many have the id
+	ids map[string]int // number of requests by id
 }
 
-// Start notes a request; the function that it returns notes its end.
+// Start adds a request; the function that it returns removes it.
 func (p *InProgress) Start(id string) (end func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// Missing returns those that aren't in progress here.
+// Missing returns the ids of which no request is in progress here.
 func (p *InProgress) Missing(ids []string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/awaited/table.go
+++ b/pkg/awaited/table.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// MinMisses is how often a peer has to lack a request before it counts as lost.
+	// MinMisses is how many queries in a row a peer has to lack a request in before the request counts as lost.
 	MinMisses = 2
-	// MissInterval is the time between: the answer may just be on its way, and a lost packet of it is sent again after 200 ms at the
-	// earliest (the least time-out of TCP on Linux).
+	// MissInterval is the time between these queries: the answer may be in flight, and TCP on Linux sends a lost packet of it again after
+	// 200 ms at the earliest (its least retransmission timeout).
 	MissInterval = 250 * time.Millisecond
-	// MaxQueried bounds how many requests are asked for at a time.
+	// MaxQueried bounds the number of requests in one query.
 	MaxQueried = 64
 )
 
-// Request is one that was sent and not answered yet.
+// Request is a request that was sent and not answered yet.
 type Request struct {
 	ID         string
 	Sent       time.Time
-	QueryAfter time.Duration // after which it takes much longer than usual
-	Abort      func()        // ends the wait for its answer
+	QueryAfter time.Duration // time after Sent from which it takes much longer than usual
+	Abort      func()        // ends the wait for the answer; called with the table locked
 
-	next   time.Time // when to ask for it
-	missed int
+	nextQuery time.Time // when to query the peer about it
+	missed    int
 }
 
-// Table holds the requests to one peer. Its zero value is empty; it is safe for concurrent use.
+// Table holds the requests to one peer that aren't answered yet. Its zero value is empty. It is safe for concurrent use.
 type Table struct {
-	mu       sync.Mutex
-	requests map[*Request]struct{}
-	asking   bool
+	mu            sync.Mutex
+	requests      map[*Request]struct{}
+	queryInFlight bool
 }
 
-// Add notes a request that is being sent.
+// Add adds a request that is being sent.
 func (t *Table) Add(r *Request) {
-	r.next = r.Sent.Add(r.QueryAfter)
+	r.nextQuery = r.Sent.Add(r.QueryAfter)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.requests == nil {
@@ -45,50 +45,50 @@
 	t.requests[r] = struct{}{}
 }
 
-// Remove notes that a request was answered or has ended.
+// Remove removes a request that was answered or has ended.
 func (t *Table) Remove(r *Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.requests, r)
 }
 
-// StartQuery returns the requests to ask the peer for now, the earliest first, or none while it is being asked already. Each StartQuery that returns
-// some is followed by one call of Told.
+// StartQuery returns the requests to query the peer about now, the earliest sent first, or none while a query is in flight. Each call that
+// returns some must be followed by one call of FinishQuery.
 func (t *Table) StartQuery(now time.Time) []*Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.asking {
+	if t.queryInFlight {
 		return nil
 	}
 	var due []*Request
 	for r := range t.requests {
-		if !now.Before(r.next) {
+		if !now.Before(r.nextQuery) {
 			due = append(due, r)
 		}
 	}
 	slices.SortFunc(due, func(a, b *Request) int { return a.Sent.Compare(b.Sent) })
 	due = due[:min(len(due), MaxQueried)]
-	t.asking = len(due) > 0
+	t.queryInFlight = len(due) > 0
 	return due
 }
 
-// FinishQuery takes which of the requests that were asked for the peer lacks, and gives up those that are lost, which it returns. The answer
-// to a question that failed is that it has all of them.
+// FinishQuery takes the ids of the queried requests that the peer lacks, aborts those that are lost and returns them. After a query that
+// failed, missing is empty, as if the peer had all of them.
 func (t *Table) FinishQuery(now time.Time, asked []*Request, missing []string) []*Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asking = false
+	t.queryInFlight = false
 	var lost []*Request
 	for _, r := range asked {
 		if _, waits := t.requests[r]; !waits {
 			continue
 		}
 		if !slices.Contains(missing, r.ID) {
-			r.missed, r.next = 0, now.Add(r.QueryAfter)
+			r.missed, r.nextQuery = 0, now.Add(r.QueryAfter)
 			continue
 		}
 		r.missed++
-		r.next = now.Add(MissInterval)
+		r.nextQuery = now.Add(MissInterval)
 		if r.missed >= MinMisses {
 			delete(t.requests, r)
 			lost = append(lost, r)
