--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -61,9 +61,9 @@
 	budgetMu sync.Mutex
 	budget   overload.RepeatBudget
 	poison   poison.Table
-	limits   clock.Limits    // of requests in progress
-	present  awaited.Present // requests of other nodes that are here
-	away     atomic.Bool     // the server on this VM has ended and wasn't heard since
+	limits   clock.Limits       // of requests in progress
+	present  awaited.InProgress // requests of other nodes that are here
+	away     atomic.Bool        // the server on this VM has ended and wasn't heard since
 	clients  clientconns.Connections
 
 	peersMu sync.Mutex
@@ -111,11 +111,11 @@
 	n.stats.learner.CallsAreOnTime = n.off[settings.LateCalls]
 	n.gate.ByArrival = n.off[settings.GateOrder]
 	n.metrics.init()
-	n.poison.Rules = o.Settings.Mesh.HeldBack.Rules()
+	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
 	n.watch.mayBegin = make(chan struct{})
-	n.watch.Within = o.Settings.Mesh.Apply
+	n.watch.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
-	n.quotas.owner.Rules = quotaRules(o.Settings.Mesh)
+	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
 	n.knowledge.told = o.Settings.Mesh.FirstStart // nobody knows anything yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
@@ -134,7 +134,7 @@
 	context.AfterFunc(ctx, func() { close(n.ended) })
 	n.started = n.clock.Now()
 	if n.cfg.Mesh.FirstStart {
-		n.quotas.owner.FullFrom = clock.Boot(n.clock).Add(quota.Settle)
+		n.quotas.owner.FillOnceAt = clock.Boot(n.clock).Add(quota.SettleTime)
 	}
 	for _, s := range n.servers {
 		if err := n.listen(s); err != nil {
