--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -218,13 +218,13 @@
 	n.electFollowers(n.clock.Now())
 }
 
-// NamesService tells whether a service is that of this VM, or one that the desired state names.
-func (n *Node) NamesService(service string) bool {
+// KnowsService tells whether a service is that of this VM, or one that the desired state names.
+func (n *Node) KnowsService(service string) bool {
 	return service == n.cfg.Service || n.state.Load().Names(service)
 }
 
-// RefusedHeartbeat notes a call on the control listener that names no server.
-func (n *Node) RefusedHeartbeat(path string, err error) {
+// RecordRefusedHeartbeat notes a call on the control listener that names no server.
+func (n *Node) RecordRefusedHeartbeat(path string, err error) {
 	n.metrics.count("heartbeats_refused_total")
 	n.controlLog.Warn("heartbeat refused", "path", path, "err", err)
 }
--- a/pkg/mesh/dump.go
+++ b/pkg/mesh/dump.go
@@ -14,7 +14,7 @@
 	Epoch    int64                `json:"epoch"`
 	Version  int64                `json:"version"`
 	Stopping bool                 `json:"stopping"`
-	InUse    int64                `json:"in_progress"`
+	InFlight int64                `json:"in_progress"`
 	Gate     gate.Reading         `json:"gate"`
 	Off      []settings.Mechanism `json:"off,omitempty"` // mechanisms that are switched off
 	Records  []directory.Record   `json:"records"`
@@ -23,7 +23,7 @@
 
 // Dump returns the state of the node.
 func (n *Node) Dump() Dump {
-	d := Dump{Host: n.ip, Epoch: n.epoch, Version: n.version(), Stopping: n.stop.stopping(), InUse: n.stop.inFlight.Load(), Off: n.cfg.Mesh.Off}
+	d := Dump{Host: n.ip, Epoch: n.epoch, Version: n.version(), Stopping: n.stop.stopping(), InFlight: n.stop.inFlight.Load(), Off: n.cfg.Mesh.Off}
 	n.gateMu.Lock()
 	d.Gate = n.gate.Read()
 	n.gateMu.Unlock()
--- a/pkg/mesh/fake_store_test.go
+++ b/pkg/mesh/fake_store_test.go
@@ -89,8 +89,8 @@
 			}
 			return data, next, err
 		},
-		ReadRecords: s.readRecords, RecordParts: fakeParts, WriteRecord: s.writeRecord, WriteLearned: s.writeLearned, WriteHeld: s.writeHeld,
-		Era: s.eraNow,
+		ReadRecords: s.readRecords, RecordParts: fakeParts, WriteRecord: s.writeRecord, WriteLearned: s.writeLearned, WriteQuarantined: s.writeHeld,
+		Epoch: s.eraNow,
 	}
 }
 
@@ -168,7 +168,7 @@
 		switch {
 		case down:
 			return nil, Cursor{}, storeDownError{}
-		case v.Era != after.Era || v.Version < after.Version:
+		case v.Epoch != after.Epoch || v.Version < after.Version:
 			return nil, Cursor{}, &HistoryGoneError{After: after}
 		case v.Version > after.Version:
 			return data, v, nil
@@ -208,7 +208,7 @@
 		out.Learned = append(out.Learned, l)
 	}
 	for _, h := range s.held {
-		out.Held = append(out.Held, h)
+		out.Quarantined = append(out.Quarantined, h)
 	}
 	return out, nil
 }
--- a/pkg/mesh/keep_held.go
+++ b/pkg/mesh/keep_held.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		err := n.callStore(ctx, n.storeWatch.try(), writeHeldCall, storeCallTime, func(ctx context.Context) error {
-			return n.store.WriteHeld(ctx, HeldBack{Service: n.cfg.Service, Cases: held})
+			return n.store.WriteQuarantined(ctx, HeldBack{Service: n.cfg.Service, Cases: held})
 		})
 		if err != nil {
 			n.controlLog.Warn("what is held back isn't stored", "err", err)
--- a/pkg/mesh/mesh_options.go
+++ b/pkg/mesh/mesh_options.go
@@ -33,8 +33,8 @@
 	// FollowState waits for a change after the cursor; data is nil if there was none in time. The error
 	// is a *HistoryGoneError if the state must be read again.
 	FollowState func(ctx context.Context, after Cursor) (data []byte, next Cursor, err error)
-	// Era returns the newest era of the store that any answer told; nil: the store has no eras.
-	Era func() int64
+	// Epoch returns the newest era of the store that any answer told; nil: the store has no eras.
+	Epoch func() int64
 	// ReadRecords returns the records of VMs, and what was learned of the runs of each service, from the given parts, at
 	// once, or from all where none is given.
 	ReadRecords func(ctx context.Context, parts ...int) (Stored, error)
@@ -44,24 +44,24 @@
 	WriteRecord func(ctx context.Context, r directory.Record) error
 	// WriteLearned stores what was learned of the runs of one service; any of its nodes may write it.
 	WriteLearned func(ctx context.Context, l loads.Learned) error
-	// WriteHeld stores what is held back of the requests for one service, in place of what was stored before.
-	WriteHeld func(ctx context.Context, h HeldBack) error
+	// WriteQuarantined stores what is held back of the requests for one service, in place of what was stored before.
+	WriteQuarantined func(ctx context.Context, h HeldBack) error
 }
 
 // Cursor is a place in the store's history. Versions of different eras say nothing of each other: a store that came back from a
 // copy gives out those that it has lost again.
 type Cursor struct {
-	Era     int64
+	Epoch   int64
 	Version int64
 }
 
 // Stored is what the store keeps for nodes.
 type Stored struct {
-	Records []directory.Record
-	Learned []loads.Learned
-	Held    []HeldBack
-	// Unread tells which rows aren't a node's, or can't be read; the others hold.
-	Unread []error
+	Records     []directory.Record
+	Learned     []loads.Learned
+	Quarantined []HeldBack
+	// Unreadable tells which rows aren't a node's, or can't be read; the others hold.
+	Unreadable []error
 }
 
 // HistoryGoneError reports that the store doesn't know what changed since a cursor.
--- a/pkg/mesh/query_node.go
+++ b/pkg/mesh/query_node.go
@@ -13,15 +13,15 @@
 // maxShortMessage bounds the answer to a short question in bytes.
 const maxShortMessage = 4 << 10
 
-// NodeAnswerError reports an answer of another node that isn't one.
-type NodeAnswerError struct {
+// NodeResponseError reports an answer of another node that isn't one.
+type NodeResponseError struct {
 	Host   string
 	Path   string
 	Status int
 }
 
 // Error names the node, what it was asked and its status.
-func (e *NodeAnswerError) Error() string {
+func (e *NodeResponseError) Error() string {
 	return fmt.Sprintf("node %s: %s answered %d", e.Host, e.Path, e.Status)
 }
 
@@ -52,7 +52,7 @@
 		return err
 	}
 	if res.Status != http.StatusOK {
-		return &NodeAnswerError{host, path, res.Status}
+		return &NodeResponseError{host, path, res.Status}
 	}
 	p.markReachable()
 	return unpack(data, answer)
--- a/pkg/mesh/store_calls.go
+++ b/pkg/mesh/store_calls.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		n.metrics.count("store_errors_total")
 	}
-	if n.store.Era != nil {
-		n.noteEra("store", n.store.Era())
+	if n.store.Epoch != nil {
+		n.noteEra("store", n.store.Epoch())
 	}
 	return err
 }
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -82,14 +82,14 @@
 		n.controlLog.Warn("records not read", "err", err)
 		return false
 	}
-	if len(stored.Unread) > 0 {
-		n.controlLog.Warn("rows of the store passed over", "rows", len(stored.Unread), "err", stored.Unread[0])
+	if len(stored.Unreadable) > 0 {
+		n.controlLog.Warn("rows of the store passed over", "rows", len(stored.Unreadable), "err", stored.Unreadable[0])
 	}
 	n.enqueueAndWait(ctx, func() {
 		whole := len(parts) == 0 // a part may lack the own record, and has some of what was learned
 		if whole {
 			n.recallStored(stored.Learned)
-			n.recallHeld(stored.Held)
+			n.recallHeld(stored.Quarantined)
 			n.noteStored(stored.Records)
 		}
 		n.mergeRecords("store", stored.Records)
