--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -57,8 +57,8 @@
 // showShares sets the metric of each kind that is held down, or ever was.
 func (n *Node) showShares(plan *admissionPlan) {
 	for route, s := range plan.shares {
-		if s.Fresh < 1 || n.control.logged.shareGauges[route] {
-			n.control.logged.shareGauges[route] = true
+		if s.Fresh < 1 || n.control.logged.shares[route] {
+			n.control.logged.shares[route] = true
 			n.metrics.gauge(int64(s.Fresh*1000), "admitted_share", "route", loads.ShowKind(route))
 		}
 	}
--- a/pkg/mesh/admission_plan_test.go
+++ b/pkg/mesh/admission_plan_test.go
@@ -22,7 +22,7 @@
 	n.controlLog = slog.New(slog.DiscardHandler)
 	n.metrics.init()
 	n.state.Store(&desired.State{})
-	n.control.zoneLoads, n.control.logged.shareGauges = map[string]*zoneLoad{}, map[string]bool{}
+	n.control.zoneLoads, n.control.logged.shares = map[string]*zoneLoad{}, map[string]bool{}
 	near, far := &peer{host: "n", zone: "a"}, &peer{host: "f", zone: "b"}
 	n.view.Store(&view{services: map[string][]*peer{"top": {near}, "low": {far}}})
 	own := &heldReport{heard: now.Add(time.Hour), Report: loads.Report{
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -39,7 +39,7 @@
 
 // run lets a request pass, or tells why it may not.
 func (b *backend) run(ctx context.Context, q *request) *answer {
-	own := b.n.view.Load().localRecord
+	own := b.n.view.Load().localServer
 	if own.Service != q.Service || own.Instance == "" {
 		return refused(wire.ReasonNoServer)
 	}
--- a/pkg/mesh/capacity_of_services_test.go
+++ b/pkg/mesh/capacity_of_services_test.go
@@ -80,7 +80,7 @@
 					s.add("a", fmt.Sprint("z", i%2), 10)
 				}
 				s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-				s.settled(1)
+				s.waitUntilKnown(1)
 				s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { time.Sleep(time.Second) })
 				time.Sleep(3 * time.Second)
 				room := func(i int) (room float64) {
@@ -90,21 +90,21 @@
 				all := room(0)
 				c.Assert(all > 30, qt.IsTrue, qt.Commentf("%v", all))
 				if busy {
-					go s.ask(1, http.MethodGet, "/read/x", "q", 3*time.Second)
+					go s.request(1, http.MethodGet, "/read/x", "q", 3*time.Second)
 					time.Sleep(100 * time.Millisecond)
 				}
 				for _, f := range s.servers[:2] {
 					f.srv.Close()
 				}
 				for i := range 8 { // they find that nobody is there
-					go s.ask(i%4, http.MethodGet, "/read/y", fmt.Sprint("r", i), 3*time.Second)
+					go s.request(i%4, http.MethodGet, "/read/y", fmt.Sprint("r", i), 3*time.Second)
 				}
 				time.Sleep(4 * time.Second)
 				for i := range s.nodes {
 					c.Check(room(i) < 0.6*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, room(i), all))
 				}
-				s.beat(0, false)
-				s.beat(1, false)
+				s.heartbeat(0, false)
+				s.heartbeat(1, false)
 				time.Sleep(4 * time.Second)
 				for i := range s.nodes {
 					c.Check(room(i) > 0.9*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, room(i), all))
--- a/pkg/mesh/choose_server.go
+++ b/pkg/mesh/choose_server.go
@@ -40,8 +40,8 @@
 func standardOf(now time.Time, list []*peer, c comparison) standard {
 	s := standard{comparison: c, success: minSuccessRate}
 	for _, p := range list {
-		e := p.estimate(now)
-		s.success = max(s.success, e.successRate)
+		e := p.loadEstimate(now)
+		s.success = max(s.success, e.success)
 		if e.slowdown > 0 && (s.pace == 0 || e.slowdown < s.pace) {
 			s.pace = e.slowdown
 		}
@@ -60,7 +60,7 @@
 // score is lower for a better server. One that fails fast looks idle, so its use counts as much more; a slow
 // one gets fewer requests than its slots would take, since each holds the callers' slots too.
 func (s standard) score(e loadEstimate) float64 {
-	failing := s.success / e.successRate
+	failing := s.success / e.success
 	if s.noSuccess {
 		failing = 1
 	}
@@ -76,7 +76,7 @@
 	s := standardOf(now, list, c)
 	for _, last := range []bool{false, true} {
 		near, nearScore := s.best(now, list, tried, true, last)
-		if near != nil && nearScore < crowded && s.slowness(near.estimate(now)) < slowRatio {
+		if near != nil && nearScore < crowded && s.slowness(near.loadEstimate(now)) < slowRatio {
 			return near
 		}
 		far, farScore := s.best(now, list, tried, false, last)
@@ -127,7 +127,7 @@
 	var found *peer
 	var least float64
 	for _, p := range few.shuffled() {
-		if score := s.score(p.estimate(now)); found == nil || score < least {
+		if score := s.score(p.loadEstimate(now)); found == nil || score < least {
 			found, least = p, score
 		}
 	}
--- a/pkg/mesh/client_connections_test.go
+++ b/pkg/mesh/client_connections_test.go
@@ -8,19 +8,19 @@
 )
 
 // Clients that keep their connections open don't keep others out.
-func TestANodeTakesNewConnectionsWhileManyRest(t *testing.T) {
+func TestNodeAcceptsNewConnectionsWhileManyAreIdle(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	n := s.nodes[0]
-	n.clientConns.SetMost(20)
+	n.clients.SetMost(20)
 	for range 60 {
 		kept := &http.Client{Transport: &http.Transport{}}
 		defer kept.CloseIdleConnections()
 		all := s.clients
 		s.clients = kept
-		status, _, _ := s.ask(0, http.MethodGet, "/read/x", "q", defaultTimeLeft)
+		status, _, _ := s.request(0, http.MethodGet, "/read/x", "q", defaultTimeLeft)
 		s.clients = all
 		c.Assert(status, qt.Equals, http.StatusOK)
 	}
-	c.Assert(n.clientConns.Open() <= 20, qt.IsTrue, qt.Commentf("%d open", n.clientConns.Open()))
+	c.Assert(n.clients.Open() <= 20, qt.IsTrue, qt.Commentf("%d open", n.clients.Open()))
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -18,7 +18,7 @@
 	localServer         directory.OwnServer
 	directory           directory.Directory
 	recentRecords       recordNews
-	newerState          newerState
+	newer               newerState
 	nextExchange        time.Time
 	urgentUpdates       bool    // news has to spread sooner than usually
 	smoothedArrivalRate float64 // requests a second that came to this node, over some seconds
@@ -48,7 +48,7 @@
 	nextUsableLog time.Time
 	nextCallsLog  time.Time
 	calls         map[string]callgraph.Rates // of a run, by route
-	shareGauges   map[string]bool            // routes with a metric of their share
+	shares        map[string]bool            // routes with a metric of their share
 }
 
 // tickPeriod is the time between looks at what is due.
@@ -154,7 +154,7 @@
 
 // publishView makes the control state visible to requests.
 func (n *Node) publishView() {
-	v := &view{services: make(map[string][]*peer), localRecord: n.control.localServer.Record()}
+	v := &view{services: make(map[string][]*peer), localServer: n.control.localServer.Record()}
 	all := n.control.directory.All()
 	now := n.clock.Now()
 	n.control.zoneHosts = nil
--- a/pkg/mesh/control_loop_test.go
+++ b/pkg/mesh/control_loop_test.go
@@ -43,7 +43,7 @@
 	n.enqueue(func() {})
 }
 
-func TestAskWaitsForTheControlGoroutine(t *testing.T) {
+func TestEnqueueAndWaitWaitsForTheControlGoroutine(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
@@ -59,7 +59,7 @@
 }
 
 // Signals are taken before the node starts: what they handed over raced with its start.
-func TestSettingsMayBeReadAgainWhileTheNodeStarts(t *testing.T) {
+func TestReloadDuringStart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.add("a", "z", 10)
--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -74,14 +74,14 @@
 		st.Routes = append(st.Routes, x)
 	}
 	s.store.put(st)
-	s.settled(1)
+	s.waitUntilKnown(1)
 	return s
 }
 
 // addDeep adds a node beside a server that runs the site's routes.
 func (s *site) addDeep(service, zone string, slots int) {
 	_, f := s.add(service, zone, slots)
-	s.t.Cleanup(f.ways.CloseIdleConnections)
+	s.t.Cleanup(f.client.CloseIdleConnections)
 	f.handle = func(w http.ResponseWriter, r *http.Request) {
 		deadline := time.Now().Add(millis(r.Header.Get(testNames.TimeLeft)))
 		for _, x := range deepRoutes {
@@ -133,7 +133,7 @@
 		if x -= r.weight; x >= 0 {
 			continue
 		}
-		status, _, _ := s.ask(i, http.MethodGet, "/"+r.name+"/x", fmt.Sprintf("c%d", k.ids.Add(1)), 6*time.Second)
+		status, _, _ := s.request(i, http.MethodGet, "/"+r.name+"/x", fmt.Sprintf("c%d", k.ids.Add(1)), 6*time.Second)
 		if status == http.StatusOK {
 			k.mu.Lock()
 			defer k.mu.Unlock()
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -96,12 +96,12 @@
 // A node that lost what it knew, and one that knows of a server which others don't, end up with the same records.
 func TestExchangesCompleteRecords(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	s.store.setDown(true)
 	lost := directory.Record{Host: s.base + "200", Generation: 3, Instance: "i", Service: "a", Zone: "z9", Slots: 3, Phase: directory.Gone}
 	n := s.nodes[0]
 	n.enqueue(func() { n.control.directory.Merge(lost) }) // it isn't news, so only the digests tell
-	s.until("all know it", func() bool {
+	s.waitFor("all know it", func() bool {
 		for _, n := range s.nodes {
 			if !slices.Contains(n.Dump().Records, lost) {
 				return false
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -80,22 +80,22 @@
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
 		route("read", desired.Repeatable, "a"), route("pay", desired.Once, "a"),
 	}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 
 	// Refused at its entry under overload.
 	n := s.nodes[0]
 	held := &admissionPlan{shares: map[string]overload.Share{"read": {}}}
-	s.until("refused by admission", func() bool {
+	s.waitFor("refused by admission", func() bool {
 		n.plan.Store(held) // the next plan, a moment later, lets all in again
-		status, _, _ := s.ask(0, http.MethodGet, "/read/x", "over", time.Second)
+		status, _, _ := s.request(0, http.MethodGet, "/read/x", "over", time.Second)
 		return status == http.StatusServiceUnavailable
 	})
 	c.Assert(said(log.story(c, "over"), "call: not admitted", "fresh_share", "0"), qt.IsTrue)
 	c.Assert(metricsText(n), qt.Contains, `rockspoke_requests_total{route="read",service="a",outcome="not-run",reason="level"}`)
 
 	// Lost answer of once-only work.
-	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { cutOff(w) })
-	s.ask(0, http.MethodPost, "/pay/x", "lost", time.Second)
+	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
+	s.request(0, http.MethodPost, "/pay/x", "lost", time.Second)
 	story := log.story(c, "lost")
 	c.Assert(said(story, "call: not served", "outcome", "unknown"), qt.IsTrue)
 	c.Assert(said(story, "call: not served", "arrivals", "1"), qt.IsTrue)
@@ -107,7 +107,7 @@
 		s.nodes[i].gate.Close()
 		s.nodes[i].gateMu.Unlock()
 	}
-	s.ask(0, http.MethodPost, "/pay/x", "gone", time.Second)
+	s.request(0, http.MethodPost, "/pay/x", "gone", time.Second)
 	story = log.story(c, "gone")
 	c.Assert(said(story, "call: sent again", "reason", "leaving"), qt.IsTrue)
 	c.Assert(said(story, "call: not served", "tried", "3"), qt.IsTrue)
--- a/pkg/mesh/fake_server_test.go
+++ b/pkg/mesh/fake_server_test.go
@@ -23,19 +23,19 @@
 type fakeServer struct {
 	ip, service, instance, zone string
 	slots                       int
-	work                        time.Duration
+	workTime                    time.Duration
 	handle                      func(w http.ResponseWriter, r *http.Request) // instead of the usual answer, if set
 	calls                       []string                                     // paths that one run calls, one after the other
 
-	mu   sync.Mutex
-	seen []string // attempt ids that ran
-	srv  *http.Server
-	seq  atomic.Int64
-	life atomic.Int64 // which of its lives this is
-	down atomic.Bool  // it has ended, and the next life hasn't begun
-	born atomic.Int64 // when this life began, in Unix milliseconds; 0: it doesn't say
-	out  string       // the node's outbound address
-	ways *http.Client // to the node
+	mu           sync.Mutex
+	seen         []string // attempt ids that ran
+	srv          *http.Server
+	heartbeatSeq atomic.Int64
+	life         atomic.Int64 // which of its lives this is
+	down         atomic.Bool  // it has ended, and the next life hasn't begun
+	born         atomic.Int64 // when this life began, in Unix milliseconds; 0: it doesn't say
+	outboundAddr string       // the node's outbound address
+	client       *http.Client // to the node
 }
 
 func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 		handle(w, r)
 		return
 	}
-	time.Sleep(f.work)
+	time.Sleep(f.workTime)
 	for i, path := range f.calls {
 		if !f.call(id, i, path, deadline) {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -63,11 +63,11 @@
 
 // call makes one call, which ends with its run at the latest.
 func (f *fakeServer) call(id string, i int, path string, deadline time.Time) bool {
-	req, _ := http.NewRequest(http.MethodGet, "http://"+f.out+path, nil)
+	req, _ := http.NewRequest(http.MethodGet, "http://"+f.outboundAddr+path, nil)
 	req.Host = "h"
 	req.Header.Set(testNames.AttemptID, fmt.Sprintf("%s.%d", id, i))
 	req.Header.Set(testNames.TimeLeft, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
-	res, err := f.ways.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		return false
 	}
--- a/pkg/mesh/final_answer_test.go
+++ b/pkg/mesh/final_answer_test.go
@@ -14,17 +14,17 @@
 // A read that one server may have run and the next one refuses was answered as not run.
 func TestARefusalAfterALostAnswerDoesNotSayNotRun(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	var n atomic.Int64
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) {
 		if n.Add(1) == 1 {
-			cutOff(w)
+			closeConnection(w)
 			return
 		}
 		w.Header().Set(testNames.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	status, _, h := s.ask(0, http.MethodGet, "/read/x", "g", time.Second)
+	status, _, h := s.request(0, http.MethodGet, "/read/x", "g", time.Second)
 	c.Assert(n.Load() >= 2, qt.IsTrue)
 	c.Assert(status, qt.Equals, http.StatusBadGateway)
 	c.Assert(h.Get("Retry-After"), qt.Equals, "")
@@ -33,13 +33,13 @@
 // The reason that a client and the logs are given is that of the servers that were tried.
 func TestTheLastRefusalsReasonIsGiven(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	for i := range s.nodes {
 		s.nodes[i].gateMu.Lock()
 		s.nodes[i].gate.Close()
 		s.nodes[i].gateMu.Unlock()
 	}
-	status, _, h := s.ask(0, http.MethodPost, "/pay/x", "p", time.Second)
+	status, _, h := s.request(0, http.MethodPost, "/pay/x", "p", time.Second)
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(h.Get(wire.HeaderReason), qt.Equals, string(wire.ReasonLeaving))
 	c.Assert(s.allRan(), qt.HasLen, 0)
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -20,13 +20,13 @@
 // bigSite is a site of two zones that are large enough to have followers, at its first start.
 func bigSite(t *testing.T) *site {
 	s := newMemorySite(t)
-	s.first = true
+	s.firstStart = true
 	for i := range bigZones * bigZone {
 		s.add("a", fmt.Sprint("z", i%bigZones), 10)
 	}
 	s.put(1)
-	s.settled(1)
-	s.first = false
+	s.waitUntilKnown(1)
+	s.firstStart = false
 	s.seeds = []string{s.at(s.base+"1", 0), s.at(s.base+"2", 0), s.at(s.base+"3", 0)}
 	time.Sleep(4 * time.Second)
 	return s
@@ -39,7 +39,7 @@
 // inForce tells after how long a version is in force at all nodes but those that are left out.
 func (s *site) inForce(version int64, left map[int]bool) time.Duration {
 	begun := time.Now()
-	s.until("the state is in force", func() bool {
+	s.waitFor("the state is in force", func() bool {
 		for i, n := range s.nodes {
 			if !left[i] && n.version() < version {
 				return false
@@ -190,7 +190,7 @@
 	c.Check(s.nodes[i].knownNodes.Load(), qt.Equals, int64(len(s.nodes)))
 	calls := s.store.called(readStateCall, followStateCall, readRecordsCall) - before
 	c.Check(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
-	s.beat(i, true)
+	s.heartbeat(i, true)
 	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("what is new is stored"))
 }
 
--- a/pkg/mesh/gone_server_test.go
+++ b/pkg/mesh/gone_server_test.go
@@ -21,10 +21,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := deepSite(t)
-		s.network.slowDown(100 * time.Microsecond)
+		s.network.setDialTime(100 * time.Microsecond)
 		s.addDeep("floor", "z1", floorSlots) // near callers, which try it first
 		gone := s.servers[len(s.servers)-1]
-		s.settled(1)
+		s.waitUntilKnown(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		var k callers
 		k.ask(ctx, s)
@@ -72,7 +72,7 @@
 			s.askRead(gone)
 		}
 		c.Check(s.nodes[gone].serverNotListening.Load(), qt.IsTrue)
-		s.beat(gone, false)
+		s.heartbeat(gone, false)
 		c.Check(s.nodes[gone].serverNotListening.Load(), qt.IsFalse)
 	})
 }
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s, gone := oneOfTwoGone(t)
-		s.servers[0].work = 100 * time.Millisecond
+		s.servers[0].workTime = 100 * time.Millisecond
 		time.Sleep(learnedWait) // what comes before waits, and goes on at once
 		const reads = 600
 		var asking sync.WaitGroup
@@ -103,12 +103,12 @@
 // oneOfTwoGone is a site of two servers of which one isn't there, though its record says that it serves.
 func oneOfTwoGone(t *testing.T) (s *site, gone int) {
 	s = newMemorySite(t)
-	s.network.slowDown(100 * time.Microsecond)
+	s.network.setDialTime(100 * time.Microsecond)
 	s.seeds = []string{s.at(s.base+"1", 2)}
 	s.add("a", "z0", 10)
 	s.add("a", "z0", 10)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	gone = 1
 	s.servers[gone].srv.Close()
 	return s, gone
@@ -116,6 +116,6 @@
 
 // askRead sends a read to a node.
 func (s *site) askRead(i int) int {
-	status, _, _ := s.ask(i%len(s.nodes), http.MethodGet, "/read/x", fmt.Sprint("r", time.Now().UnixNano()), time.Second)
+	status, _, _ := s.request(i%len(s.nodes), http.MethodGet, "/read/x", fmt.Sprint("r", time.Now().UnixNano()), time.Second)
 	return status
 }
--- a/pkg/mesh/gone_test.go
+++ b/pkg/mesh/gone_test.go
@@ -24,16 +24,16 @@
 		s.store.put(desired.State{Version: 1, Routes: []desired.Route{
 			route("top", desired.Repeatable, "top"), route("middle", desired.Repeatable, "middle"), route("bottom", desired.Repeatable, "bottom"),
 		}})
-		s.settled(1)
+		s.waitUntilKnown(1)
 		begun, ended := make(chan time.Time, 1), make(chan time.Time, 1)
 		next := map[string]string{"top": "/middle/x", "middle": "/bottom/x"}
 		s.handleAll(func(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 			if path := next[f.service]; path != "" {
-				req, _ := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+f.out+path, nil)
+				req, _ := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+f.outboundAddr+path, nil)
 				req.Host = "h"
 				req.Header.Set(testNames.AttemptID, "call-"+f.service)
 				req.Header.Set(testNames.TimeLeft, "5000")
-				if res, err := f.ways.Do(req); err == nil {
+				if res, err := f.client.Do(req); err == nil {
 					res.Body.Close()
 				}
 				return
@@ -42,7 +42,7 @@
 			<-r.Context().Done()
 			ended <- time.Now()
 		})
-		req, _ := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+s.servers[0].out+"/top/x", nil)
+		req, _ := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+s.servers[0].outboundAddr+"/top/x", nil)
 		req.Host = "h"
 		req.Header.Set(testNames.AttemptID, "q")
 		req.Header.Set(testNames.TimeLeft, "5000")
@@ -55,7 +55,7 @@
 		took := (<-ended).Sub(left)
 		c.Assert(took < 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v after the client left", took))
 		for _, f := range s.servers {
-			f.ways.CloseIdleConnections()
+			f.client.CloseIdleConnections()
 		}
 	})
 }
--- a/pkg/mesh/innocent_kinds_test.go
+++ b/pkg/mesh/innocent_kinds_test.go
@@ -130,7 +130,7 @@
 			p.sent = append(p.sent, time.Now())
 			p.mu.Unlock()
 			p.work.Go(func() {
-				p.ask(rand.N(poisonEntries), http.MethodGet, poisonPath, fmt.Sprint("p", rand.Uint64()), 2*time.Second)
+				p.request(rand.N(poisonEntries), http.MethodGet, poisonPath, fmt.Sprint("p", rand.Uint64()), 2*time.Second)
 			})
 		}
 	})
@@ -155,7 +155,7 @@
 // askKind sends one sound request.
 func (p *innocentPlay) askKind(k *soundKind, path string) {
 	sent := time.Now()
-	status, _, h := p.ask(rand.N(poisonEntries), http.MethodGet, path, fmt.Sprint("s", rand.Uint64()), 2*time.Second)
+	status, _, h := p.request(rand.N(poisonEntries), http.MethodGet, path, fmt.Sprint("s", rand.Uint64()), 2*time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k.note(sent, status, wire.Reason(h.Get(wire.HeaderReason)))
--- a/pkg/mesh/keep_learned.go
+++ b/pkg/mesh/keep_learned.go
@@ -110,10 +110,10 @@
 // storesForService tells whether this node is the first of those beside its service's servers: what nodes know together of a service one of them stores.
 func (n *Node) storesForService() bool {
 	v := n.view.Load()
-	if v.localRecord.Service == "" {
+	if v.localServer.Service == "" {
 		return false
 	}
-	for _, p := range v.services[v.localRecord.Service] {
+	for _, p := range v.services[v.localServer.Service] {
 		if p.host < n.ip {
 			return false
 		}
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/keep_learned_test.go
@@ -30,7 +30,7 @@
 	s.store.learned["a"] = loads.Learned{Service: "a", Calls: map[string]callgraph.Rates{"r": {"called": 4}}}
 	s.store.learned["b"] = loads.Learned{Service: "b", Calls: map[string]callgraph.Rates{"r": {"called": 9}}}
 	n, _ := s.add("a", "z", 10)
-	s.until("it is recalled", func() bool {
+	s.waitFor("it is recalled", func() bool {
 		n.stats.drop(time.Now(), n.stats.begin(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
@@ -41,7 +41,7 @@
 
 func TestOneNodeOfAServiceKeepsWhatWasLearned(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	keepers := 0
 	for _, n := range s.nodes {
 		if n.storesForService() {
@@ -83,13 +83,13 @@
 	known := directory.Record{Host: s.base + "1", Generation: 7, Instance: "i-" + s.base + "1", Service: "a", Zone: "z", Slots: 10, Phase: directory.Serving}
 	s.store.records[known.Host] = known
 	n, _ := s.add("a", "z", 10) // its heartbeat comes before the store's answer
-	s.until("it is recalled", func() bool { return n.view.Load().localRecord.Generation >= 7 })
+	s.waitFor("it is recalled", func() bool { return n.view.Load().localServer.Generation >= 7 })
 	time.Sleep(50 * time.Millisecond)
-	c.Assert(n.view.Load().localRecord, qt.Equals, known)
+	c.Assert(n.view.Load().localServer, qt.Equals, known)
 	c.Assert(s.store.writes(), qt.Equals, 0)
-	s.beat(0, true)
+	s.heartbeat(0, true)
 	c.Assert(s.store.writes(), qt.Equals, 1)
-	c.Assert(n.view.Load().localRecord.Generation, qt.Equals, int64(8))
+	c.Assert(n.view.Load().localServer.Generation, qt.Equals, int64(8))
 }
 
 // The node of a service's only server was restarted while the store was silent: nobody could tell it which calls its runs
@@ -101,7 +101,7 @@
 	top, _ := s.add("a", "z", 10)
 	low, _ := s.add("b", "z", 10)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a"), route("called", desired.Repeatable, "b")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	known := make(chan struct{})
 	top.enqueue(func() {
 		top.recallLearned("test", []loads.Learned{{
@@ -115,7 +115,7 @@
 	low.halt()
 	s.start(1)
 	low = s.nodes[1]
-	s.until("the restarted node knows the calls", func() bool { return low.isInner("called") })
+	s.waitFor("the restarted node knows the calls", func() bool { return low.isInner("called") })
 	c.Assert(low.knowledge.complete.Load(), qt.IsTrue)
 	low.stats.drop(time.Now(), low.stats.begin(time.Now(), "called", time.Now()))
 	low.stats.mu.Lock()
--- a/pkg/mesh/leaving_test.go
+++ b/pkg/mesh/leaving_test.go
@@ -15,28 +15,28 @@
 
 func TestADrainingServerGetsNothingFromAnyNode(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
-	s.beat(1, true)
+	s := newThreeServerSite(t)
+	s.heartbeat(1, true)
 	before := len(s.servers[1].ran())
 	for i := range 60 {
-		status, _, _ := s.ask(i%3, http.MethodPost, "/pay/x", fmt.Sprint("p", i), time.Second)
+		status, _, _ := s.request(i%3, http.MethodPost, "/pay/x", fmt.Sprint("p", i), time.Second)
 		c.Assert(status, qt.Equals, 200)
 	}
 	c.Assert(s.servers[1].ran(), qt.HasLen, before)
-	s.beat(1, false) // a heartbeat that was under way
-	s.ask(1, http.MethodPost, "/pay/x", "late", time.Second)
+	s.heartbeat(1, false) // a heartbeat that was under way
+	s.request(1, http.MethodPost, "/pay/x", "late", time.Second)
 	c.Assert(s.servers[1].ran(), qt.HasLen, before)
 }
 
-func TestLeavingIsAcknowledgedWithinASecondWithoutTheStore(t *testing.T) {
+func TestDrainIsAcknowledgedWithinASecondWithoutTheStore(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	s.store.setDown(true)
 	begun := time.Now()
-	s.beat(2, true)
+	s.heartbeat(2, true)
 	c.Assert(time.Since(begun) < 900*time.Millisecond, qt.IsTrue)
 	s.store.setDown(false)
-	s.until("the record is stored after the outage", func() bool {
+	s.waitFor("the record is stored after the outage", func() bool {
 		s.store.mu.Lock()
 		defer s.store.mu.Unlock()
 		return s.store.records[s.servers[2].ip].Phase.String() == "draining"
@@ -45,12 +45,12 @@
 }
 
 // A planned stop answers what is in progress and what comes on open connections.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopAnswersRequestsInFlight(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
-	s.servers[0].work = 400 * time.Millisecond
-	s.servers[1].work = 400 * time.Millisecond
-	s.servers[2].work = 400 * time.Millisecond
+	s := newThreeServerSite(t)
+	s.servers[0].workTime = 400 * time.Millisecond
+	s.servers[1].workTime = 400 * time.Millisecond
+	s.servers[2].workTime = 400 * time.Millisecond
 	ends := make(chan int, 1000)
 	stop := make(chan struct{})
 	for w := range 8 {
@@ -62,7 +62,7 @@
 					return
 				default:
 				}
-				status, why, _ := s.ask(0, http.MethodPost, "/pay/x", fmt.Sprintf("w%d.%d", w, i), 5*time.Second)
+				status, why, _ := s.request(0, http.MethodPost, "/pay/x", fmt.Sprintf("w%d.%d", w, i), 5*time.Second)
 				if status == 0 {
 					t.Log(why)
 				}
@@ -93,9 +93,9 @@
 
 // A stopping node ended as soon as nothing was in progress: beside a busy machine's load a client that had just got its
 // answer and came back found a closed port, or a connection that was closed unread.
-func TestAClientThatComesBackAtTheEndIsStillAnswered(t *testing.T) {
+func TestReturningClientIsAnsweredBeforeStopEnds(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	done := make(chan error, 1)
 	go func() { done <- s.nodes[0].Stop(context.Background()) }()
 	time.Sleep(clientServingTime - 200*time.Millisecond)
@@ -103,33 +103,33 @@
 		time.Sleep(400 * time.Millisecond)
 		fmt.Fprint(w, "ok")
 	})
-	status, _, _ := s.ask(0, http.MethodPost, "/pay/x", "last", 5*time.Second)
+	status, _, _ := s.request(0, http.MethodPost, "/pay/x", "last", 5*time.Second)
 	c.Assert(status, qt.Equals, http.StatusOK)
 	time.Sleep(idleBeforeEnd / 2)
-	status, why, _ := s.ask(0, http.MethodPost, "/pay/x", "again", 5*time.Second)
+	status, why, _ := s.request(0, http.MethodPost, "/pay/x", "again", 5*time.Second)
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", why))
 	c.Assert(<-done, qt.IsNil)
 }
 
 // A stopping node once took its peers' requests until its end, and cut those that were in progress then.
-func TestAStoppingNodeSendsItsPeersElsewhere(t *testing.T) {
+func TestStoppingNodeRejectsPeerRequests(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.add("a", "z", 10)
 	s.add("b", "z", 10)
-	s.servers[0].work = 3 * time.Second
+	s.servers[0].workTime = 3 * time.Second
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("pay", desired.Once, "a")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	long := make(chan int, 1)
 	go func() {
-		status, _, _ := s.ask(1, http.MethodPost, "/pay/x", "long", 10*time.Second)
+		status, _, _ := s.request(1, http.MethodPost, "/pay/x", "long", 10*time.Second)
 		long <- status
 	}()
-	s.until("the long request runs", func() bool { return len(s.servers[0].ran()) == 1 })
+	s.waitFor("the long request runs", func() bool { return len(s.servers[0].ran()) == 1 })
 	done := make(chan error, 1)
 	go func() { done <- s.nodes[0].Stop(context.Background()) }()
-	s.until("peers are refused", func() bool {
-		status, _, h := s.ask(1, http.MethodPost, "/pay/x", "late", 300*time.Millisecond)
+	s.waitFor("peers are refused", func() bool {
+		status, _, h := s.request(1, http.MethodPost, "/pay/x", "late", 300*time.Millisecond)
 		return status == http.StatusServiceUnavailable && h.Get(wire.HeaderReason) == string(wire.ReasonLeaving)
 	})
 	c.Assert(<-long, qt.Equals, http.StatusOK)
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -37,9 +37,9 @@
 // clientServer returns the server for clients and the backend server on this VM.
 func (n *Node) clientServer(addr string) *http.Server {
 	s := n.newServer(addr, n.outboundHandler())
-	n.clientConns.SetMost(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
-	n.clientConns.Closed = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
-	s.ConnState = n.clientConns.Follow
+	n.clients.SetMost(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
+	n.clients.Closed = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
+	s.ConnState = n.clients.Follow
 	return s
 }
 
--- a/pkg/mesh/log_lines_test.go
+++ b/pkg/mesh/log_lines_test.go
@@ -16,8 +16,8 @@
 	"github.com/rockspoke/rockspoke/pkg/docpage"
 )
 
-// logParts are the loggers' fields and the prefixes of their lines.
-var logParts = map[string]string{"callLog": "call", "controlLog": "control"}
+// loggerPrefixes are the loggers' fields and the prefixes of their lines.
+var loggerPrefixes = map[string]string{"callLog": "call", "controlLog": "control"}
 
 // TestPageHasEveryLogLineAndItsFields compares docs/LOGS.md with the calls in the code.
 func TestPageHasEveryLogLineAndItsFields(t *testing.T) {
@@ -32,7 +32,7 @@
 		f, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
 		c.Assert(err, qt.IsNil)
 		ast.Inspect(f, func(n ast.Node) bool {
-			if line, ok := logLine(n); ok {
+			if line, ok := pageCells(n); ok {
 				found[line] = true
 			}
 			return true
@@ -54,8 +54,8 @@
 	}
 }
 
-// logLine returns the page's first cells for a call that writes a line.
-func logLine(n ast.Node) (string, bool) {
+// pageCells returns the page's first cells for a call that writes a line.
+func pageCells(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
 		return "", false
@@ -65,7 +65,7 @@
 		return "", false
 	}
 	x, ok := sel.X.(*ast.SelectorExpr)
-	if !ok || logParts[x.Sel.Name] == "" || len(call.Args) == 0 || sel.Sel.Name == "Handler" {
+	if !ok || loggerPrefixes[x.Sel.Name] == "" || len(call.Args) == 0 || sel.Sel.Name == "Handler" {
 		return "", false
 	}
 	msg, err := strconv.Unquote(call.Args[0].(*ast.BasicLit).Value)
@@ -80,5 +80,5 @@
 		}
 	}
 	slices.Sort(fields)
-	return fmt.Sprintf("| `%s: %s` | %s | %s", logParts[x.Sel.Name], msg, strings.ToLower(sel.Sel.Name), strings.Join(fields, ", ")), true
+	return fmt.Sprintf("| `%s: %s` | %s | %s", loggerPrefixes[x.Sel.Name], msg, strings.ToLower(sel.Sel.Name), strings.Join(fields, ", ")), true
 }
--- a/pkg/mesh/many_servers_test.go
+++ b/pkg/mesh/many_servers_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	return s
 }
 
@@ -56,7 +56,7 @@
 		asking.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
 				asking.Go(func() {
-					status, _, _ := s.ask(i, http.MethodGet, "/read/x", fmt.Sprintf("c%d.%d", i, k), 6*time.Second)
+					status, _, _ := s.request(i, http.MethodGet, "/read/x", fmt.Sprintf("c%d.%d", i, k), 6*time.Second)
 					if status != http.StatusOK {
 						failed.Add(1)
 					}
--- a/pkg/mesh/memory_network_test.go
+++ b/pkg/mesh/memory_network_test.go
@@ -14,11 +14,11 @@
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	// cut tells whether a VM can't reach an address; connections that are open stay.
-	cut      func(ip, addr string) bool
-	dialTime time.Duration // that a connection, or its refusal, takes
+	// unreachable tells whether a VM can't reach an address; connections that are open stay.
+	unreachable func(ip, addr string) bool
+	dialTime    time.Duration // that a connection, or its refusal, takes
 
-	open []*memoryConn // the sides that called
+	dialed []*memoryConn // the sides that called
 }
 
 // memoryAddr is an address on it.
@@ -31,18 +31,18 @@
 type memoryConn struct {
 	net.Conn
 	local, remote memoryAddr
-	lost          *atomic.Bool // the connection has gone silent: nothing that one side sends, its end included, reaches the other
+	unresponsive  *atomic.Bool // the connection has gone silent: nothing that one side sends, its end included, reaches the other
 }
 
 func (c *memoryConn) Write(b []byte) (int, error) {
-	if c.lost.Load() {
+	if c.unresponsive.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 func (c *memoryConn) Close() error {
-	if c.lost.Load() {
+	if c.unresponsive.Load() {
 		return c.SetDeadline(time.Unix(1, 0))
 	}
 	return c.Conn.Close()
@@ -53,18 +53,18 @@
 
 // memoryListener takes connections to one address.
 type memoryListener struct {
-	network *memoryNetwork
-	addr    memoryAddr
-	came    chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
+	network  *memoryNetwork
+	addr     memoryAddr
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 func (l *memoryListener) Addr() net.Addr { return l.addr }
 
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.came:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -91,7 +91,7 @@
 	if w.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
-	l := &memoryListener{network: w, addr: memoryAddr(addr), came: make(chan net.Conn), closed: make(chan struct{})}
+	l := &memoryListener{network: w, addr: memoryAddr(addr), incoming: make(chan net.Conn), closed: make(chan struct{})}
 	w.listeners[addr] = l
 	return l, nil
 }
@@ -104,7 +104,7 @@
 	time.Sleep(wait)
 	w.mu.Lock()
 	l := w.listeners[addr]
-	away := w.cut != nil && w.cut(ip, addr)
+	away := w.unreachable != nil && w.unreachable(ip, addr)
 	w.mu.Unlock()
 	if l == nil || away {
 		return nil, syscall.ECONNREFUSED
@@ -113,11 +113,11 @@
 	a, b := net.Pipe()
 	lost := &atomic.Bool{}
 	select {
-	case l.came <- &memoryConn{Conn: b, local: l.addr, remote: from, lost: lost}:
-		c := &memoryConn{Conn: a, local: from, remote: l.addr, lost: lost}
+	case l.incoming <- &memoryConn{Conn: b, local: l.addr, remote: from, unresponsive: lost}:
+		c := &memoryConn{Conn: a, local: from, remote: l.addr, unresponsive: lost}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.open = append(w.open, c)
+		w.dialed = append(w.dialed, c)
 		return c, nil
 	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
@@ -126,20 +126,20 @@
 	}
 }
 
-// slowDown has connections take a time.
-func (w *memoryNetwork) slowDown(dialTime time.Duration) {
+// setDialTime has connections take a time.
+func (w *memoryNetwork) setDialTime(dialTime time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dialTime = dialTime
 }
 
-// silence makes the open connections to addresses silent for good; new ones work.
-func (w *memoryNetwork) silence(to func(addr string) bool) {
+// makeUnresponsive makes the open connections to addresses silent for good; new ones work.
+func (w *memoryNetwork) makeUnresponsive(to func(addr string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range w.open {
+	for _, c := range w.dialed {
 		if to(c.remote.String()) {
-			c.lost.Store(true)
+			c.unresponsive.Store(true)
 		}
 	}
 }
--- a/pkg/mesh/mesh_test.go
+++ b/pkg/mesh/mesh_test.go
@@ -19,16 +19,16 @@
 		s.add([]string{"a", "b"}[i%2], "z", 10)
 	}
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("ra", desired.Repeatable, "a"), route("rb", desired.Once, "b")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	for i := range s.nodes {
-		status, body, _ := s.ask(i, http.MethodGet, "/ra/x", fmt.Sprint("g", i), time.Second)
+		status, body, _ := s.request(i, http.MethodGet, "/ra/x", fmt.Sprint("g", i), time.Second)
 		c.Assert(status, qt.Equals, 200)
 		c.Assert(body, qt.Equals, fmt.Sprintf("a g%d", i))
-		status, body, _ = s.ask(i, http.MethodPost, "/rb/x", fmt.Sprint("p", i), time.Second)
+		status, body, _ = s.request(i, http.MethodPost, "/rb/x", fmt.Sprint("p", i), time.Second)
 		c.Assert(status, qt.Equals, 200)
 		c.Assert(body, qt.Equals, fmt.Sprintf("b p%d", i))
 	}
-	status, _, _ := s.ask(0, http.MethodGet, "/other/x", "n", time.Second)
+	status, _, _ := s.request(0, http.MethodGet, "/other/x", "n", time.Second)
 	c.Assert(status, qt.Equals, 404)
 }
 
@@ -45,7 +45,7 @@
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
 		route("top", desired.Repeatable, "top"), route("mid", desired.Repeatable, "mid"), route("low", desired.Repeatable, "low"),
 	}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	served, k := 0, 0
@@ -61,7 +61,7 @@
 				if n > b.N {
 					return
 				}
-				if status, _, _ := s.ask(n%5, http.MethodGet, "/top/x", fmt.Sprint(n), 5*time.Second); status == 200 {
+				if status, _, _ := s.request(n%5, http.MethodGet, "/top/x", fmt.Sprint(n), 5*time.Second); status == 200 {
 					mu.Lock()
 					served++
 					mu.Unlock()
@@ -75,14 +75,14 @@
 
 // A node that had just started knew no servers yet, and refused the calls of the backend server beside it,
 // whose runs then failed.
-func TestANodeThatHasJustStartedAsksBeforeItRefuses(t *testing.T) {
+func TestStartingNodeWaitsBeforeRefusing(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.add("b", "z", 10)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("rb", desired.Once, "b")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	s.store.setDelay(150 * time.Millisecond)
 	s.add("a", "z", 10)
-	status, body, _ := s.ask(1, http.MethodPost, "/rb/x", "p", 3*time.Second)
+	status, body, _ := s.request(1, http.MethodPost, "/rb/x", "p", 3*time.Second)
 	c.Assert(status, qt.Equals, 200, qt.Commentf("%s", body))
 }
--- a/pkg/mesh/network_test.go
+++ b/pkg/mesh/network_test.go
@@ -17,15 +17,15 @@
 	"github.com/rockspoke/rockspoke/pkg/httpconn"
 )
 
-// deafListener takes TCP connections that can be made to go silent: the kernel drops what comes on them, so that nothing is
+// droppingListener takes TCP connections that can be made to go silent: the kernel drops what comes on them, so that nothing is
 // acknowledged either.
-type deafListener struct {
+type droppingListener struct {
 	net.Listener
 	mu    sync.Mutex
 	conns []*net.TCPConn
 }
 
-func (l *deafListener) Accept() (net.Conn, error) {
+func (l *droppingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.mu.Lock()
@@ -35,8 +35,8 @@
 	return c, err
 }
 
-// silence makes all connections go silent that are open.
-func (l *deafListener) silence(c *qt.C) {
+// dropIncoming makes all connections go silent that are open.
+func (l *droppingListener) dropIncoming(c *qt.C) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	drop := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K}}
@@ -51,23 +51,23 @@
 	}
 }
 
-// serveDeaf serves on such connections.
-func serveDeaf(t *testing.T, h http.HandlerFunc) *deafListener {
+// serveDropping serves on such connections.
+func serveDropping(t *testing.T, h http.HandlerFunc) *droppingListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.New(t).Assert(err, qt.IsNil)
-	l := &deafListener{Listener: ln}
+	l := &droppingListener{Listener: ln}
 	srv := &http.Server{Handler: h}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
 	return l
 }
 
-// deadBound is how long a connection that is silent on TCP is used, with a margin for a busy machine.
-const deadBound = deadConnDetectTime + 3*time.Second
+// maxDeadConnUse is how long a connection that is silent on TCP is used, with a margin for a busy machine.
+const maxDeadConnUse = deadConnDetectTime + 3*time.Second
 
-func TestAKeptConnectionThatGoesSilentOnTCPIsNotUsedForLong(t *testing.T) {
+func TestUnresponsiveTCPConnectionIsDropped(t *testing.T) {
 	c := qt.New(t)
-	l := serveDeaf(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
+	l := serveDropping(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	dial := Network{}.dialFunc("127.0.0.1", l.Addr().String(), time.Second)
 	p := &httpconn.Pool{Dial: dial, Clock: clock.Real{}, Idle: time.Minute}
 	t.Cleanup(p.Close)
@@ -81,13 +81,13 @@
 		return err
 	}
 	c.Assert(get(), qt.IsNil)
-	l.silence(c)
+	l.dropIncoming(c)
 	begun := time.Now()
 	c.Assert(get(), qt.IsNotNil) // sent on it: nothing is acknowledged
-	c.Assert(time.Since(begun) < deadBound, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
+	c.Assert(time.Since(begun) < maxDeadConnUse, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 	c.Assert(get(), qt.IsNil)
-	l.silence(c)
-	for begun := time.Now(); time.Since(begun) < deadBound; {
+	l.dropIncoming(c)
+	for begun := time.Now(); time.Since(begun) < maxDeadConnUse; {
 		time.Sleep(deadConnDetectTime + 500*time.Millisecond) // it rests, and is found dead meanwhile
 		if get() == nil {
 			return
@@ -97,7 +97,7 @@
 }
 
 // When the time of one call to the store is up, the next one goes on a new connection.
-func TestOneCallFailsWhenConnectionsToTheStoreGoSilent(t *testing.T) {
+func TestOnlyOneStoreCallFailsOnUnresponsiveConnections(t *testing.T) {
 	c := qt.New(t)
 	together := make(chan struct{})
 	var arrive sync.WaitGroup
@@ -106,7 +106,7 @@
 		arrive.Wait()
 		close(together)
 	}()
-	l := serveDeaf(t, func(w http.ResponseWriter, r *http.Request) {
+	l := serveDropping(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/together" {
 			arrive.Done()
 			<-together // so that each has a connection of its own
@@ -131,7 +131,7 @@
 		calls.Go(func() { c.Check(call("/together", time.Minute), qt.IsNil) })
 	}
 	calls.Wait()
-	l.silence(c)
+	l.dropIncoming(c)
 	c.Assert(call("/", 300*time.Millisecond), qt.IsNotNil)
 	c.Assert(call("/", time.Minute), qt.IsNil)
 	l.mu.Lock()
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -48,7 +48,7 @@
 		return
 	}
 	far := n.leavesStateToFollowers() && n.state.Load() != nil && !n.peer(host).sameZone.Load()
-	w := &n.control.newerState
+	w := &n.control.newer
 	switch {
 	case far && (version > w.version || w.version <= n.version()):
 		*w = newerState{version: version, host: host, far: true, due: now.Add(farStateWait)}
@@ -60,7 +60,7 @@
 
 // fetchNewer asks for the newer state once that is due, and again until it is here.
 func (n *Node) fetchNewer(now time.Time) {
-	w := &n.control.newerState
+	w := &n.control.newer
 	if w.version <= n.version() || w.tries >= fetchTries || now.Before(w.due) {
 		return
 	}
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -80,7 +80,7 @@
 		a := newAsking()
 		a.wantState(time.Now(), "near", 2)
 		a.after(time.Second)
-		c.Assert(a.control.newerState.tries, qt.Equals, fetchTries)
+		c.Assert(a.control.newer.tries, qt.Equals, fetchTries)
 		c.Assert(a.after(time.Second), qt.HasLen, 0, qt.Commentf("it may be gone"))
 		a.peer("other").sameZone.Store(true)
 		a.wantState(time.Now(), "other", 2)
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -64,7 +64,7 @@
 	timeLimits         clock.Limits    // of requests in progress
 	peerRequests       awaited.Present // requests of other nodes that are here
 	serverNotListening atomic.Bool     // the server on this VM has ended and wasn't heard since
-	clientConns        clientconns.Connections
+	clients            clientconns.Connections
 
 	peersMu sync.Mutex
 	peers   map[string]*peer
@@ -83,7 +83,7 @@
 // view is what requests see of the control state.
 type view struct {
 	services    map[string][]*peer // servers that take work, by service
-	localRecord directory.Record
+	localServer directory.Record
 }
 
 // New returns a node that isn't started.
@@ -105,7 +105,7 @@
 	n.control.reports = make(map[string]*heldReport)
 	n.control.expiredReports = make(map[string]*heldReport)
 	n.control.zoneLoads = make(map[string]*zoneLoad)
-	n.control.logged = loggedLines{calls: make(map[string]callgraph.Rates), shareGauges: make(map[string]bool)}
+	n.control.logged = loggedLines{calls: make(map[string]callgraph.Rates), shares: make(map[string]bool)}
 	n.records.init()
 	n.stats.init()
 	n.stats.learner.CallsAreOnTime = n.off[settings.LateCalls]
--- a/pkg/mesh/packed_headers_test.go
+++ b/pkg/mesh/packed_headers_test.go
@@ -20,7 +20,7 @@
 	s.add("front", "z1", 10)
 	_, far := s.add("back", "z2", 10)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "back")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	var mu sync.Mutex
 	var got http.Header
 	far.handle = func(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,7 @@
 	}
 	for i := range 5 {
 		id := fmt.Sprint("id-", i)
-		status, body, h := s.ask(0, http.MethodGet, "/read/x", id, 2*time.Second)
+		status, body, h := s.request(0, http.MethodGet, "/read/x", id, 2*time.Second)
 		c.Assert(status, qt.Equals, http.StatusCreated)
 		c.Assert(body, qt.Equals, "body")
 		c.Assert(h.Get(testNames.AttemptID), qt.Equals, id)
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -30,7 +30,7 @@
 	mu              sync.Mutex
 	zone            string
 	load            serverLoad
-	unanswered      unansweredSends
+	unansweredSends unansweredSends
 	failures        int
 	backedOffUntil  time.Time
 	lifetime        string    // of the server, as its record says
@@ -45,7 +45,7 @@
 	otherRequests int64 // running and queued, without those of this node
 	limit         float64
 	slowdown      float64
-	successRate   float64 // share of good answers
+	success       float64 // share of good answers
 	receivedAt    time.Time
 }
 
@@ -138,7 +138,7 @@
 	defer p.mu.Unlock()
 	p.load = serverLoad{
 		otherRequests: max(int64(r.Running+r.Queued)-p.inflight.Load(), 0),
-		limit:         float64(r.Limit), slowdown: float64(r.Pace) / 100, successRate: float64(r.Success) / 100, receivedAt: now,
+		limit:         float64(r.Limit), slowdown: float64(r.Pace) / 100, success: float64(r.Success) / 100, receivedAt: now,
 	}
 	p.endBackoff()
 	p.setStopping(now, r.Stopping)
@@ -178,7 +178,7 @@
 
 // endBackoff takes the peer for one that was just heard; p.mu is held.
 func (p *peer) endBackoff() {
-	p.failures, p.backedOffUntil, p.unanswered = 0, time.Time{}, unansweredSends{}
+	p.failures, p.backedOffUntil, p.unansweredSends = 0, time.Time{}, unansweredSends{}
 }
 
 // backOff sets the peer aside for a growing time; it reports whether it was in use before.
@@ -226,15 +226,15 @@
 // loadEstimate is what is believed of a peer's server.
 type loadEstimate struct {
 	utilization float64 // 1 when every slot that counts is taken
-	successRate float64 // share of good answers
+	success     float64 // share of good answers
 	slowdown    float64 // time that requests hold a slot, as a multiple of what their kinds do at any server; 0: not known
 }
 
-// estimate returns what is believed now; news that is too old says nothing.
-func (p *peer) estimate(now time.Time) loadEstimate {
+// loadEstimate returns what is believed now; news that is too old says nothing.
+func (p *peer) loadEstimate(now time.Time) loadEstimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := loadEstimate{successRate: 1}
+	e := loadEstimate{success: 1}
 	capacity := float64(p.slots.Load())
 	others := int64(0)
 	if p.load.limit > 0 {
@@ -242,7 +242,7 @@
 	}
 	if now.Sub(p.load.receivedAt) < maxLoadAge {
 		others = p.load.otherRequests
-		e.successRate = max(p.load.successRate, minSuccessRate)
+		e.success = max(p.load.success, minSuccessRate)
 		e.slowdown = p.load.slowdown
 	}
 	e.utilization = float64(p.inflight.Load()+others+1) / max(capacity, 1)
--- a/pkg/mesh/poison_request_test.go
+++ b/pkg/mesh/poison_request_test.go
@@ -161,7 +161,7 @@
 		p.store.put(desired.State{Version: 2, Routes: []desired.Route{
 			route("read", desired.Repeatable, "a"), route("top", desired.Repeatable, "e"),
 		}})
-		p.settled(2)
+		p.waitUntilKnown(2)
 		p.askFor("/top/x", 5*time.Second, 8, 0, 1, 2)
 		p.finish()
 		p.poison[poisonPath].check(c)
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -97,14 +97,14 @@
 	r := route("read", desired.Repeatable, "a")
 	r.MaxAttempts, r.Timeout = 2, 2*time.Second
 	p.store.put(desired.State{Version: 1, Routes: []desired.Route{r}})
-	p.settled(1)
+	p.waitUntilKnown(1)
 	return p
 }
 
 // addFor adds a node beside a server of the service in one of three zones.
 func (p *poisonSite) addFor(service string, i int, serve func(*fakeServer, http.ResponseWriter, *http.Request)) {
 	_, f := p.add(service, fmt.Sprint("z", i%3), poisonSlots)
-	p.t.Cleanup(f.ways.CloseIdleConnections)
+	p.t.Cleanup(f.client.CloseIdleConnections)
 	if serve != nil {
 		f.handle = func(w http.ResponseWriter, r *http.Request) { serve(f, w, r) }
 	}
@@ -120,7 +120,7 @@
 		if p.endServer(f, life) {
 			p.noteEnded(path)
 		}
-		cutOff(w) // a server that has ended answers nothing, not even a copy that ran there in the same instant
+		closeConnection(w) // a server that has ended answers nothing, not even a copy that ran there in the same instant
 		return
 	}
 	time.Sleep(around(readWork))
@@ -145,18 +145,18 @@
 		f.srv = next
 		if p.sameID {
 			f.born.Store(time.Now().UnixMilli())
-			f.seq.Store(0)
+			f.heartbeatSeq.Store(0)
 		} else {
 			f.instance = fmt.Sprintf("i-%s-%d", f.ip, life+1)
 		}
 		f.mu.Unlock()
-		ln, err := p.wire().listen(next.Addr)
+		ln, err := p.nodeNetwork().listen(next.Addr)
 		if err != nil {
 			p.t.Error(err)
 			return
 		}
 		go next.Serve(ln)
-		p.beat(slices.Index(p.servers, f), false)
+		p.heartbeat(slices.Index(p.servers, f), false)
 		f.down.Store(false)
 	})
 	return true
@@ -170,7 +170,7 @@
 	for i := range int(span.Seconds() * readsPerS) {
 		p.work.Go(func() {
 			second := int(time.Since(p.from) / time.Second)
-			status, _, _ := p.ask(i%poisonEntries, http.MethodGet, path(i), fmt.Sprint("r", i, "-", second), 2*time.Second)
+			status, _, _ := p.request(i%poisonEntries, http.MethodGet, path(i), fmt.Sprint("r", i, "-", second), 2*time.Second)
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			c := p.reads[second]
@@ -203,7 +203,7 @@
 			if p.queries && i%2 == 1 {
 				uri += fmt.Sprint("?page=", i)
 			}
-			p.ask(entries[i%len(entries)], http.MethodGet, uri, fmt.Sprint(path, i), 2*time.Second)
+			p.request(entries[i%len(entries)], http.MethodGet, uri, fmt.Sprint(path, i), 2*time.Second)
 		})
 		time.Sleep(time.Second / time.Duration(perS))
 	}
@@ -248,7 +248,7 @@
 	cut := &atomic.Bool{}
 	cut.Store(true)
 	p.network.mu.Lock()
-	p.network.cut = func(ip, addr string) bool {
+	p.network.unreachable = func(ip, addr string) bool {
 		host, _, _ := net.SplitHostPort(addr)
 		from, to := zones[ip], zones[host]
 		return cut.Load() && from != "" && to != "" && (from == zone) != (to == zone)
--- a/pkg/mesh/quota_start_test.go
+++ b/pkg/mesh/quota_start_test.go
@@ -20,7 +20,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := teamSite(t, 3, 4, 5*time.Second)
+		s := newTeamSite(t, 3, 4, 5*time.Second)
 		const teams = 30
 		s.store.put(teamState(1, func(st *desired.State) {
 			st.Teams = []desired.Team{{Name: "unlimited", Keys: []desired.Key{"free"}}}
@@ -30,8 +30,8 @@
 				})
 			}
 		}))
-		s.settled(1)
-		s.awaitKeys("free")
+		s.waitUntilKnown(1)
+		s.waitUntilAccepted("free")
 		var mu sync.Mutex
 		var asking sync.WaitGroup
 		sent, answers := 0, map[string]int{}
--- a/pkg/mesh/replan_bench_test.go
+++ b/pkg/mesh/replan_bench_test.go
@@ -20,7 +20,7 @@
 	n.metrics.init()
 	n.state.Store(&desired.State{})
 	n.view.Store(&view{})
-	n.control.logged.shareGauges = map[string]bool{}
+	n.control.logged.shares = map[string]bool{}
 	n.control.reports, n.control.zoneLoads = map[string]*heldReport{}, map[string]*zoneLoad{}
 	for i := range 21 {
 		r := sampleReport(fmt.Sprint("10.0.0.", i))
--- a/pkg/mesh/rules_test.go
+++ b/pkg/mesh/rules_test.go
@@ -18,10 +18,10 @@
 
 func TestOnceOnlyWorkIsNotSentAgainAfterALostAnswer(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
-	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { cutOff(w) })
+	s := newThreeServerSite(t)
+	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
 	for i := range 6 {
-		status, _, h := s.ask(i%3, http.MethodPost, "/pay/x", fmt.Sprint("p", i), time.Second)
+		status, _, h := s.request(i%3, http.MethodPost, "/pay/x", fmt.Sprint("p", i), time.Second)
 		c.Assert(status, qt.Equals, http.StatusBadGateway)
 		c.Assert(h.Get("Retry-After"), qt.Equals, "")
 		c.Assert(h.Get(sealHeader), qt.Equals, "")
@@ -31,11 +31,11 @@
 
 func TestRepeatableWorkGoesOnAfterALostAnswerWithinTheBudget(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	var n atomic.Int64
 	s.handleAll(func(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 		if n.Add(1)%10 == 1 {
-			cutOff(w)
+			closeConnection(w)
 			return
 		}
 		w.Header().Set(sealHeader, "x")
@@ -43,16 +43,16 @@
 	})
 	served := 0
 	for i := range 60 {
-		if status, _, _ := s.ask(i%3, http.MethodGet, "/read/x", fmt.Sprint("g", i), time.Second); status == 200 {
+		if status, _, _ := s.request(i%3, http.MethodGet, "/read/x", fmt.Sprint("g", i), time.Second); status == 200 {
 			served++
 		}
 	}
 	c.Assert(served >= 58, qt.IsTrue, qt.Commentf("%d of 60", served))
 
-	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { cutOff(w) })
+	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { closeConnection(w) })
 	before := len(s.allRan())
 	for i := range 60 {
-		s.ask(i%3, http.MethodGet, "/read/x", fmt.Sprint("h", i), time.Second)
+		s.request(i%3, http.MethodGet, "/read/x", fmt.Sprint("h", i), time.Second)
 	}
 	repeats := len(s.allRan()) - before - 60
 	c.Assert(repeats <= 30, qt.IsTrue, qt.Commentf("%d repeats of 60", repeats))
@@ -60,7 +60,7 @@
 
 func TestAServersOwnRefusalIsNoRunAndIsTriedElsewhere(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	var refusals atomic.Int64
 	s.handleAll(func(f *fakeServer, w http.ResponseWriter, _ *http.Request) {
 		if f == s.servers[0] {
@@ -72,7 +72,7 @@
 		w.Header().Set(sealHeader, "x")
 		fmt.Fprint(w, "ok")
 	})
-	status, body, _ := s.ask(0, http.MethodPost, "/pay/x", "p", time.Second)
+	status, body, _ := s.request(0, http.MethodPost, "/pay/x", "p", time.Second)
 	c.Assert(status, qt.Equals, 200)
 	c.Assert(body, qt.Equals, "ok")
 	c.Assert(refusals.Load(), qt.Equals, int64(1))
@@ -81,7 +81,7 @@
 		w.Header().Set(testNames.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	status, _, h := s.ask(0, http.MethodPost, "/pay/x", "q", time.Second)
+	status, _, h := s.request(0, http.MethodPost, "/pay/x", "q", time.Second)
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	c.Assert(err, qt.IsNil)
@@ -91,7 +91,7 @@
 // An answer that carries another request's id, or that breaks off, never reaches a client.
 func TestSpoiltAnswersDontReachClients(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	for name, h := range map[string]func(w http.ResponseWriter){
 		"another id": func(w http.ResponseWriter) {
 			w.Header().Set(testNames.AttemptID, "other")
@@ -101,11 +101,11 @@
 			w.Header().Set("Content-Length", "100")
 			fmt.Fprint(w, "wrong")
 			w.(http.Flusher).Flush()
-			cutOff(w)
+			closeConnection(w)
 		},
 	} {
 		s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { h(w) })
-		status, body, _ := s.ask(1, http.MethodPost, "/pay/x", "p", time.Second)
+		status, body, _ := s.request(1, http.MethodPost, "/pay/x", "p", time.Second)
 		c.Assert(status, qt.Equals, http.StatusBadGateway, qt.Commentf("%s", name))
 		c.Assert(body, qt.Equals, "", qt.Commentf("%s", name))
 	}
@@ -113,13 +113,13 @@
 
 func TestAServersFailurePassesUnchanged(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(sealHeader, "sealed")
 		w.WriteHeader(http.StatusInternalServerError)
 		fmt.Fprint(w, "its text")
 	})
-	status, body, h := s.ask(1, http.MethodPost, "/pay/x", "p", time.Second)
+	status, body, h := s.request(1, http.MethodPost, "/pay/x", "p", time.Second)
 	c.Assert(status, qt.Equals, http.StatusInternalServerError)
 	c.Assert(body, qt.Equals, "its text")
 	c.Assert(h.Get(sealHeader), qt.Equals, "sealed")
@@ -128,9 +128,9 @@
 // A read that one server fails is read from another; once-only work isn't.
 func TestReadsAreRepeatedAfterAServersFailure(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
-	s.until("what a read costs is known", func() bool {
-		s.ask(0, http.MethodGet, "/read/x", "warm", time.Second)
+	s := newThreeServerSite(t)
+	s.waitFor("what a read costs is known", func() bool {
+		s.request(0, http.MethodGet, "/read/x", "warm", time.Second)
 		return s.nodes[0].plan.Load().runs["read"]["a"] > 0
 	})
 	s.handleAll(func(f *fakeServer, w http.ResponseWriter, _ *http.Request) {
@@ -140,9 +140,9 @@
 		}
 		fmt.Fprint(w, "text")
 	})
-	status, _, _ := s.ask(0, http.MethodGet, "/read/x", "g", time.Second)
+	status, _, _ := s.request(0, http.MethodGet, "/read/x", "g", time.Second)
 	c.Assert(status, qt.Equals, 200)
-	status, _, h := s.ask(0, http.MethodPost, "/pay/x", "p", time.Second)
+	status, _, h := s.request(0, http.MethodPost, "/pay/x", "p", time.Second)
 	c.Assert(status == 200 || h.Get(sealHeader) == s.servers[0].instance, qt.IsTrue)
 	for _, id := range s.allRan() {
 		c.Assert(id == "g" || id == "p" || id == "warm", qt.IsTrue)
@@ -160,25 +160,25 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		fmt.Fprint(w, "its text")
 	})
-	status, body, _ := s.ask(0, http.MethodGet, "/read/x", "g2", time.Second)
+	status, body, _ := s.request(0, http.MethodGet, "/read/x", "g2", time.Second)
 	c.Assert(status, qt.Equals, http.StatusInternalServerError)
 	c.Assert(body, qt.Equals, "its text")
 }
 
 func TestARoutesTimeoutEndsInAFinalAnswer(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	r := route("slow", desired.Once, "a")
 	r.Timeout = 150 * time.Millisecond
 	s.store.put(desired.State{Version: 2, Routes: []desired.Route{r}})
-	s.settled(2)
+	s.waitUntilKnown(2)
 	given := make(chan string, 1)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, r *http.Request) {
 		given <- r.Header.Get(testNames.TimeLeft)
 		<-r.Context().Done()
 	})
 	begun := time.Now()
-	status, _, _ := s.ask(0, http.MethodPost, "/slow/x", "p", 5*time.Second)
+	status, _, _ := s.request(0, http.MethodPost, "/slow/x", "p", 5*time.Second)
 	c.Assert(status, qt.Equals, http.StatusGatewayTimeout)
 	c.Assert(time.Since(begun) < 600*time.Millisecond, qt.IsTrue)
 	left, err := strconv.Atoi(<-given)
@@ -187,7 +187,7 @@
 }
 
 func TestAClientThatLeavesEndsTheWork(t *testing.T) {
-	s := three(t)
+	s := newThreeServerSite(t)
 	gone := make(chan struct{}, 1)
 	started := make(chan struct{}, 1)
 	s.handleAll(func(_ *fakeServer, _ http.ResponseWriter, r *http.Request) {
@@ -213,7 +213,7 @@
 
 func TestBodiesPassUnchangedLongOnesToo(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body) // whole, since this server discards what is unread once it writes
 		w.Header().Set(sealHeader, "x")
@@ -247,13 +247,13 @@
 	s.add("a", "z", 5)
 	s.add("b", "z", 5)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("r", desired.Repeatable, "b")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	seen := make(chan string, 1)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header.Get(testNames.Caller)
 		fmt.Fprint(w, "ok")
 	})
-	s.ask(0, http.MethodGet, "/r/x", "g", time.Second)
+	s.request(0, http.MethodGet, "/r/x", "g", time.Second)
 	c.Assert(<-seen, qt.Equals, "a")
 }
 
@@ -263,7 +263,7 @@
 	s.store.setDown(true)
 	n, _ := s.add("a", "z", 5)
 	c.Assert(n.Ready(), qt.IsFalse)
-	status, _, h := s.ask(0, http.MethodGet, "/r/x", "g", time.Second)
+	status, _, h := s.request(0, http.MethodGet, "/r/x", "g", time.Second)
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(h.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
@@ -271,9 +271,9 @@
 // A node that the store turns away hears of a change from its peers.
 func TestStatesTravelBetweenNodesAndNeverFall(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	s.nodes[0].takeState("test", mustState(t, desired.State{Version: 9, Routes: []desired.Route{route("new", desired.Once, "a")}}))
-	s.until("all have it", func() bool {
+	s.waitFor("all have it", func() bool {
 		for _, n := range s.nodes {
 			if n.state.Load().Version != 9 {
 				return false
--- a/pkg/mesh/server_end.go
+++ b/pkg/mesh/server_end.go
@@ -173,7 +173,7 @@
 // noteAway notes whether nobody is there beside this node.
 func (n *Node) noteAway(away bool) {
 	if n.serverNotListening.Swap(away) != away {
-		own := n.view.Load().localRecord
+		own := n.view.Load().localServer
 		n.callLog.Warn("own server", "away", away, "instance", own.Instance)
 		if away {
 			n.peer(n.ip).markServerCrashed(n.clock.Now(), own.LifeName())
@@ -182,7 +182,7 @@
 }
 
 // announced tells whether the server had said that it leaves: its end is no surprise then.
-func (b *backend) announced() bool { return b.n.view.Load().localRecord.Phase != directory.Serving }
+func (b *backend) announced() bool { return b.n.view.Load().localServer.Phase != directory.Serving }
 
 // hasEnded looks for the server. It has ended if nobody listens at its address any more and no run goes on: a server that
 // resets a connection, or all, takes a new one, and one that takes no more connections goes on with its runs. Who ends for
--- a/pkg/mesh/store_era_test.go
+++ b/pkg/mesh/store_era_test.go
@@ -21,19 +21,19 @@
 func testRecordsAreWrittenAgainAfterTheStoreCameBack(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
-	s.first = true
+	s.firstStart = true
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
 	s.store.copy() // before any node has written
 	for i := range 4 {
 		s.add("a", fmt.Sprint("z", i%2), 5)
 	}
-	s.settled(1)
-	s.until("all records are stored", func() bool { return s.store.stored() == 4 })
+	s.waitUntilKnown(1)
+	s.waitFor("all records are stored", func() bool { return s.store.stored() == 4 })
 	s.store.comeBack()
 	c.Assert(s.store.stored(), qt.Equals, 0)
 	s.store.put(desired.State{Version: 2, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.until("all records are stored again", func() bool { return s.store.stored() == 4 })
-	s.settled(2)
+	s.waitFor("all records are stored again", func() bool { return s.store.stored() == 4 })
+	s.waitUntilKnown(2)
 }
 
 // A change that is written under a version that was given out before the store came back is found all the same.
@@ -50,14 +50,14 @@
 		s.store.put(desired.State{Version: version, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
 	}
 	put(1)
-	s.settled(1)
+	s.waitUntilKnown(1)
 	s.store.copy()
 	put(2)
 	put(3)
-	s.settled(3)
+	s.waitUntilKnown(3)
 	s.store.comeBack()
 	put(4) // the store's version of this row is that of the second before
-	s.settled(4)
+	s.waitUntilKnown(4)
 	c.Assert(s.nodes[0].version(), qt.Equals, int64(4))
 }
 
@@ -70,10 +70,10 @@
 func testAnOldStateOfTheStoreProvesNothing(t *testing.T) {
 	c := qt.New(t)
 	const revoke = 2 * time.Second
-	s := servingTeams(t, 1, 2, revoke)
+	s := newServingTeamSite(t, 1, 2, revoke)
 	s.store.copy()
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
-	s.settled(2)
+	s.waitUntilKnown(2)
 	s.store.comeBack()
 	lost := time.Now()
 	for time.Since(lost) < 3*revoke/2 {
@@ -86,7 +86,7 @@
 	status, _ := s.send(0, "/read/x", "unproven", withKey("kr1"))
 	c.Check(status, qt.Equals, http.StatusServiceUnavailable) // it can't be known whether there is a newer one
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
-	s.awaitKeys("kr1")
+	s.waitUntilAccepted("kr1")
 }
 
 // Once a new era is known nothing that was sent before it has settled proves anything, whoever looks when.
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -13,7 +13,7 @@
 )
 
 // The plan lets in what urgent teams ask for on any route before what others ask for on the most urgent one.
-func TestTheTeamsPriorityGoesBeforeTheRoutes(t *testing.T) {
+func TestTeamPriorityPrecedesRoutePriority(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -19,10 +19,10 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// teamSite is some nodes in zones, with a store of their own each, that serve teams.
-func teamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
+// newTeamSite is some nodes in zones, with a store of their own each, that serve teams.
+func newTeamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
 	s := newMemorySite(t)
-	s.first = true
+	s.firstStart = true
 	var names []string
 	for z := range zones {
 		names = append(names, fmt.Sprint("z", z))
@@ -39,7 +39,7 @@
 	return s
 }
 
-func public(r desired.Route) desired.Route {
+func publicRoute(r desired.Route) desired.Route {
 	r.Public = true
 	return r
 }
@@ -48,7 +48,7 @@
 func teamState(version int64, change func(s *desired.State)) desired.State {
 	s := desired.State{
 		Version: version,
-		Routes:  []desired.Route{route("read", desired.Repeatable, "a"), public(route("open", desired.Repeatable, "a"))},
+		Routes:  []desired.Route{route("read", desired.Repeatable, "a"), publicRoute(route("open", desired.Repeatable, "a"))},
 		Teams: []desired.Team{
 			{Name: "blue", Keys: []desired.Key{"kb1", "kb2"}, Priority: 1},
 			{Name: "red", Keys: []desired.Key{"kr1"}},
@@ -62,7 +62,7 @@
 
 // send sends a request with headers to a node, and returns its status.
 func (s *site) send(i int, path, id string, header http.Header) (int, http.Header) {
-	req, _ := http.NewRequest(http.MethodGet, "http://"+s.servers[i].out+path, nil)
+	req, _ := http.NewRequest(http.MethodGet, "http://"+s.servers[i].outboundAddr+path, nil)
 	req.Host = "h"
 	for k, v := range header {
 		req.Header[k] = v
@@ -85,10 +85,10 @@
 	return h
 }
 
-// awaitKeys waits until every node lets a key pass.
-func (s *site) awaitKeys(key string) {
+// waitUntilAccepted waits until every node lets a key pass.
+func (s *site) waitUntilAccepted(key string) {
 	s.t.Helper()
-	s.until("all nodes let the key pass", func() bool {
+	s.waitFor("all nodes let the key pass", func() bool {
 		for i := range s.nodes {
 			if status, _ := s.send(i, "/read/x", fmt.Sprint("first", i), withKey(key)); status != http.StatusOK {
 				return false
@@ -98,29 +98,29 @@
 	})
 }
 
-// servingTeams is a teamSite whose nodes let the keys of the first state pass.
-func servingTeams(t testing.TB, zones, perZone int, revoke time.Duration) *site {
-	s := teamSite(t, zones, perZone, revoke)
+// newServingTeamSite is a teamSite whose nodes let the keys of the first state pass.
+func newServingTeamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
+	s := newTeamSite(t, zones, perZone, revoke)
 	s.store.put(teamState(1, nil))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	return s
 }
 
-// seenHeaders notes the headers that servers get.
-type seenHeaders struct {
+// recordedHeaders notes the headers that servers get.
+type recordedHeaders struct {
 	mu  sync.Mutex
 	all []http.Header
 }
 
-func (s *seenHeaders) note(f *fakeServer, w http.ResponseWriter, r *http.Request) {
+func (s *recordedHeaders) record(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, r.Header.Clone())
 	fmt.Fprint(w, "ok")
 }
 
-func (s *seenHeaders) last() http.Header {
+func (s *recordedHeaders) last() http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[len(s.all)-1]
@@ -133,9 +133,9 @@
 
 func testServersSeeTheTeamAndNeverTheKey(t *testing.T) {
 	c := qt.New(t)
-	s := servingTeams(t, 2, 1, 5*time.Second)
-	var seen seenHeaders
-	s.handleAll(seen.note)
+	s := newServingTeamSite(t, 2, 1, 5*time.Second)
+	var seen recordedHeaders
+	s.handleAll(seen.record)
 	forged := func(h http.Header) http.Header {
 		h["X-Team"] = []string{"red"}
 		h["x-team"] = []string{"red"}
@@ -158,14 +158,14 @@
 	}
 }
 
-func TestRequestsWithoutAGoodKeyRunNowhere(t *testing.T) {
+func TestRequestsWithoutAValidKeyDoNotRun(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testRequestsWithoutAGoodKeyRunNowhere)
+	synctest.Test(t, testRequestsWithoutAValidKeyDoNotRun)
 }
 
-func testRequestsWithoutAGoodKeyRunNowhere(t *testing.T) {
+func testRequestsWithoutAValidKeyDoNotRun(t *testing.T) {
 	c := qt.New(t)
-	s := servingTeams(t, 1, 2, 5*time.Second)
+	s := newServingTeamSite(t, 1, 2, 5*time.Second)
 	for name, h := range map[string]http.Header{
 		"none": {}, "unknown": withKey("nobody"), "empty": withKey(""), "twice": withKey("kr1", "kr1"),
 		"other scheme": {testNames.Key: {"Bearer kr1"}}, "no scheme": {testNames.Key: {"kr1"}},
@@ -185,27 +185,27 @@
 	c.Check(status, qt.Equals, http.StatusOK)
 }
 
-func TestAKeyThatPassesOnAndTeamsThatGo(t *testing.T) {
+func TestKeyMovesToAnotherTeamAndTeamsAreRemoved(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testAKeyThatPassesOnAndTeamsThatGo)
+	synctest.Test(t, testKeyMovesToAnotherTeamAndTeamsAreRemoved)
 }
 
-func testAKeyThatPassesOnAndTeamsThatGo(t *testing.T) {
+func testKeyMovesToAnotherTeamAndTeamsAreRemoved(t *testing.T) {
 	c := qt.New(t)
-	s := servingTeams(t, 1, 2, 5*time.Second)
-	var seen seenHeaders
-	s.handleAll(seen.note)
+	s := newServingTeamSite(t, 1, 2, 5*time.Second)
+	var seen recordedHeaders
+	s.handleAll(seen.record)
 	s.store.put(teamState(2, func(st *desired.State) {
 		st.Teams[0].Keys = []desired.Key{"kb2"}
 		st.Teams[1].Keys = []desired.Key{"kr1", "kb1"}
 	}))
-	s.settled(2)
+	s.waitUntilKnown(2)
 	status, _ := s.send(0, "/read/x", "moved", withKey("kb1"))
 	c.Check(status, qt.Equals, http.StatusOK)
 	c.Check(seen.last()[testNames.Team], qt.DeepEquals, []string{"red"})
 	s.store.put(teamState(3, func(st *desired.State) { st.Teams = nil }))
-	s.settled(3)
-	s.until("keys of no team are refused", func() bool {
+	s.waitUntilKnown(3)
+	s.waitFor("keys of no team are refused", func() bool {
 		status, _ := s.send(0, "/read/x", "gone", withKey("kr1"))
 		return status == http.StatusUnauthorized
 	})
@@ -213,15 +213,15 @@
 
 // A store that falls silent, to all or to some, lets no key pass for longer than the bound; keys pass again soon after it is back,
 // and public routes are served all the while.
-func TestKeysFailClosedWhileTheStoreIsSilent(t *testing.T) {
+func TestKeysFailClosedWhileTheStoreIsUnreachable(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testStoreSilentToAll)
+	synctest.Test(t, testKeysFailClosedWhileTheStoreIsUnreachable)
 }
 
-func testStoreSilentToAll(t *testing.T) {
+func testKeysFailClosedWhileTheStoreIsUnreachable(t *testing.T) {
 	c := qt.New(t)
 	const revoke = 1500 * time.Millisecond
-	s := servingTeams(t, 2, 2, revoke)
+	s := newServingTeamSite(t, 2, 2, revoke)
 	for _, n := range s.nodes {
 		s.store.turnAway(n.ip, true)
 	}
@@ -249,22 +249,22 @@
 		s.store.turnAway(n.ip, false)
 	}
 	back := time.Now()
-	s.awaitKeys("kr1")
+	s.waitUntilAccepted("kr1")
 	c.Check(time.Since(back) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(back)))
 	status, _ := s.send(0, "/read/x", "old", withKey("kb1"))
 	c.Check(status, qt.Equals, http.StatusUnauthorized)
 }
 
 // A node that the store turns away goes on by the proofs of the others.
-func TestANodeThatIsTurnedAwayServesOn(t *testing.T) {
+func TestNodesRejectedByTheStoreUseProofsOfPeers(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testNodesTurnedAway)
+	synctest.Test(t, testNodesRejectedByTheStoreUseProofsOfPeers)
 }
 
-func testNodesTurnedAway(t *testing.T) {
+func testNodesRejectedByTheStoreUseProofsOfPeers(t *testing.T) {
 	c := qt.New(t)
 	const revoke = 1500 * time.Millisecond
-	s := servingTeams(t, 2, 3, revoke)
+	s := newServingTeamSite(t, 2, 3, revoke)
 	for _, n := range s.nodes[:3] {
 		s.store.turnAway(n.ip, true) // all of one zone
 	}
@@ -284,13 +284,13 @@
 
 func testQuotaOverAllNodes(t *testing.T) {
 	c := qt.New(t)
-	s := teamSite(t, 3, 4, 5*time.Second)
+	s := newTeamSite(t, 3, 4, 5*time.Second)
 	s.store.put(teamState(1, func(st *desired.State) {
 		st.Teams[0].Rate, st.Teams[0].Burst = 100, 50
 		st.Teams[1].Rate, st.Teams[1].Burst = 100, 50
 	}))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	time.Sleep(3 * time.Second) // the buckets fill
 	const span = 5 * time.Second
 	var ran, refusedCalm, sent [2]int
@@ -328,16 +328,16 @@
 	c := qt.New(t)
 	var log logBuffer
 	s := newMemorySite(t)
-	s.log, s.first = &log, true
+	s.log, s.firstStart = &log, true
 	s.tune = func(m *settings.Mesh) { m.StrictRevoke, m.Revoke = true, 2*time.Second }
 	s.add("a", "z", 5)
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Keys = []desired.Key{"very-secret"} }))
-	s.settled(1)
-	s.awaitKeys("very-secret")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("very-secret")
 	s.store.put(teamState(2, func(st *desired.State) {
 		st.Teams[0].Keys, st.Teams[1].Keys = []desired.Key{"very-secret"}, []desired.Key{"very-secret"}
 	}))
-	s.until("the fault is written down", func() bool { return strings.Contains(log.String(), "can't be read") })
+	s.waitFor("the fault is written down", func() bool { return strings.Contains(log.String(), "can't be read") })
 	c.Check(log.String(), qt.Contains, "red key")
 	c.Check(log.String(), qt.Not(qt.Contains), "very-secret")
 	c.Check(fmt.Sprintf("%+v", s.nodes[0].Dump()), qt.Not(qt.Contains), "very-secret")
@@ -349,9 +349,9 @@
 // Without teams a key is a header like any other.
 func TestWithoutTeamsHeadersPassThrough(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
-	var seen seenHeaders
-	s.handleAll(seen.note)
+	s := newThreeServerSite(t)
+	var seen recordedHeaders
+	s.handleAll(seen.record)
 	h := withKey("k")
 	h[testNames.Team] = []string{"x"}
 	status, _ := s.send(0, "/read/x", "plain", h)
@@ -360,7 +360,7 @@
 	c.Check(seen.last()[testNames.Team], qt.DeepEquals, []string{"x"})
 }
 
-func BenchmarkIdentify(b *testing.B) {
+func BenchmarkAuthenticate(b *testing.B) {
 	for _, keys := range []int{0, 1, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
 			st := desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}}
@@ -383,24 +383,24 @@
 }
 
 // An owner that stops in order hands over what is left of its teams, so that the next one needn't wait.
-func TestAnOwnerThatStopsHandsOver(t *testing.T) {
+func TestStoppingQuotaOwnerHandsOver(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testOwnerStops)
+	synctest.Test(t, testStoppingQuotaOwnerHandsOver)
 }
 
-func testOwnerStops(t *testing.T) {
+func testStoppingQuotaOwnerHandsOver(t *testing.T) {
 	c := qt.New(t)
-	s := teamSite(t, 1, 3, 5*time.Second)
+	s := newTeamSite(t, 1, 3, 5*time.Second)
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Rate, st.Teams[0].Burst = 10, 10 }))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	owner := func(n *Node) bool {
 		n.quotas.mu.Lock()
 		defer n.quotas.mu.Unlock()
 		return n.quotas.owner.Owns("blue")
 	}
 	var first, next *Node
-	s.until("one node owns the team", func() bool {
+	s.waitFor("one node owns the team", func() bool {
 		owners := 0
 		for _, n := range s.nodes {
 			if owner(n) {
@@ -413,7 +413,7 @@
 	time.Sleep(2 * time.Second) // its bucket fills
 	var stopping sync.WaitGroup
 	stopping.Go(func() { c.Check(first.Stop(context.Background()), qt.IsNil) })
-	s.until("another node owns the team", func() bool {
+	s.waitFor("another node owns the team", func() bool {
 		for _, n := range s.nodes {
 			if n != first && owner(n) {
 				next = n
@@ -431,32 +431,32 @@
 }
 
 // A VM that was suspended lets no key pass on what it knew before, from the first request on, and has no token in hand.
-func TestAfterASuspensionNoKeyPassesOnAnOldProof(t *testing.T) {
+func TestSuspensionInvalidatesFreshnessProofAndTokens(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testAfterASuspensionNoKeyPassesOnAnOldProof)
+	synctest.Test(t, testSuspensionInvalidatesFreshnessProofAndTokens)
 }
 
-func testAfterASuspensionNoKeyPassesOnAnOldProof(t *testing.T) {
+func testSuspensionInvalidatesFreshnessProofAndTokens(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
-	s.first = true
+	s.firstStart = true
 	s.tune = func(m *settings.Mesh) {
 		m.StrictRevoke, m.Revoke = true, 5*time.Second
 		m.QuotaWindow, m.QuotaExcess, m.QuotaSlack, m.Zones = 5*time.Second, 0.1, 20, []string{"z0"}
 	}
-	k := &suspendedClock{}
-	s.clocks = map[string]*suspendedClock{s.base + "1": k}
+	k := &suspendableClock{}
+	s.clocks = map[string]*suspendableClock{s.base + "1": k}
 	s.add("a", "z0", 10)
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Rate, st.Teams[0].Burst = 100, 100 }))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	n := s.nodes[0]
 	n.quotas.mu.Lock()
 	n.quotas.pool.Put(clock.Boot(k), "blue", 5)
 	n.quotas.mu.Unlock()
 	s.store.turnAway(n.ip, true)
 	for i := range 20 { // whoever notices the suspension first
-		k.stood.Add(int64(10 * time.Second))
+		k.suspended.Add(int64(10 * time.Second))
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
 		c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 		n.quotas.mu.Lock()
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -22,19 +22,19 @@
 
 // site is some nodes with their backend servers on loopback addresses.
 type site struct {
-	t       testing.TB
-	store   *fakeStore
-	nodes   []*Node
-	servers []*fakeServer
-	base    string
-	port    int
-	clients *http.Client
-	network *memoryNetwork // nil: loopback
-	seeds   []string
-	first   bool                       // the whole system starts for the first time
-	clocks  map[string]*suspendedClock // of the VMs that have one of their own
-	log     io.Writer
-	tune    func(m *settings.Mesh) // changes the settings of the nodes, if set
+	t          testing.TB
+	store      *fakeStore
+	nodes      []*Node
+	servers    []*fakeServer
+	base       string
+	port       int
+	clients    *http.Client
+	network    *memoryNetwork // nil: loopback
+	seeds      []string
+	firstStart bool                         // the whole system starts for the first time
+	clocks     map[string]*suspendableClock // of the VMs that have one of their own
+	log        io.Writer
+	tune       func(m *settings.Mesh) // changes the settings of the nodes, if set
 }
 
 var siteCount atomic.Int64
@@ -60,10 +60,10 @@
 func (s *site) add(service, zone string, slots int) (*Node, *fakeServer) {
 	c := qt.New(s.t)
 	ip := s.base + strconv.Itoa(len(s.nodes)+1)
-	f := &fakeServer{ip: ip, service: service, zone: zone, slots: slots, instance: "i-" + ip, work: 2 * time.Millisecond, out: s.at(ip, 1)}
-	f.ways = s.waysFrom(ip)
+	f := &fakeServer{ip: ip, service: service, zone: zone, slots: slots, instance: "i-" + ip, workTime: 2 * time.Millisecond, outboundAddr: s.at(ip, 1)}
+	f.client = s.clientFrom(ip)
 	f.srv = &http.Server{Addr: s.at(ip, 4), Handler: f}
-	ln, err := s.wire().listen(f.srv.Addr)
+	ln, err := s.nodeNetwork().listen(f.srv.Addr)
 	c.Assert(err, qt.IsNil)
 	go f.srv.Serve(ln)
 	s.servers = append(s.servers, f)
@@ -79,16 +79,16 @@
 // at returns an address of a VM.
 func (s *site) at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(s.port+port)) }
 
-// wire returns what nodes and servers listen on.
-func (s *site) wire() Network {
+// nodeNetwork returns what nodes and servers listen on.
+func (s *site) nodeNetwork() Network {
 	if s.network == nil {
 		return Network{}
 	}
 	return Network{Listen: s.network.listen, Dial: s.network.dial}
 }
 
-// waysFrom returns a client that sends from the address of a VM, as its backend server does.
-func (s *site) waysFrom(ip string) *http.Client {
+// clientFrom returns a client that sends from the address of a VM, as its backend server does.
+func (s *site) clientFrom(ip string) *http.Client {
 	if s.network == nil {
 		return callClient(ip)
 	}
@@ -98,7 +98,7 @@
 // start starts the node beside a server, which then sends a heartbeat; one that was halted loses all it knew.
 func (s *site) start(i int) {
 	s.startNode(i)
-	s.beat(i, false)
+	s.heartbeat(i, false)
 }
 
 // startNode does the same without a heartbeat.
@@ -114,14 +114,14 @@
 	cfg := settings.Settings{
 		VM: f.ip, Zone: f.zone, Service: f.service, Backend: settings.Backend{Address: s.at(f.ip, 4)},
 		Listen: settings.Listen{Peers: s.at(f.ip, 0), Outbound: s.at(f.ip, 1), Control: s.at(f.ip, 2), Ready: s.at(f.ip, 2)},
-		Mesh:   &settings.Mesh{Grace: 6 * time.Second, Apply: 3 * time.Second, FirstStart: s.first}, Seeds: s.seeds,
+		Mesh:   &settings.Mesh{Grace: 6 * time.Second, Apply: 3 * time.Second, FirstStart: s.firstStart}, Seeds: s.seeds,
 	}
 	if s.tune != nil {
 		s.tune(cfg.Mesh)
 	}
 	cfg.Fill()
 	n, err := New(Options{
-		Settings: cfg, Names: testNames, Store: s.store.seam(f.ip), Decode: decodeTestState, Network: s.wire(),
+		Settings: cfg, Names: testNames, Store: s.store.seam(f.ip), Decode: decodeTestState, Network: s.nodeNetwork(),
 		Control: func(*Node) http.Handler { return http.NotFoundHandler() }, Clock: s.clockOf(f.ip),
 		Logger: func(part string) *slog.Logger { return slog.New(slog.NewTextHandler(s.log, nil)).With("node", f.ip) },
 	})
@@ -129,16 +129,16 @@
 	return n
 }
 
-// beat sends a heartbeat of the server.
-func (s *site) beat(i int, draining bool) {
+// heartbeat sends a heartbeat of the server.
+func (s *site) heartbeat(i int, draining bool) {
 	f := s.servers[i]
 	s.nodes[i].Heartbeat(context.Background(), directory.Registration{
-		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.seq.Add(1), Born: f.born.Load(),
+		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.heartbeatSeq.Add(1), Born: f.born.Load(),
 	})
 }
 
-// until waits for a condition.
-func (s *site) until(what string, ok func() bool) {
+// waitFor waits for a condition.
+func (s *site) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -147,10 +147,10 @@
 	}
 }
 
-// settled waits until all nodes know the state and every server.
-func (s *site) settled(version int64) {
+// waitUntilKnown waits until all nodes know the state and every server.
+func (s *site) waitUntilKnown(version int64) {
 	s.t.Helper()
-	s.until("all nodes know all", func() bool {
+	s.waitFor("all nodes know all", func() bool {
 		for _, n := range s.nodes {
 			total := 0
 			for _, list := range n.view.Load().services {
@@ -165,9 +165,9 @@
 	})
 }
 
-// ask sends a request to a node as a client; the status is 0 if the connection broke.
-func (s *site) ask(i int, method, path, id string, left time.Duration) (int, string, http.Header) {
-	addr := s.servers[i].out // the node itself may be started anew meanwhile
+// request sends a request to a node as a client; the status is 0 if the connection broke.
+func (s *site) request(i int, method, path, id string, left time.Duration) (int, string, http.Header) {
+	addr := s.servers[i].outboundAddr // the node itself may be started anew meanwhile
 	req, _ := http.NewRequest(method, "http://"+addr+path, nil)
 	req.Host = "h"
 	req.Header.Set(testNames.AttemptID, id)
@@ -184,8 +184,8 @@
 	return res.StatusCode, string(body), res.Header
 }
 
-// three is a site of three servers of one service, with a route of each kind.
-func three(t *testing.T) *site {
+// newThreeServerSite is a site of newThreeServerSite servers of one service, with a route of each kind.
+func newThreeServerSite(t *testing.T) *site {
 	s := newSite(t)
 	for i := range 3 {
 		s.add("a", fmt.Sprint("z", i), 10)
@@ -193,7 +193,7 @@
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
 		route("read", desired.Repeatable, "a"), route("pay", desired.Once, "a"),
 	}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	return s
 }
 
@@ -214,7 +214,7 @@
 	return all
 }
 
-func cutOff(w http.ResponseWriter) {
+func closeConnection(w http.ResponseWriter) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	c.Close()
 }
--- a/pkg/mesh/turned_deadly_test.go
+++ b/pkg/mesh/turned_deadly_test.go
@@ -32,7 +32,7 @@
 		for time.Now().Before(turns.Add(6 * time.Second)) {
 			i := sent
 			p.work.Go(func() {
-				p.ask(i%poisonEntries, http.MethodGet, popularPath, fmt.Sprint("q", i), 2*time.Second)
+				p.request(i%poisonEntries, http.MethodGet, popularPath, fmt.Sprint("q", i), 2*time.Second)
 			})
 			time.Sleep(every)
 			sent++
--- a/pkg/mesh/unresponsive_connections_test.go
+++ b/pkg/mesh/unresponsive_connections_test.go
@@ -15,75 +15,75 @@
 )
 
 const (
-	// silentRate is how many requests a second each node gets, and silentLimit the time limit of each.
-	silentRate  = 100
-	silentLimit = 4 * time.Second
-	// soonEnough is how long a request takes at the most that isn't counted.
-	soonEnough = 400 * time.Millisecond
+	// requestsPerSecond is how many requests a second each node gets, and silentLimit the time limit of each.
+	requestsPerSecond = 100
+	requestTimeLimit  = 4 * time.Second
+	// maxPromptTime is how long a request takes at the most that isn't counted.
+	maxPromptTime = 400 * time.Millisecond
 )
 
-// silentSite is a site whose requests all go to other nodes, in one that calls nothing.
-func silentSite(t *testing.T) *site {
+// newUnresponsiveConnSite is a site whose requests all go to other nodes, in one that calls nothing.
+func newUnresponsiveConnSite(t *testing.T) *site {
 	s := newMemorySite(t)
 	for i := range 3 {
 		s.add("front", fmt.Sprint("z", i), 50)
 	}
 	for i := range 3 {
 		_, f := s.add("a", fmt.Sprint("z", i), 50)
-		f.work = 30 * time.Millisecond
+		f.workTime = 30 * time.Millisecond
 	}
 	read := route("read", desired.Repeatable, "a")
 	read.MaxAttempts = 2
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{read, route("pay", desired.Once, "a")}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	return s
 }
 
-// silentCost is what became of requests that were sent while connections went silent.
-type silentCost struct {
+// requestOutcomes is what became of requests that were sent while connections went silent.
+type requestOutcomes struct {
 	mu           sync.Mutex
 	late, failed int
 	longest      time.Duration
 }
 
-func (k *silentCost) note(status int, took time.Duration) {
+func (k *requestOutcomes) record(status int, took time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
 	case status != http.StatusOK:
 		k.failed++
-	case took > soonEnough:
+	case took > maxPromptTime:
 		k.late++
 	}
 	k.longest = max(k.longest, took)
 }
 
-// costOfSilence sends requests to the fronts for six seconds; after two, connections go silent.
-func costOfSilence(s *site, path string, to func(addr string) bool) *silentCost {
-	var k silentCost
+// runWithUnresponsiveConns sends requests to the fronts for six seconds; after two, connections go silent.
+func runWithUnresponsiveConns(s *site, path string, to func(addr string) bool) *requestOutcomes {
+	var k requestOutcomes
 	var asking sync.WaitGroup
 	begun := time.Now()
 	silenced := false
 	for j := 0; time.Since(begun) < 6*time.Second; j++ {
 		if !silenced && time.Since(begun) >= 2*time.Second {
 			silenced = true
-			s.network.silence(to)
+			s.network.makeUnresponsive(to)
 		}
 		for i := range 3 {
 			asking.Go(func() {
 				sent := time.Now()
-				status, _, _ := s.ask(i, http.MethodGet, path, fmt.Sprintf("q%d.%d", i, j), silentLimit)
-				k.note(status, time.Since(sent))
+				status, _, _ := s.request(i, http.MethodGet, path, fmt.Sprintf("q%d.%d", i, j), requestTimeLimit)
+				k.record(status, time.Since(sent))
 			})
 		}
-		time.Sleep(time.Second / silentRate)
+		time.Sleep(time.Second / requestsPerSecond)
 	}
 	asking.Wait()
 	return &k
 }
 
-// silentCases are the connections that go silent, and what that may cost of 1,800 requests; before is what it cost without a look at it.
-var silentCases = []struct {
+// unresponsiveConnCases are the connections that go silent, and what that may cost of 1,800 requests; before is what it cost without a look at it.
+var unresponsiveConnCases = []struct {
 	name, path   string
 	port         int // of the listener
 	failed, late int
@@ -94,14 +94,14 @@
 	{"to backend servers, which can't be asked", "/read/x", 4, 45, 0, "89 to 99 failed"},
 }
 
-func TestConnectionsThatGoSilent(t *testing.T) {
+func TestConnectionsBecomeUnresponsive(t *testing.T) {
 	t.Parallel()
-	for _, x := range silentCases {
+	for _, x := range unresponsiveConnCases {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := silentSite(t)
-				k := costOfSilence(s, x.path, func(addr string) bool { return strings.HasSuffix(addr, fmt.Sprint(":", s.port+x.port)) })
+				s := newUnresponsiveConnSite(t)
+				k := runWithUnresponsiveConns(s, x.path, func(addr string) bool { return strings.HasSuffix(addr, fmt.Sprint(":", s.port+x.port)) })
 				t.Logf("late %d, failed %d, longest %v; before: %s", k.late, k.failed, k.longest, x.before)
 				c.Check(k.failed <= x.failed, qt.IsTrue)
 				c.Check(k.late <= x.late, qt.IsTrue)
--- a/pkg/mesh/unresponsive_peer.go
+++ b/pkg/mesh/unresponsive_peer.go
@@ -67,7 +67,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usual = expectedHoldTime(p.load.slowdown, usual)
-	p.unanswered.add(now, usual)
+	p.unansweredSends.add(now, usual)
 	return usual
 }
 
@@ -75,10 +75,10 @@
 func (p *peer) becameUnresponsive(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.unanswered.timedOut(now) {
+	if !p.unansweredSends.timedOut(now) {
 		return false
 	}
-	p.unanswered = unansweredSends{}
+	p.unansweredSends = unansweredSends{}
 	return true
 }
 
--- a/pkg/mesh/unresponsive_peer_test.go
+++ b/pkg/mesh/unresponsive_peer_test.go
@@ -9,7 +9,7 @@
 
 // While a zone was cut off, requests went on being sent to its servers until those before them had timed out: a tenth of
 // all requests of the other zones failed for two seconds.
-func TestAPeerThatFallsSilentIsLeft(t *testing.T) {
+func TestUnresponsivePeerIsBackedOff(t *testing.T) {
 	c := qt.New(t)
 	cut, sound := server("cut", true, 0, 100, 100), server("sound", true, 10, 100, 100)
 	now, usual := chooseTime, 40*time.Millisecond
@@ -34,7 +34,7 @@
 }
 
 // A slow server isn't a silent one, and neither is one that is hardly used.
-func TestLongAndRareRequestsAreNotSilence(t *testing.T) {
+func TestSlowOrRarelyUsedPeerIsNotUnresponsive(t *testing.T) {
 	c := qt.New(t)
 	var s unansweredSends
 	for range 10 {
