--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -10,28 +10,28 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// keyRefusal is why a request isn't let in for its key.
+// keyRefusal is why a request is rejected because of its key: the reason in the answer and its HTTP status.
 type keyRefusal struct {
 	reason wire.Reason
 	status int
 }
 
 var (
-	// unknownKey is certain: the newest desired state has no such key.
+	// unknownKey: the newest desired state has no such key.
 	unknownKey = &keyRefusal{wire.ReasonNoKey, http.StatusUnauthorized}
-	// unverifiableKey says that the key may be right, or taken away, in a state that isn't known here.
+	// unverifiableKey: a newer desired state that this node doesn't have may have added or removed the key.
 	unverifiableKey = &keyRefusal{wire.ReasonOldState, http.StatusServiceUnavailable}
 )
 
-// needsKeys tells whether requests need a key, but for those on public routes. Where keys are strictly revoked they do even
+// needsKeys reports whether requests need a key, except on public routes. With strict revocation they need one even
 // if no team is left.
 func (n *Node) needsKeys(s *desired.State) bool { return s.HasTeams() || n.cfg.Mesh.StrictRevoke }
 
-// authenticate returns the team whose request it is, or why it isn't let in. A public request is nobody's, whatever it carries: calls of
-// backend servers have no key, and the routes that they use are public.
+// authenticate returns the team that a request belongs to, or why it is rejected. A request on a public route belongs to no team, whatever
+// it carries: calls of backend servers have no key, and they use public routes.
 //
-// A key is judged here and nowhere else, as soon as the request is read. It was sent before that, so what lets it pass may
-// be as old as the bound allows for the time it was sent, however long it waits later.
+// The key is checked only here, as soon as the request is read. The request was sent before that, so the revocation bound holds for the time
+// of sending, however long the request waits afterwards.
 func (n *Node) authenticate(r *http.Request, s *desired.State, route *desired.Route) (*desired.Team, *keyRefusal) {
 	if route.Public || !n.needsKeys(s) {
 		return nil, nil
@@ -49,8 +49,8 @@
 	return team, nil
 }
 
-// awaitFreshnessProof waits a moment, if the node has just started, for the proof without which no key passes; it returns the state in force
-// then, and the route there.
+// awaitFreshnessProof waits, on a node that has just started, for the freshness proof that strict revocation requires. It returns the state in
+// force afterwards and the request's route in it.
 func (n *Node) awaitFreshnessProof(r *http.Request, s *desired.State, route *desired.Route) (*desired.State, *desired.Route) {
 	if route.Public || !n.cfg.Mesh.StrictRevoke {
 		return s, route
@@ -65,7 +65,7 @@
 	return s, route
 }
 
-// teamForKey returns the team of the one key that a request carries, or nil.
+// teamForKey returns the team of the single key in the values of the key header, or nil if there isn't exactly one valid key.
 func (n *Node) teamForKey(values []string, s *desired.State) *desired.Team {
 	if len(values) != 1 {
 		return nil
@@ -77,7 +77,7 @@
 	return s.TeamOf(key)
 }
 
-// refuseKey answers a request that isn't let in for its key. The line about it names the key by its fingerprint.
+// refuseKey answers a request that is rejected because of its key. The log line has the key's fingerprint, never the key.
 func (n *Node) refuseKey(w http.ResponseWriter, r *http.Request, route *desired.Route, refusal *keyRefusal) {
 	if refusal.status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", n.names.KeyScheme)
@@ -88,7 +88,7 @@
 	n.refuseUnrouted(w, r, refusal.reason, refusal.status)
 }
 
-// keyFingerprint names the key that a request carries, or is "none".
+// keyFingerprint returns the fingerprint of the key in the values of the key header, or "none".
 func (n *Node) keyFingerprint(values []string) string {
 	if len(values) != 1 {
 		return "none"
@@ -97,30 +97,31 @@
 	return desired.Key(key).Fingerprint()
 }
 
-// mayAcceptKeys tells whether a key that the state has may be let pass.
-func (n *Node) mayAcceptKeys(s *desired.State) (may bool) {
+// mayAcceptKeys reports whether a key in the given state may be accepted: with strict revocation only while a freshness proof for that state is valid.
+func (n *Node) mayAcceptKeys(s *desired.State) (accept bool) {
 	if !n.cfg.Mesh.StrictRevoke {
 		return true
 	}
 	now := clock.Boot(n.clock)
-	n.proofs.withKeeper(func(k *freshness.Keeper) { may = k.Holds(now, s.Version) })
-	return may
+	n.proofs.withKeeper(func(k *freshness.Keeper) { accept = k.Holds(now, s.Version) })
+	return accept
 }
 
-// mayRejectKeys tells whether a key that the state doesn't have is certainly none.
+// mayRejectKeys reports whether a key that the given state lacks is certain to be unknown.
 func (n *Node) mayRejectKeys(s *desired.State) bool {
 	if !n.sureOfState() {
 		return false
 	}
-	sure := true
+	certain := true
 	if n.cfg.Mesh.StrictRevoke {
 		now := clock.Boot(n.clock)
-		n.proofs.withKeeper(func(k *freshness.Keeper) { sure = k.Sure(now, s.Version) })
+		n.proofs.withKeeper(func(k *freshness.Keeper) { certain = k.Sure(now, s.Version) })
 	}
-	return sure
+	return certain
 }
 
-// assignTeam has the backend server see whose request it is, as this node knows it, and neither the key nor what the client says of it.
+// assignTeam sets the team and priority of a request and the team header for the backend server. It removes the key and any team header that
+// the client sent.
 func (n *Node) assignTeam(q *request, s *desired.State, team *desired.Team) {
 	if !n.needsKeys(s) {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// isTeamHeader tells whether a header may be taken for that of the team: some servers take underscores for dashes.
+// isTeamHeader reports whether a header could be read as the team header: some servers treat underscores as dashes.
 func (n *Node) isTeamHeader(name string) bool {
 	return len(name) == len(n.names.Team) && strings.EqualFold(strings.ReplaceAll(name, "_", "-"), n.names.Team)
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -13,48 +13,48 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// controlState belongs to the control goroutine.
+// controlState is used by the control goroutine only.
 type controlState struct {
 	localServer         directory.OwnServer
 	directory           directory.Directory
 	recentRecords       recordNews
 	newer               newerState
 	nextExchange        time.Time
-	urgentUpdates       bool    // news has to spread sooner than usually
-	smoothedArrivalRate float64 // requests a second that came to this node, over some seconds
+	urgentUpdates       bool    // updates have to spread sooner than usual
+	smoothedArrivalRate float64 // requests a second to this node, averaged over some seconds
 	nextPlan            time.Time
 	logged              loggedLines
-	reports             map[string]*heldReport // newest of each node of this zone, by host
-	expiredReports      map[string]*heldReport // the last that counted of nodes that fell silent, without what it said
-	zoneLoads           map[string]*zoneLoad   // newest sum of each other zone
+	reports             map[string]*heldReport // newest report of each node of this zone, by host
+	expiredReports      map[string]*heldReport // last valid report of nodes that stopped sending, without its content
+	zoneLoads           map[string]*zoneLoad   // newest aggregate load of each other zone
 	retainedRuns        loads.KeptRuns
 	retainedDemand      loads.KeptDemand
 	attemptRates        map[string]float64 // first attempts a second by kind, as last counted
 	internalRoutes      judgedRoutes
-	localZoneLoad       zoneLoad // sum of this zone, as last told to others
-	zoneHosts           []string // VMs of this zone that are known
+	localZoneLoad       zoneLoad // aggregate load of this zone, as last sent
+	zoneHosts           []string // known VMs of this zone
 	reportSeq           int64
 	usableFraction      overload.RoomControl
 	suspects            suspectNews
-	gateUtilization     float64 // of the own gate's slots, smoothed
+	gateUtilization     float64 // utilization of the local gate's slots, smoothed
 	nextStatsUpdate     time.Time
 	members             zoneMembers
 	nextSweep           time.Time
 }
 
-// loggedLines is what was written of the plan and the own server, so that not everything is written all the time.
+// loggedLines limits how often the plan and the local backend server are logged.
 type loggedLines struct {
 	nextPlanLog   time.Time
 	nextUsableLog time.Time
 	nextCallsLog  time.Time
-	calls         map[string]callgraph.Rates // of a run, by route
-	shares        map[string]bool            // routes with a metric of their share
+	calls         map[string]callgraph.Rates // calls per run, by route
+	shares        map[string]bool            // routes with an admitted_share metric
 }
 
-// tickPeriod is the time between looks at what is due.
+// tickPeriod is the time between checks for due work.
 const tickPeriod = 50 * time.Millisecond
 
-// controlLoop owns the control state until ctx ends.
+// controlLoop runs the control goroutine until ctx ends.
 func (n *Node) controlLoop(ctx context.Context) {
 	ticks, stop := n.clock.NewTicker(tickPeriod)
 	defer stop()
@@ -71,7 +71,7 @@
 	}
 }
 
-// enqueue hands a piece of work to the control goroutine; once the node ends it may be dropped.
+// enqueue passes work to the control goroutine; the work may be dropped once the node is halted.
 func (n *Node) enqueue(f func()) {
 	select {
 	case n.events <- f:
@@ -79,8 +79,8 @@
 	}
 }
 
-// enqueueAndWait has the control goroutine do a piece of work and waits for its end; it reports false if ctx or the node ends first.
-// The work may still be done then, so what it sets must not be looked at.
+// enqueueAndWait passes work to the control goroutine and waits until it is done. It returns false if ctx ends or the node is halted first;
+// the work may still run then, so the caller must not read what it sets.
 func (n *Node) enqueueAndWait(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	work := func() {
@@ -104,6 +104,7 @@
 	}
 }
 
+// tick does the work of the control goroutine that is due.
 func (n *Node) tick(ctx context.Context) {
 	if d := clock.NoteSuspension(n.clock); d > 0 {
 		n.handleSuspension(d)
@@ -139,10 +140,10 @@
 	n.talk(ctx)
 }
 
-// sweepPeriod is the time between closings of connections that have rested too long.
+// sweepPeriod is the time between closings of connections that have been idle for too long.
 const sweepPeriod = time.Second
 
-// forEachPool does something with all connections to other nodes and to the backend server.
+// forEachPool calls f for the connections to the local backend server and to each other node.
 func (n *Node) forEachPool(f func(p *httpconn.Pool)) {
 	f(n.backend.pool)
 	n.peersMu.Lock()
@@ -152,7 +153,7 @@
 	}
 }
 
-// publishView makes the control state visible to requests.
+// publishView publishes the part of the control state that requests read.
 func (n *Node) publishView() {
 	v := &view{services: make(map[string][]*peer), localServer: n.control.localServer.Record()}
 	all := n.control.directory.All()
@@ -174,43 +175,43 @@
 	n.tuneBudget()
 }
 
-// localServerChanged follows a change of this VM's backend server: the gate first, then the others.
-func (n *Node) localServerChanged(fresh bool) {
+// localServerChanged applies a change of the local backend server, first at the gate, then for other nodes.
+func (n *Node) localServerChanged(newLifetime bool) {
 	r := n.control.localServer.Record()
 	n.gateMu.Lock()
 	if r.Phase == directory.Serving {
-		n.gate.Open(r.Slots, fresh)
+		n.gate.Open(r.Slots, newLifetime)
 	} else {
 		n.gate.Close()
 	}
 	n.gateMu.Unlock()
 	n.control.recentRecords.add(n.clock.Now(), n.control.directory.Merge(r)...)
 	n.publishView()
-	n.controlLog.Info("own server changed", "instance", r.Instance, "service", r.Service, "phase", r.Phase.String(),
+	n.controlLog.Info("local backend server changed", "instance", r.Instance, "service", r.Service, "phase", r.Phase.String(),
 		"generation", r.Generation, "slots", r.Slots)
 	n.records.want(r)
 	n.announce()
 }
 
-// mergeRecords takes records that were heard, by what way is for the log.
+// mergeRecords merges records received from others; from names their source in the log.
 func (n *Node) mergeRecords(from string, records []directory.Record) {
 	for _, r := range records {
 		if r.Host != n.ip || !n.control.localServer.Recall(r) {
 			continue
 		}
 		if r.Phase == directory.Serving {
-			// An earlier life of this node told them and stored it at the same time; the next reading of all records shows
-			// whether that is so. A server that is leaving isn't left to that.
+			// An earlier process of this node sent this record and stored it at the same time; the next read of all
+			// records shows whether it is stored. The record of a leaving server is always stored again.
 			n.records.done(r.Generation)
 		}
 		n.localServerChanged(true)
 	}
-	news := n.control.directory.Merge(records...)
-	if len(news) == 0 {
+	changed := n.control.directory.Merge(records...)
+	if len(changed) == 0 {
 		return
 	}
-	n.control.recentRecords.add(n.clock.Now(), news...)
-	for _, r := range news {
+	n.control.recentRecords.add(n.clock.Now(), changed...)
+	for _, r := range changed {
 		n.controlLog.Info("server record", "host", r.Host, "instance", r.Instance, "service", r.Service,
 			"phase", r.Phase.String(), "generation", r.Generation, "from", from)
 	}
@@ -218,19 +219,19 @@
 	n.electFollowers(n.clock.Now())
 }
 
-// KnowsService tells whether a service is that of this VM, or one that the desired state names.
+// KnowsService reports whether a service is that of this VM or appears in the desired state.
 func (n *Node) KnowsService(service string) bool {
 	return service == n.cfg.Service || n.state.Load().Names(service)
 }
 
-// RecordRefusedHeartbeat notes a call on the control listener that names no server.
+// RecordRefusedHeartbeat counts and logs a call on the control listener that is no valid registration.
 func (n *Node) RecordRefusedHeartbeat(path string, err error) {
 	n.metrics.count("heartbeats_refused_total")
 	n.controlLog.Warn("heartbeat refused", "path", path, "err", err)
 }
 
-// Heartbeat takes a heartbeat of the backend server on this VM. For one that drains it returns when that
-// is recorded beyond this process, or can't be for now; this node itself sends it nothing from then on.
+// Heartbeat handles a heartbeat of the local backend server. For a draining server it returns once the drain is recorded outside this
+// process, or can't be for now; this node sends the server no requests from then on.
 func (n *Node) Heartbeat(ctx context.Context, r directory.Registration) {
 	var generation int64
 	done := n.enqueueAndWait(ctx, func() {
@@ -248,7 +249,7 @@
 	}
 }
 
-// Leave takes the word of the backend server that it ends.
+// Leave handles the local backend server's announcement that the given lifetime ends. It returns once that is recorded, or can't be for now.
 func (n *Node) Leave(ctx context.Context, at directory.Lifetime) {
 	var generation int64
 	done := n.enqueueAndWait(ctx, func() {
@@ -262,7 +263,7 @@
 	}
 }
 
-// withPort returns the host with the port of another address.
+// withPort returns host with the port of addr, or host alone if addr has no port.
 func withPort(host, addr string) string {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/pkg/mesh/dump.go
+++ b/pkg/mesh/dump.go
@@ -8,7 +8,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// Dump is the state of a node, with the names that its logs use.
+// Dump is the state of a node, with the field names that its logs use.
 type Dump struct {
 	Host     string               `json:"host"`
 	Epoch    int64                `json:"epoch"`
@@ -18,10 +18,10 @@
 	Gate     gate.Reading         `json:"gate"`
 	Off      []settings.Mechanism `json:"off,omitempty"` // mechanisms that are switched off
 	Records  []directory.Record   `json:"records"`
-	Suspects []Suspect            `json:"suspects,omitempty"` // requests under which servers ended
+	Suspects []Suspect            `json:"suspects,omitempty"` // requests under which backend servers crashed
 }
 
-// Dump returns the state of the node.
+// Dump returns the current state of the node.
 func (n *Node) Dump() Dump {
 	d := Dump{Host: n.ip, Epoch: n.epoch, Version: n.version(), Stopping: n.stop.stopping(), InFlight: n.stop.inFlight.Load(), Off: n.cfg.Mesh.Off}
 	n.gateMu.Lock()
@@ -35,7 +35,7 @@
 	return d
 }
 
-// Reload takes over what may change while the node runs: the seeds.
+// Reload applies the settings that may change while the node runs: the seeds.
 func (n *Node) Reload(cfg settings.Settings) {
 	n.enqueue(func() {
 		n.cfg.Seeds = cfg.Seeds
--- a/pkg/mesh/freshness_proof.go
+++ b/pkg/mesh/freshness_proof.go
@@ -12,41 +12,41 @@
 	"github.com/rockspoke/rockspoke/pkg/freshness"
 )
 
-// freshnessProofs is a freshness.Keeper that all goroutines of a node use, and when it asks for younger proofs.
+// freshnessProofs guards a freshness.Keeper for concurrent use and schedules the calls that renew its proof.
 type freshnessProofs struct {
 	mu sync.Mutex
 	freshness.Keeper
 
-	schedule            freshness.Schedule // proveState's
-	reading, requesting atomic.Bool        // a call is on its way
+	schedule            freshness.Schedule // used by keepProofFresh only
+	reading, requesting atomic.Bool        // a call is in flight
 }
 
-// withKeeper looks at or changes what is held.
+// withKeeper calls f with the keeper locked.
 func (p *freshnessProofs) withKeeper(f func(k *freshness.Keeper)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.Keeper)
 }
 
-// proofPath is where nodes ask each other for proofs.
+// proofPath is where nodes request freshness proofs from each other.
 const proofPath = "/proof"
 
 const (
-	// proofPollInterval is the time between looks at whether it is time to ask.
+	// proofPollInterval is the time between checks whether a proof has to be renewed.
 	proofPollInterval = 50 * time.Millisecond
-	// proofReadTimeout bounds a call to the store: one that isn't answered by then is made again.
+	// proofReadTimeout bounds a read from the store; after it the read is retried.
 	proofReadTimeout = 600 * time.Millisecond
-	// proofRequestTimeout bounds a question to another node.
+	// proofRequestTimeout bounds a request to another node.
 	proofRequestTimeout = 250 * time.Millisecond
 )
 
-// proofResponse is what a node tells of the youngest proof that it holds; its zero value is that it has none.
+// proofResponse is the newest freshness proof that a node holds; its zero value means none.
 type proofResponse struct {
 	Version int64         `codec:"v"`
-	Age     time.Duration `codec:"a"` // when the answer was written
+	Age     time.Duration `codec:"a"` // when the response was written
 }
 
-// keepProofFresh keeps the proof of this node young while keys have to be revoked strictly.
+// keepProofFresh renews this node's freshness proof until ctx ends, if keys are strictly revoked.
 func (n *Node) keepProofFresh(ctx context.Context) {
 	if !n.cfg.Mesh.StrictRevoke || n.cfg.Mesh.FirstStart && !clock.Sleep(ctx, firstLook) {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// refreshProofIfDue does what is due.
+// refreshProofIfDue starts the call that the schedule asks for now, if any.
 func (n *Node) refreshProofIfDue(ctx context.Context) {
 	roles := n.roles.Load().proofs
 	age, known := n.proofAge()
@@ -74,7 +74,7 @@
 	}
 }
 
-// startUnlessBusy starts a call unless the last one is still on its way.
+// startUnlessBusy runs call in the background unless the previous one is still in flight.
 func startUnlessBusy(busy *atomic.Bool, call func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
@@ -85,7 +85,7 @@
 	}()
 }
 
-// randomReachableHost returns one of the hosts that can be reached, but not this node, or "".
+// randomReachableHost returns a random reachable host other than this node, or "".
 func (n *Node) randomReachableHost(hosts []string) string {
 	for _, i := range rand.Perm(len(hosts)) {
 		if h := hosts[i]; h != n.ip && n.peer(h).reachable() {
@@ -95,7 +95,7 @@
 	return ""
 }
 
-// randomReachableNode returns any other node, or "".
+// randomReachableNode returns a random reachable node of any zone other than this one, or "".
 func (n *Node) randomReachableNode(ctx context.Context) string {
 	var hosts []string
 	if n.enqueueAndWait(ctx, func() {
@@ -108,70 +108,70 @@
 	return ""
 }
 
-// readProofFromStore reads the desired state from the store. A read is answered by the store as of one moment; its feed of changes
-// may be late, and silent.
+// readProofFromStore reads the desired state from the store as a freshness proof. A read reflects the store at one moment; the store's feed of
+// changes may lag or stall without an error.
 func (n *Node) readProofFromStore(ctx context.Context) {
-	sent, own := clock.Boot(n.clock), n.version()
+	sent, current := clock.Boot(n.clock), n.version()
 	var data []byte
 	err := n.callStore(ctx, n.storeWatch.try(), proveStateCall, proofReadTimeout, func(ctx context.Context) (err error) {
 		data, _, err = n.store.ReadState(ctx)
 		return err
 	})
 	if err != nil {
-		n.controlLog.Debug("no proof from the store", "err", err)
+		n.controlLog.Debug("freshness proof not read from the store", "err", err)
 		return
 	}
-	n.addStoreProof(sent, own, n.takeStored(data))
+	n.addStoreProof(sent, current, n.takeStored(data))
 }
 
-// addStoreProof takes the version that the store had in answer to a call that was sent when another one was in force here; 0: it had none that can be read. One that is
-// older than that one proves nothing: the store has lost what it had acknowledged.
-func (n *Node) addStoreProof(sent time.Time, own, version int64) {
+// addStoreProof records the version that the store returned for a call sent at the given time, when the version current was in force here;
+// version 0 means that the store had no readable state. A version older than current proves nothing: the store has lost acknowledged writes.
+func (n *Node) addStoreProof(sent time.Time, current, version int64) {
 	switch {
 	case !n.cfg.Mesh.StrictRevoke || version == 0 || !n.storeEpoch.proves(sent):
-	case version < own:
-		n.controlLog.Warn("the store has an older desired state than the one in force", "version", version, "own", own)
+	case version < current:
+		n.controlLog.Warn("the store has an older desired state than the one in force", "version", version, "own", current)
 	default:
 		n.addProof(freshness.Proof{Version: version, Sent: sent})
 	}
 }
 
-// addProof takes a proof that the store or another node gave.
+// addProof records a freshness proof from the store or another node.
 func (n *Node) addProof(p freshness.Proof) {
 	n.proofs.withKeeper(func(k *freshness.Keeper) { k.Take(p, n.version()) })
 }
 
-// proofAge returns how old the proof for the state in force is; known is false if there is none.
+// proofAge returns the age of the freshness proof for the state in force; known is false if there is none.
 func (n *Node) proofAge() (age time.Duration, known bool) {
-	now, own := clock.Boot(n.clock), n.version()
-	n.proofs.withKeeper(func(k *freshness.Keeper) { age, known = k.Age(now, own) })
+	now, current := clock.Boot(n.clock), n.version()
+	n.proofs.withKeeper(func(k *freshness.Keeper) { age, known = k.Age(now, current) })
 	return age, known
 }
 
-// requestProof asks a node for its proof. What it says is taken as of when the question was sent: how long the answer was on
-// its way isn't known.
+// requestProof requests the freshness proof of another node. The proof is dated from when the request was sent, since the
+// transit time of the response isn't known.
 func (n *Node) requestProof(ctx context.Context, host string) {
 	if host == "" {
 		return
 	}
 	sent := clock.Boot(n.clock)
-	var a proofResponse
-	if err := n.queryNode(ctx, host, proofPath, proofRequestTimeout, nil, &a); err != nil || a.Version <= 0 || a.Age < 0 {
+	var res proofResponse
+	if err := n.queryNode(ctx, host, proofPath, proofRequestTimeout, nil, &res); err != nil || res.Version <= 0 || res.Age < 0 {
 		return
 	}
-	n.addProof(freshness.Proof{Version: a.Version, Sent: sent.Add(-a.Age)})
-	n.noticeVersion(host, a.Version)
+	n.addProof(freshness.Proof{Version: res.Version, Sent: sent.Add(-res.Age)})
+	n.noticeVersion(host, res.Version)
 }
 
-// serveProof tells a node the youngest proof.
+// serveProof answers another node with the newest freshness proof.
 func (n *Node) serveProof(w http.ResponseWriter, _ *http.Request) {
-	own := n.version()
-	var a proofResponse
+	current := n.version()
+	var res proofResponse
 	n.proofs.withKeeper(func(k *freshness.Keeper) {
 		now := clock.Boot(n.clock)
-		if age, known := k.Age(now, own); known {
-			a = proofResponse{Version: k.Held(own).Version, Age: age}
+		if age, known := k.Age(now, current); known {
+			res = proofResponse{Version: k.Held(current).Version, Age: age}
 		}
 	})
-	n.writeNodeResponse(w, a)
+	n.writeNodeResponse(w, res)
 }
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -12,7 +12,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// newServers returns a server for each address that the settings name.
+// newServers returns an HTTP server for each address in the settings.
 func (n *Node) newServers(l settings.Listen, control http.Handler) []*http.Server {
 	servers := []*http.Server{
 		n.peerServer(l.Peers),
@@ -28,13 +28,13 @@
 	return servers
 }
 
-// clientDescriptorShare of the descriptors that the process may have open are for connections of clients; the rest is for the backend server's, other nodes' and the
-// store's. Above it those that rested longest are closed. Without a bound a flood of clients that open a connection for each try, and keep it,
-// takes all descriptors, and a node that says it is ready takes no new connection until some have rested for idleTime. With a bound of 20, of 60 clients that keep
-// theirs open all are answered and 20 connections stay (test on loopback).
+// clientDescriptorShare is the share of the process's file descriptors for client connections; the rest is for the backend server, other nodes and
+// the store. Above it the connections that have been idle longest are closed. Without a bound, clients that open a connection for each attempt
+// and keep it can use up all descriptors; the node then says that it is ready but accepts no connection until some have been idle for
+// idleTimeout. With a bound of 20, all of 60 clients that keep their connections open are answered, and 20 connections remain.
 const clientDescriptorShare = 0.5
 
-// clientServer returns the server for clients and the backend server on this VM.
+// clientServer returns the HTTP server for clients and the local backend server.
 func (n *Node) clientServer(addr string) *http.Server {
 	s := n.newServer(addr, n.outboundHandler())
 	n.clients.SetMost(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
@@ -43,7 +43,7 @@
 	return s
 }
 
-// listen binds a server's address and serves it until it is closed.
+// listen binds a server's address and serves it in the background until it is closed.
 func (n *Node) listen(s *http.Server) error {
 	ln, err := n.network.listen(s.Addr)
 	if err != nil {
@@ -57,22 +57,23 @@
 	return nil
 }
 
-// isListenerClosed tells whether a listener ended since it was closed.
+// isListenerClosed reports whether an error says that the listener was closed.
 func isListenerClosed(err error) bool {
 	return eris.Is(err, http.ErrServerClosed) || eris.Is(err, net.ErrClosed)
 }
 
-// The bounds of inbound connections, where the desired state doesn't set them.
+// Limits of inbound connections, where the desired state doesn't set them.
 const (
-	// headerTimeout is the longest time for a request's header.
+	// headerTimeout bounds the time for reading a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a kept connection may rest: clients use theirs again after four fifths of what
-	// the operator allows, so this is well above.
+	// idleTimeout is how long a connection may be idle. Clients reuse theirs for up to four fifths of what the operator allows, so
+	// this is well above.
 	idleTimeout = 90 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 64 << 10
 )
 
+// newServer returns an HTTP server for an address with the limits of inbound connections.
 func (n *Node) newServer(addr string, h http.Handler) *http.Server {
 	return &http.Server{
 		Addr: addr, Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
--- a/pkg/mesh/mesh_options.go
+++ b/pkg/mesh/mesh_options.go
@@ -15,91 +15,91 @@
 
 // HeaderNames are the headers that clients, nodes and backend servers use.
 type HeaderNames struct {
-	AttemptID string // identity of one attempt of a client
-	TimeLeft  string // milliseconds that the caller will still wait
-	Instance  string // the start of the backend server that is meant
-	NotRun    string // set by a backend server that refuses
-	Caller    string // the service beside which the request began
-	Key       string // a client's key, behind the word KeyScheme and a blank
+	AttemptID string // identifies one attempt of a client
+	TimeLeft  string // milliseconds for which the caller will still wait
+	Instance  string // the lifetime of the backend server that is addressed
+	NotRun    string // set by a backend server that rejects a request without running it
+	Caller    string // the service of the VM where the request began
+	Key       string // a client's key, after KeyScheme and a space
 	KeyScheme string
-	Team      string // the team that the key belongs to, for the backend server
+	Team      string // the team of the key, for the backend server
 }
 
-// Store is what a node needs of the platform's store. Each call has its deadline from the context.
+// Store is what a node uses of the platform's store. Each call gets its deadline from the context.
 type Store struct {
-	// ReadState returns the newest desired state as it was written, nil if there is none, and from where changes are to
-	// be followed.
+	// ReadState returns the newest desired state as it was written, nil if there is none, and the cursor from which to
+	// follow changes.
 	ReadState func(ctx context.Context) (data []byte, next Cursor, err error)
 	// FollowState waits for a change after the cursor; data is nil if there was none in time. The error
 	// is a *HistoryGoneError if the state must be read again.
 	FollowState func(ctx context.Context, after Cursor) (data []byte, next Cursor, err error)
-	// Epoch returns the newest era of the store that any answer told; nil: the store has no eras.
+	// Epoch returns the newest store epoch in any answer so far; nil: the store has no epochs.
 	Epoch func() int64
-	// ReadRecords returns the records of VMs, and what was learned of the runs of each service, from the given parts, at
-	// once, or from all where none is given.
+	// ReadRecords returns the records of VMs and what was learned about the runs of each service. It reads the given parts
+	// concurrently, or all of them if none is given.
 	ReadRecords func(ctx context.Context, parts ...int) (Stored, error)
-	// RecordParts is how many parts they are spread over by a hash; reading one is one call.
+	// RecordParts is the number of parts over which records are spread by a hash; reading one part is one call.
 	RecordParts int
-	// WriteRecord stores this VM's record. Nobody else writes it, so doing it twice does no harm.
+	// WriteRecord stores this VM's record. No other VM writes it, so writing it twice is harmless.
 	WriteRecord func(ctx context.Context, r directory.Record) error
-	// WriteLearned stores what was learned of the runs of one service; any of its nodes may write it.
+	// WriteLearned stores what was learned about the runs of one service; any node of the service may write it.
 	WriteLearned func(ctx context.Context, l loads.Learned) error
-	// WriteQuarantined stores what is held back of the requests for one service, in place of what was stored before.
+	// WriteQuarantined replaces the stored quarantined requests of one service.
 	WriteQuarantined func(ctx context.Context, h HeldBack) error
 }
 
-// Cursor is a place in the store's history. Versions of different eras say nothing of each other: a store that came back from a
-// copy gives out those that it has lost again.
+// Cursor is a position in the store's history. Versions of different epochs can't be compared: a store restored from a copy
+// assigns the versions that it lost again.
 type Cursor struct {
 	Epoch   int64
 	Version int64
 }
 
-// Stored is what the store keeps for nodes.
+// Stored is the content of the store's records.
 type Stored struct {
 	Records     []directory.Record
 	Learned     []loads.Learned
 	Quarantined []HeldBack
-	// Unreadable tells which rows aren't a node's, or can't be read; the others hold.
+	// Unreadable has an error for each row that isn't a node's or can't be decoded; the other rows are valid.
 	Unreadable []error
 }
 
-// HistoryGoneError reports that the store doesn't know what changed since a cursor.
+// HistoryGoneError reports that the store no longer has the changes after a cursor.
 type HistoryGoneError struct{ After Cursor }
 
-// Error says so.
+// Error returns a fixed message without the cursor.
 func (e *HistoryGoneError) Error() string { return "the store's history is gone" }
 
-// Options are what a Node is made of.
+// Options configure a new Node.
 type Options struct {
 	Settings settings.Settings
 	Names    HeaderNames
 	Store    Store
-	// Decode reads a desired state; the error names the field.
+	// Decode decodes a desired state; the error names the invalid field.
 	Decode func(data []byte) (*desired.State, error)
-	// Control returns the handler for the backend server's registrations and for the readiness check.
+	// Control returns the handler of the backend server's registrations and of the readiness check.
 	Control func(n *Node) http.Handler
 	Clock   clock.Clock
 	Network Network
 	Logger  func(part string) *slog.Logger
 }
 
-// The bounds of connections and waits.
+// Limits of connections.
 const (
-	// dialTimeout bounds the making of a connection between nodes: zones are about a millisecond apart, and
-	// a lost opening packet is sent again after a second at the earliest.
+	// dialTimeout bounds dialing another node. Zones are about a millisecond apart, and a lost SYN packet is sent again
+	// after a second at the earliest.
 	dialTimeout = 350 * time.Millisecond
-	// backendDialTimeout bounds the making of a connection on this VM.
+	// backendDialTimeout bounds dialing on this VM.
 	backendDialTimeout = time.Second
-	// keepAliveIdle, probeEvery, probeCount and unackedTime find a dead connection within about a second, so that a cut
-	// isn't waited out.
+	// keepAliveIdle, keepAliveInterval, keepAliveCount and unackedTimeout detect a dead connection within about a second, so that
+	// requests don't wait out a network cut.
 	keepAliveIdle     = 400 * time.Millisecond
 	keepAliveInterval = 300 * time.Millisecond
 	keepAliveCount    = 2
 	unackedTimeout    = time.Second
-	// maxBufferedBody is the largest body that is held whole, so that it can be sent again, or found broken
+	// maxBufferedBody is the largest body that is buffered, in bytes: a buffered body can be sent again, and a broken one is detected
 	// before any of it is passed on.
 	maxBufferedBody = 128 << 10
-	// defaultTimeLeft is used where neither the client nor the route says how long a request may take.
+	// defaultTimeLeft is the time limit of requests for which neither the client nor the route sets one.
 	defaultTimeLeft = 30 * time.Second
 )
--- a/pkg/mesh/metrics_text.go
+++ b/pkg/mesh/metrics_text.go
@@ -12,7 +12,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// writeText writes all metrics in the text form that scrapers read.
+// writeText writes all metrics in the Prometheus text format.
 func (m *nodeMetrics) writeText(w io.Writer) {
 	for _, info := range Metrics {
 		kind := strings.Replace(info.Kind, "histogram", "summary", 1)
@@ -21,7 +21,7 @@
 	}
 }
 
-// writeSeries writes the label sets of one metric in order.
+// writeSeries writes the lines of one metric, sorted.
 func (m *nodeMetrics) writeSeries(w io.Writer, info MetricInfo) {
 	var lines []string
 	m.registry.Each(func(key string, v any) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// histogramLines returns the quantiles of a histogram's label sets.
+// histogramLines returns the lines of a histogram's label sets.
 func (m *nodeMetrics) histogramLines(name string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +57,7 @@
 	return lines
 }
 
-// quantileLines returns the lines of one label set, in seconds.
+// quantileLines returns the quantiles, in seconds, and the count of one label set.
 func quantileLines(name, labels string, h *hdrhistogram.Histogram) []string {
 	var lines []string
 	for _, q := range []float64{50, 90, 99} {
--- a/pkg/mesh/network.go
+++ b/pkg/mesh/network.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT on Linux, which package syscall lacks.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-// newDialer makes connections from this VM's address that notice a dead peer within about a second.
+// newDialer returns a dialer from this VM's address whose connections detect a dead peer within about a second.
 func newDialer(ip string, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:   timeout,
@@ -33,11 +33,11 @@
 	}
 }
 
-// Network is how a node listens and connects; its zero value is TCP.
+// Network is how a node listens and dials; its zero value is TCP.
 type Network struct {
 	// Listen binds an address of this VM.
 	Listen func(addr string) (net.Listener, error)
-	// Dial connects from the VM with the IP number to an address, within the timeout.
+	// Dial connects from the VM with the given IP address to addr, within the timeout.
 	Dial func(ctx context.Context, ip, addr string, timeout time.Duration) (net.Conn, error)
 }
 
@@ -49,7 +49,7 @@
 	return net.Listen("tcp", addr)
 }
 
-// dialFunc returns a function that connects to one address.
+// dialFunc returns a function that dials one address.
 func (w Network) dialFunc(ip, addr string, timeout time.Duration) func(context.Context) (net.Conn, error) {
 	if w.Dial != nil {
 		return func(ctx context.Context) (net.Conn, error) { return w.Dial(ctx, ip, addr, timeout) }
@@ -58,16 +58,16 @@
 	return func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
 }
 
-// The bounds of connections to the store.
+// Limits of connections to the store.
 const (
-	// storeIdleTimeout is how long one rests.
+	// storeIdleTimeout is how long a connection may be idle.
 	storeIdleTimeout = 30 * time.Second
-	// maxIdleStoreConns are kept: a node makes three kinds of call, one at a time each, but for records, which it reads in four
-	// parts at once.
+	// maxIdleStoreConns is how many idle connections are kept. A node makes three kinds of call, one at a time each; only records are
+	// read in four parts at once.
 	maxIdleStoreConns = 6
 )
 
-// NewStoreHTTP returns the HTTP client for the store, from the address of this VM.
+// NewStoreHTTP returns the HTTP client for the store, which dials from the address of this VM.
 func NewStoreHTTP(ip string) *http.Client {
 	return &http.Client{Transport: &storeTransport{http.Transport{
 		DialContext:         newDialer(ip, storeCallTime).DialContext,
@@ -77,13 +77,13 @@
 	}}}
 }
 
-// storeTransport makes the calls to the store. When the time of one is up without an answer, the connections that rest may have gone
-// silent with its own, and are closed: else up to storeConns calls would fail one after the other.
+// storeTransport is the HTTP transport for the store. When a call times out without an answer, idle connections may be unresponsive as well, so it
+// closes them: otherwise up to maxIdleStoreConns calls would fail one after the other.
 type storeTransport struct {
 	http.Transport
 }
 
-// RoundTrip makes one call.
+// RoundTrip makes one call and closes idle connections if the call times out.
 func (t *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	res, err := t.Transport.RoundTrip(r)
 	if err != nil && errors.Is(r.Context().Err(), context.DeadlineExceeded) {
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -35,7 +35,7 @@
 	network Network
 	off     map[settings.Mechanism]bool // never changed
 	ip      string
-	epoch   int64 // tells this life of the process from earlier ones
+	epoch   int64 // identifies this process among earlier ones of the node
 
 	callLog, controlLog *slog.Logger
 
@@ -48,7 +48,7 @@
 	knowledge  knowledge
 	view       atomic.Pointer[view]
 	started    time.Time
-	knownNodes atomic.Int64 // known, this one included
+	knownNodes atomic.Int64 // number of known nodes, including this one
 	stop       stopState
 	backend    *backend
 
@@ -61,16 +61,16 @@
 	retryBudgetMu      sync.Mutex
 	retryBudget        overload.RepeatBudget
 	poison             poison.Table
-	timeLimits         clock.Limits    // of requests in progress
-	peerRequests       awaited.Present // requests of other nodes that are here
-	serverNotListening atomic.Bool     // the server on this VM has ended and wasn't heard since
+	timeLimits         clock.Limits    // of requests in flight
+	peerRequests       awaited.Present // requests of other nodes in flight here
+	serverNotListening atomic.Bool     // the local backend server has crashed and hasn't been seen since
 	clients            clientconns.Connections
 
 	peersMu sync.Mutex
 	peers   map[string]*peer
 
 	events     chan func()
-	done       chan struct{} // closed when the node is told to end; made before its start, since a signal may hand over work by then
+	done       chan struct{} // closed when the node is halted; made before the start, since a signal handler may enqueue work by then
 	control    controlState
 	records    recordWriter
 	storeWatch storeWatch
@@ -80,13 +80,13 @@
 	running sync.WaitGroup
 }
 
-// view is what requests see of the control state.
+// view is the part of the control state that requests read.
 type view struct {
-	services    map[string][]*peer // servers that take work, by service
+	services    map[string][]*peer // servers that accept requests, by service
 	localServer directory.Record
 }
 
-// New returns a node that isn't started.
+// New returns a node that isn't started yet.
 func New(o Options) (*Node, error) {
 	host, _, err := net.SplitHostPort(o.Settings.Listen.Peers)
 	if err != nil {
@@ -117,7 +117,7 @@
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
 	n.quotas.owner.Rules = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
-	n.knowledge.told = o.Settings.Mesh.FirstStart // nobody knows anything yet
+	n.knowledge.told = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
 	n.tuneBudget()
 	n.view.Store(&view{})
@@ -125,10 +125,10 @@
 	return n, nil
 }
 
-// eventQueueSize is how many control events may wait.
+// eventQueueSize is how much work for the control goroutine may be queued.
 const eventQueueSize = 1024
 
-// Start binds the listeners and starts control work.
+// Start binds the listeners and starts the background work; it returns an error if an address can't be bound.
 func (n *Node) Start(ctx context.Context) error {
 	ctx, n.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	context.AfterFunc(ctx, func() { close(n.done) })
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// startBackground starts control work or a listener that halt waits for.
+// startBackground runs f in a goroutine that halt waits for.
 func (n *Node) startBackground(f func()) {
 	n.running.Add(1)
 	go func() {
@@ -162,22 +162,22 @@
 	}()
 }
 
-// Ready tells whether this node can serve.
+// Ready reports whether this node can serve requests.
 func (n *Node) Ready() bool { return n.state.Load() != nil && !n.stop.stopping() }
 
-// The wait of requests that come while a node that has just started knows too little to serve them.
+// How long requests wait while a node that has just started knows too little to serve them.
 const (
-	// startupWait after the start is how long they wait: reading the store takes some hundredths of a second, and
-	// the backend server's calls and its clients don't stop for the restart of its node.
+	// startupWait is how long after the start requests may wait. Reading the store takes some tens of milliseconds, and the backend
+	// server's calls and its clients don't pause while the node restarts.
 	startupWait = 800 * time.Millisecond
-	// startupPollInterval is the time between looks at what is known by now.
+	// startupPollInterval is the time between checks of what is known by now.
 	startupPollInterval = 5 * time.Millisecond
 )
 
-// pollDuringStartup waits a moment for news if the node has just started; it reports whether it is worth another look.
+// pollDuringStartup waits for startupPollInterval if the node has just started; it returns false if the caller should stop waiting.
 func (n *Node) pollDuringStartup(ctx context.Context) bool {
 	return n.clock.Now().Sub(n.started) < startupWait && clock.Sleep(ctx, startupPollInterval)
 }
 
-// jitter returns a random time from half of d to one and a half of it, so that nodes don't act in step.
+// jitter returns a random duration in [d/2, 3d/2), so that nodes don't act in step.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -11,21 +11,21 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// The bounds of labels and of times.
+// Limits of labels and histograms.
 const (
-	// maxSeries bounds the label sets of one metric; what comes beyond it is counted as "other".
+	// maxSeries bounds the label sets of one metric; further ones are counted with the label other="true".
 	maxSeries = 200
-	// maxHistogramTime and digits fix the histograms: up to a minute, two significant digits.
+	// maxHistogramTime and histogramDigits define the histograms: up to a minute in microseconds, two significant digits.
 	maxHistogramTime = int64(time.Minute / time.Microsecond)
 	histogramDigits  = 2
 )
 
-// nodeMetrics holds a node's metrics by name and labels; its zero value has none.
+// nodeMetrics holds a node's metrics by name and labels; init must be called before use.
 type nodeMetrics struct {
 	registry metrics.Registry
 
 	mu         sync.Mutex
-	series     map[string]int // label sets by metric
+	series     map[string]int // number of label sets by metric
 	histograms map[string]*hdrhistogram.Histogram
 }
 
@@ -35,7 +35,7 @@
 	m.histograms = make(map[string]*hdrhistogram.Histogram)
 }
 
-// seriesKey writes name{k="v",...} from pairs.
+// seriesKey returns name{k="v",...} for pairs of label names and values.
 func seriesKey(name string, pairs ...string) string {
 	if len(pairs) == 0 {
 		return name
@@ -56,7 +56,7 @@
 // count adds one to a counter.
 func (m *nodeMetrics) count(name string, pairs ...string) { m.add(1, name, pairs...) }
 
-// add adds to a counter.
+// add adds v to a counter.
 func (m *nodeMetrics) add(v int64, name string, pairs ...string) {
 	key := seriesKey(name, pairs...)
 	if c, ok := m.registry.Get(key).(metrics.Counter); ok {
@@ -78,7 +78,7 @@
 	metrics.GetOrRegisterGauge(seriesKey(name, pairs...), m.registry).Update(v)
 }
 
-// observe adds a time to a histogram.
+// observe records a duration in a histogram, in microseconds; a new label set beyond maxSeries is dropped.
 func (m *nodeMetrics) observe(d time.Duration, name string, pairs ...string) {
 	key := seriesKey(name, pairs...)
 	m.mu.Lock()
@@ -94,7 +94,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxHistogramTime)) // always within the bounds
 }
 
-// operatorsHandler serves those who look after the system: the metrics, at any path but that of what is held back.
+// operatorsHandler serves operators: the quarantined requests at HeldBackPath, and the metrics at any other path.
 func (n *Node) operatorsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(HeldBackPath, n.heldBackHandler())
@@ -102,7 +102,7 @@
 	return mux
 }
 
-// metricsHandler serves the metrics as text.
+// metricsHandler serves the metrics in the Prometheus text format.
 func (n *Node) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		n.updateGauges()
@@ -111,7 +111,7 @@
 	})
 }
 
-// updateGauges sets the gauges that are read rather than counted.
+// updateGauges sets the gauges that are computed when the metrics are read.
 func (n *Node) updateGauges() {
 	if s := n.state.Load(); s != nil {
 		n.metrics.gauge(s.Version, "state_version")
@@ -121,11 +121,11 @@
 		known += len(peers)
 	}
 	n.metrics.gauge(int64(known), "servers_known")
-	away := int64(0)
+	notListening := int64(0)
 	if n.serverNotListening.Load() {
-		away = 1
+		notListening = 1
 	}
-	n.metrics.gauge(away, "server_away")
+	n.metrics.gauge(notListening, "server_away")
 	n.gateMu.Lock()
 	g := n.gate.Read()
 	n.gateMu.Unlock()
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -12,18 +12,19 @@
 	"github.com/rockspoke/rockspoke/pkg/httpconn"
 )
 
-// peer is another node, or this one, as a way to the backend server beside it.
+// peer is a node, which may be this one, as the route to the backend server on its VM.
 type peer struct {
 	host  string
 	local bool
 	pool  *httpconn.Pool
 
-	sameZone atomic.Bool // in this node's availability zone
+	sameZone atomic.Bool // it is in this node's availability zone
 	slots    atomic.Int64
-	inflight atomic.Int64 // sent by this node and not ended
+	inflight atomic.Int64 // requests from this node in flight
 	awaited  awaited.Table
 
-	// digest of its records, and whether it lacks what was learned, as it last told; the control goroutine's.
+	// digest is that of the peer's records, and lacksLearned whether it lacks learned call statistics, both as last reported; only the control
+	// goroutine uses them.
 	digest       uint64
 	lacksLearned bool
 
@@ -34,42 +35,42 @@
 	failures        int
 	backedOffUntil  time.Time
 	lifetime        string    // of the server, as its record says
-	knownSince      time.Time // since when that is known
-	crashedLifetime string    // the life that ended
-	crashedUntil    time.Time // until when that counts
-	stoppingSince   time.Time // when its planned stop was first heard of; zero: it isn't stopping
+	knownSince      time.Time // when this lifetime became known
+	crashedLifetime string    // the lifetime that crashed
+	crashedUntil    time.Time // until when the crash counts
+	stoppingSince   time.Time // when its planned stop became known; zero: it isn't stopping
 }
 
-// serverLoad is what a server's node last told of it.
+// serverLoad is the load of a server, as its node last reported it.
 type serverLoad struct {
 	otherRequests int64 // running and queued, without those of this node
 	limit         float64
 	slowdown      float64
-	success       float64 // share of good answers
+	success       float64 // fraction of successful answers
 	receivedAt    time.Time
 }
 
-// The constants of what is believed of a peer.
+// Limits on what a node assumes about its peers.
 const (
 	minPeerBackoff = 250 * time.Millisecond
 	maxPeerBackoff = 4 * time.Second
-	// maxBackoffDoublings bounds the shift; asideMost is reached before.
+	// maxBackoffDoublings bounds the shift; maxPeerBackoff is reached before.
 	maxBackoffDoublings = 6
-	// maxLoadAge is how long a told load counts.
+	// maxLoadAge is how long a reported load counts.
 	maxLoadAge = 2 * time.Second
-	// peerIdleTimeout is how long a connection between nodes rests; it is far below idleTime, so that no request
-	// crosses the other side's close.
+	// peerIdleTimeout is how long a connection between nodes may be idle. It is far below idleTimeout, so that no request
+	// races with the other side closing the connection.
 	peerIdleTimeout = 30 * time.Second
-	// crashAvoidanceTime is how long requests pass by a server that has ended: the next one is known by its first heartbeat, and should the server
-	// be there all the same it is found out by one request then, which its node refuses at no cost.
+	// crashAvoidanceTime is how long requests avoid a server that crashed. The restarted server is known by its first heartbeat; if the server is up
+	// without one, a single request finds out afterwards, which its node refuses at no cost.
 	crashAvoidanceTime = 5 * time.Second
-	// recordSpreadTime is how long news of a server takes to be everywhere: some rounds of exchanges.
+	// recordSpreadTime is how long a server's record takes to reach all nodes: some rounds of exchanges.
 	recordSpreadTime = time.Second
-	// minSuccessRate bounds how little a failing server counts for, so that it is still tried.
+	// minSuccessRate bounds the weight of a failing server from below, so that it is still tried.
 	minSuccessRate = 0.1
 )
 
-// peer returns the peer of a VM, made if it is new.
+// peer returns the peer of a VM and creates it if it is new.
 func (n *Node) peer(host string) *peer {
 	n.peersMu.Lock()
 	defer n.peersMu.Unlock()
@@ -91,38 +92,38 @@
 	return p
 }
 
-// updateFromRecord takes over what a record says of the peer's server.
+// updateFromRecord takes over what a record says about the peer's server.
 func (p *peer) updateFromRecord(now time.Time, r directory.Record, zone string) {
 	p.sameZone.Store(r.Zone == zone)
 	p.slots.Store(int64(r.Slots))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zone = r.Zone
-	if life := r.LifeName(); p.lifetime != life {
-		p.lifetime, p.knownSince = life, now
-		p.load = serverLoad{} // the next life knows nothing of what the one before did
+	if lifetime := r.LifeName(); p.lifetime != lifetime {
+		p.lifetime, p.knownSince = lifetime, now
+		p.load = serverLoad{} // the load of the previous lifetime doesn't apply to the new one
 	}
 }
 
-// isWidelyKnown tells whether the server has been known for long enough that all nodes know it.
+// isWidelyKnown reports whether the server's lifetime has been known for long enough that all nodes know it.
 func (p *peer) isWidelyKnown(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.knownSince) >= recordSpreadTime
 }
 
-// knownLifetime returns the life of the peer's server that is known.
+// knownLifetime returns the name of the known lifetime of the peer's server.
 func (p *peer) knownLifetime() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lifetime
 }
 
-// markServerCrashed notes that a life of the peer's server has ended.
-func (p *peer) markServerCrashed(now time.Time, life string) {
+// markServerCrashed notes that a lifetime of the peer's server has crashed.
+func (p *peer) markServerCrashed(now time.Time, lifetime string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.crashedLifetime, p.crashedUntil = life, now.Add(crashAvoidanceTime)
+	p.crashedLifetime, p.crashedUntil = lifetime, now.Add(crashAvoidanceTime)
 }
 
 // serverZone returns the availability zone of the peer's server.
@@ -132,7 +133,7 @@
 	return p.zone
 }
 
-// receivedReply takes the load that came with an answer, and ends the time aside.
+// receivedReply takes over the load that came with an answer and ends the backoff.
 func (p *peer) receivedReply(now time.Time, r reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +145,7 @@
 	p.setStopping(now, r.Stopping)
 }
 
-// setStopping takes the peer's word on whether it is stopping; p.mu is held.
+// setStopping notes whether the peer says that it is stopping; p.mu must be held.
 func (p *peer) setStopping(now time.Time, stopping bool) {
 	switch {
 	case !stopping:
@@ -154,14 +155,14 @@
 	}
 }
 
-// stoppingFor returns for how long the peer is known to be stopping, and whether it is.
+// stoppingFor returns for how long the peer has been known to be stopping, and whether it is.
 func (p *peer) stoppingFor(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.stoppingSince), !p.stoppingSince.IsZero()
 }
 
-// receivedExchange ends the time aside: the node was heard, and told whether it is stopping.
+// receivedExchange ends the backoff after an exchange with the node and notes whether it is stopping.
 func (p *peer) receivedExchange(now time.Time, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,44 +170,44 @@
 	p.setStopping(now, stopping)
 }
 
-// markReachable ends the time aside: the node has markReachable a question.
+// markReachable ends the backoff after the node has answered a request.
 func (p *peer) markReachable() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endBackoff()
 }
 
-// endBackoff takes the peer for one that was just heard; p.mu is held.
+// endBackoff clears the backoff and the count of unanswered requests; p.mu must be held.
 func (p *peer) endBackoff() {
 	p.failures, p.backedOffUntil, p.unansweredSends = 0, time.Time{}, unansweredSends{}
 }
 
-// backOff sets the peer aside for a growing time; it reports whether it was in use before.
+// backOff backs the peer off for a growing time; it reports whether the peer was in use before.
 func (p *peer) backOff(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first := !now.Before(p.backedOffUntil)
-	if first {
+	wasInUse := !now.Before(p.backedOffUntil)
+	if wasInUse {
 		p.backedOffUntil = now.Add(min(minPeerBackoff<<min(p.failures, maxBackoffDoublings), maxPeerBackoff))
 		p.failures++
 	}
-	return first
+	return wasInUse
 }
 
-// isServerDown tells whether the peer's server has ended and the next one isn't known yet.
+// isServerDown reports whether the peer's server has crashed and its next lifetime isn't known yet.
 func (p *peer) isServerDown(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isServerDownLocked(now)
 }
 
-// isServerDownLocked does the same while p.mu is held.
+// isServerDownLocked does the same; p.mu must be held.
 func (p *peer) isServerDownLocked(now time.Time) bool {
 	return p.crashedLifetime != "" && p.crashedLifetime == p.lifetime && now.Before(p.crashedUntil)
 }
 
-// usable tells whether the peer isn't set aside, and its server hasn't ended without the next one being known yet. One that was set aside, and hasn't been
-// heard since, is tried by one request at a time.
+// usable reports whether requests may be sent to the peer: it isn't backed off and its server isn't down. After a backoff it gets one request at a time
+// until it answers.
 func (p *peer) usable(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,35 +217,35 @@
 	return !now.Before(p.backedOffUntil) && (p.failures == 0 || p.inflight.Load() == 0)
 }
 
-// reachable tells whether the last exchange with the peer went well, or there was none yet.
+// reachable reports whether the last exchange with the peer succeeded, or there was none yet.
 func (p *peer) reachable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failures == 0
 }
 
-// loadEstimate is what is believed of a peer's server.
+// loadEstimate is the estimated state of a peer's server.
 type loadEstimate struct {
-	utilization float64 // 1 when every slot that counts is taken
-	success     float64 // share of good answers
-	slowdown    float64 // time that requests hold a slot, as a multiple of what their kinds do at any server; 0: not known
+	utilization float64 // 1 when all usable slots are taken
+	success     float64 // fraction of successful answers
+	slowdown    float64 // slot hold time relative to the same kinds of requests at all servers; 0: not known
 }
 
-// loadEstimate returns what is believed now; news that is too old says nothing.
+// loadEstimate returns the current estimate; a reported load that is too old is ignored.
 func (p *peer) loadEstimate(now time.Time) loadEstimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := loadEstimate{success: 1}
 	capacity := float64(p.slots.Load())
-	others := int64(0)
+	otherRequests := int64(0)
 	if p.load.limit > 0 {
 		capacity = p.load.limit
 	}
 	if now.Sub(p.load.receivedAt) < maxLoadAge {
-		others = p.load.otherRequests
+		otherRequests = p.load.otherRequests
 		e.success = max(p.load.success, minSuccessRate)
 		e.slowdown = p.load.slowdown
 	}
-	e.utilization = float64(p.inflight.Load()+others+1) / max(capacity, 1)
+	e.utilization = float64(p.inflight.Load()+otherRequests+1) / max(capacity, 1)
 	return e
 }
--- a/pkg/mesh/planned_stop.go
+++ b/pkg/mesh/planned_stop.go
@@ -8,51 +8,53 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// stopState is where a planned stop stands, and what is in progress.
+// stopState is the progress of a planned stop and the number of requests in flight.
 type stopState struct {
-	since           atomic.Int64 // when leaving began, in Unix nanoseconds; 0: it hasn't
+	since           atomic.Int64 // when the stop began, in Unix nanoseconds; 0: it hasn't
 	refusingClients atomic.Bool
-	// refusingPeers is set after servingPeers by the steady clock; the time of day may jump meanwhile.
+	// refusingPeers is set after peerServingTime by the steady clock, since the wall clock may jump meanwhile.
 	refusingPeers atomic.Bool
 	inFlight      atomic.Int64
 	begun         atomic.Int64 // requests since the start
 }
 
+// stopping reports whether a planned stop has begun.
 func (s *stopState) stopping() bool { return s.since.Load() != 0 }
 
-// refusesClients tells whether new requests of clients are turned away.
+// refusesClients reports whether new requests of clients are rejected.
 func (s *stopState) refusesClients() bool { return s.refusingClients.Load() }
 
-// refusesPeers tells whether requests of other nodes are turned away: they know other servers, and what they
-// send late would still be in progress at the end.
+// refusesPeers reports whether requests of other nodes are rejected. The peers know other servers, and requests that they
+// send late would still be in flight at the end.
 func (s *stopState) refusesPeers() bool { return s.refusingPeers.Load() }
 
-// beginRequest counts a request in progress; the returned function ends it.
+// beginRequest counts a request in flight until the returned function is called.
 func (s *stopState) beginRequest() func() {
 	s.inFlight.Add(1)
 	s.begun.Add(1)
 	return func() { s.inFlight.Add(-1) }
 }
 
-// The times of a planned stop.
+// Times of a planned stop.
 const (
-	// clientServingTime is how long new requests are served after the stop began: clients that use their open
-	// connections learn only by the answers that they should go, and the platform needs two checks of
-	// readiness, a second apart, to send no new ones.
+	// clientServingTime is how long new client requests are served after the stop began. Clients on open connections learn
+	// only from the answers to go elsewhere, and the platform needs two readiness checks, a second apart, to send no new
+	// clients.
 	clientServingTime = 3300 * time.Millisecond
-	// peerServingTime is how long requests of other nodes are served after the stop began: they hear of it by
-	// the next answer, and send on what is refused.
+	// peerServingTime is how long requests of other nodes are served after the stop began. They learn of it from the next answer
+	// and send refused requests elsewhere.
 	peerServingTime = 1500 * time.Millisecond
-	// killMargin is kept free before the platform kills the process.
+	// killMargin is the time left before the platform kills the process.
 	killMargin = 400 * time.Millisecond
-	// idleBeforeEnd is for how long nothing has to be in progress, and nothing to have come: clients that just got an
-	// answer come back, and are to be told that they should go elsewhere rather than find a closed port.
+	// idleBeforeEnd is how long no request must be in flight or arrive before the stop ends. A client that just got an answer may return, and
+	// should be sent elsewhere rather than find a closed port.
 	idleBeforeEnd = 150 * time.Millisecond
-	// stopPoll is the time between looks at whether all requests have ended.
+	// stopPoll is the time between checks whether all requests have ended.
 	stopPoll = 20 * time.Millisecond
 )
 
-// Stop leaves in order: not ready at once, serving on for a while, ending when nothing is in progress.
+// Stop stops the node gracefully. It is not ready at once, keeps serving for a while, and halts when no request is in flight or the grace
+// period is nearly over.
 func (n *Node) Stop(ctx context.Context) error {
 	begun := n.clock.Now()
 	n.stop.since.Store(begun.UnixNano())
@@ -77,13 +79,13 @@
 	return nil
 }
 
-// idleTracker tells since when nothing has been in progress or come.
+// idleTracker records since when no request has been in flight or has arrived.
 type idleTracker struct {
 	since time.Time
 	begun int64
 }
 
-// update takes the counts of now.
+// update takes the current counts.
 func (q *idleTracker) update(now time.Time, s *stopState) {
 	begun := s.begun.Load()
 	if s.inFlight.Load() > 0 || begun != q.begun || q.since.IsZero() {
@@ -91,7 +93,7 @@
 	}
 }
 
-// halt ends all work of the node at once.
+// halt stops all work of the node at once and waits for its end.
 func (n *Node) halt() {
 	n.cancel()
 	for _, s := range n.servers {
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -10,30 +10,30 @@
 	"github.com/rockspoke/rockspoke/pkg/quota"
 )
 
-// quotaPath is where nodes ask the owner of a team's quota for tokens, and quotaHandoverPath where an owner hands over to the next.
+// quotaPath is where nodes request tokens from the owner of a team's quota; quotaHandoverPath is where an owner hands tokens over to the next.
 const (
 	quotaPath         = "/quota"
 	quotaHandoverPath = "/quota-handover"
 )
 
-// maxTokensPerRequest bounds what is asked for at a time.
+// maxTokensPerRequest bounds the tokens that one request may ask for.
 const maxTokensPerRequest = 1000
 
-// quotaRequest asks the owner of a team for tokens.
+// quotaRequest requests tokens from the owner of a team's quota.
 type quotaRequest struct {
 	Team string `codec:"t"`
 	Want int    `codec:"n"`
-	Zone string `codec:"z"` // of the one who asks
+	Zone string `codec:"z"` // of the requester
 }
 
-// quotaResponse is the owner's answer.
+// quotaResponse is the response to a quotaRequest.
 type quotaResponse struct {
 	Tokens int           `codec:"n"`
-	Wait   time.Duration `codec:"w"` // if there are none: when to ask again
-	Owner  string        `codec:"o"` // who owns the team, if it isn't the node that was asked
+	Wait   time.Duration `codec:"w"` // without tokens: how long to wait before the next request
+	Owner  string        `codec:"o"` // the owner, if the queried node isn't it
 }
 
-// serveQuota answers a node that asks for tokens.
+// serveQuota answers another node's request for tokens.
 func (n *Node) serveQuota(w http.ResponseWriter, r *http.Request) {
 	var q quotaRequest
 	if n.readNodeRequest(w, r, maxShortMessage, &q, func() bool { return q.Want >= 1 && q.Want <= maxTokensPerRequest }) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// grantTokens gives out tokens of a team that this node owns.
+// grantTokens grants tokens of a team whose quota this node owns; otherwise it returns the owner.
 func (n *Node) grantTokens(q *quotaRequest) quotaResponse {
 	team := n.state.Load().Team(q.Team)
 	n.quotas.mu.Lock()
@@ -56,10 +56,11 @@
 	return quotaResponse{Tokens: g.Tokens, Wait: g.Wait}
 }
 
-// unknownTeamWait is when to ask again for a team that has no limit in the desired state here: its news is on its way.
+// unknownTeamWait is when to request again for a team without a limit in the desired state here: a newer state is on its way.
 const unknownTeamWait = 100 * time.Millisecond
 
-// zoneOwner returns who owns a team of this zone, or this node's own host where that isn't known: it certainly isn't the owner.
+// zoneOwner returns the owner of a team's quota in this zone. Where that isn't known it returns this node's host, which tells the requester
+// that this node isn't the owner.
 func (n *Node) zoneOwner(team string) string {
 	if host := n.roles.Load().rings[n.cfg.Zone].Of(team); host != "" {
 		return host
@@ -67,15 +68,16 @@
 	return n.ip
 }
 
-// updateQuotaOwnership takes who owns which teams in the own zone, and hands over what goes to others; without a ring nobody owns any.
-func (n *Node) updateQuotaOwnership(now time.Time, ring *quota.Ring, part float64) {
+// updateQuotaOwnership applies a new assignment of owners in this zone and hands tokens over to new owners; a nil ring means no owners.
+// presentFraction is the fraction of the zone's known nodes that is present.
+func (n *Node) updateQuotaOwnership(now time.Time, ring *quota.Ring, presentFraction float64) {
 	limits := quotaLimits(n.state.Load())
 	owns := func(shard int) bool { return ring != nil && ring[shard] == n.ip }
 	n.quotas.mu.Lock()
-	left := n.quotas.owner.Elect(clock.Boot(n.clock), owns, part, n.quotaGrantDelay(now), limits)
+	released := n.quotas.owner.Elect(clock.Boot(n.clock), owns, presentFraction, n.quotaGrantDelay(now), limits)
 	n.quotas.mu.Unlock()
 	byOwner := make(map[string][]quota.Balance)
-	for _, b := range left {
+	for _, b := range released {
 		if host := ring.Of(b.Team); host != "" {
 			byOwner[host] = append(byOwner[host], b)
 		}
@@ -85,16 +87,16 @@
 	}
 }
 
-// handOverQuotas tells the next owner of some teams what is left of them. What doesn't arrive is lost, and the next one begins with
-// nothing.
+// handOverQuotas sends the remaining tokens of some teams to their next owner. If the message is lost, the next owner starts with
+// empty buckets.
 func (n *Node) handOverQuotas(host string, balances []quota.Balance) {
-	var taken quotaResponse
-	if err := n.queryNode(context.Background(), host, quotaHandoverPath, quotaRequestTimeout, balances, &taken); err != nil {
-		n.controlLog.Info("quotas not handed over", "peer", host, "teams", len(balances), "err", err)
+	var res quotaResponse
+	if err := n.queryNode(context.Background(), host, quotaHandoverPath, quotaRequestTimeout, balances, &res); err != nil {
+		n.controlLog.Info("quota handover failed", "peer", host, "teams", len(balances), "err", err)
 	}
 }
 
-// serveQuotaHandover takes what another owner hands over.
+// serveQuotaHandover receives the tokens that a former owner hands over.
 func (n *Node) serveQuotaHandover(w http.ResponseWriter, r *http.Request) {
 	var balances []quota.Balance
 	if !n.readNodeRequest(w, r, maxMessage, &balances, func() bool { return true }) {
@@ -111,7 +113,7 @@
 	n.writeNodeResponse(w, quotaResponse{})
 }
 
-// quotaLimits returns the limits of all teams that have one.
+// quotaLimits returns the limits of all teams that have one, by team name.
 func quotaLimits(s *desired.State) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit)
 	if s == nil {
--- a/pkg/mesh/suspension.go
+++ b/pkg/mesh/suspension.go
@@ -7,19 +7,19 @@
 	"github.com/rockspoke/rockspoke/pkg/httpconn"
 )
 
-// deadConnDetectTime is how long a suspension has to be for the other sides to have given up its connections: they look for a dead one after probeAfter and
-// every probeEvery (network.go), as this node does.
+// deadConnDetectTime is the shortest suspension after which the other ends have given up this VM's connections: like this node, they probe
+// after keepAliveIdle and every keepAliveInterval (network.go).
 const deadConnDetectTime = keepAliveIdle + keepAliveCount*keepAliveInterval
 
-// handleSuspension takes note that this VM was suspended for a time, which the clock counts from now on: what has lapsed meanwhile has lapsed. Timers stood still
-// with the steady clock, and the other sides of the connections that are kept may be gone without a word that could be heard.
+// handleSuspension applies a suspension of this VM for d, which the clock counts from now on, so deadlines that passed meanwhile expire. Timers
+// stood still with the steady clock, and the other ends of idle connections may have closed them without a packet that could be received.
 func (n *Node) handleSuspension(d time.Duration) {
 	now := n.clock.Now()
 	n.watch.with(func(w *follow.Watch) { w.Look(now) })
-	ended := n.timeLimits.Lapse(now)
+	expired := n.timeLimits.Lapse(now)
 	if d >= deadConnDetectTime {
 		n.forEachPool((*httpconn.Pool).DropIdle)
 	}
 	n.metrics.count("suspensions_total")
-	n.controlLog.Warn("this VM was suspended", "for", d, "requests_lapsed", ended)
+	n.controlLog.Warn("this VM was suspended", "for", d, "requests_lapsed", expired)
 }
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -14,35 +14,35 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// teamQuotas is what a node has of the teams' quotas: the tokens in hand, and the buckets that it owns.
+// teamQuotas holds the quota tokens that this node may spend and the token buckets that it owns.
 type teamQuotas struct {
 	mu    sync.Mutex
 	pool  quota.Pool
 	owner quota.Owner
-	// unresponsiveUntil is the owners that didn't answer, and until when they aren't asked.
+	// unresponsiveUntil has the owners that didn't answer, and until when they aren't queried again.
 	unresponsiveUntil map[string]time.Time
 }
 
-// quotaRules returns the operator's bounds.
+// quotaRules returns the operator's quota settings as rules of package quota.
 func quotaRules(m *settings.Mesh) quota.Rules {
 	return quota.Rules{Window: m.QuotaWindow, Excess: m.QuotaExcess, Slack: m.QuotaSlack, Zones: len(m.Zones)}
 }
 
 const (
-	// quotaRequestTimeout bounds a question to an owner: a request waits for it, and an answer takes a few milliseconds at the most, while the owner is well.
+	// quotaRequestTimeout bounds a request to an owner. A client's request waits for it; a healthy owner answers within a few milliseconds.
 	quotaRequestTimeout = 80 * time.Millisecond
-	// ownerBackoff is how long an owner that didn't answer isn't asked.
+	// ownerBackoff is how long an owner that didn't answer isn't queried again.
 	ownerBackoff = 300 * time.Millisecond
 )
 
-// dropRemovedTeams drops what is in hand of teams that a new desired state lacks.
+// dropRemovedTeams drops the tokens of teams that a new desired state lacks.
 func (n *Node) dropRemovedTeams(s *desired.State) {
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
 	n.quotas.pool.Keep(func(team string) bool { return s.Team(team) != nil })
 }
 
-// markUnresponsive notes an owner that didn't answer.
+// markUnresponsive backs off an owner that didn't answer.
 func (t *teamQuotas) markUnresponsive(now time.Time, host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	t.unresponsiveUntil[host] = now.Add(ownerBackoff)
 }
 
-// isUnresponsive tells whether an owner didn't answer a moment ago.
+// isUnresponsive reports whether an owner is backed off.
 func (t *teamQuotas) isUnresponsive(now time.Time, host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,52 +63,52 @@
 	return noted && now.Before(until)
 }
 
-// quotaLimit returns a team's quota.
+// quotaLimit returns a team's rate and burst.
 func quotaLimit(t *desired.Team) quota.Limit { return quota.Limit{Rate: t.Rate, Burst: t.Burst} }
 
-// countsAgainstQuota tells whether a request counts against a quota.
+// countsAgainstQuota reports whether a request takes a token from its team's quota.
 func (n *Node) countsAgainstQuota(q *request) bool {
 	return q.team.Limited() && n.quotas.owner.Rules.Kept()
 }
 
-// takeQuotaToken takes one request off the team's quota; it returns the answer if there is nothing left, or nil. That comes
-// before admission, so that what is over a quota isn't taken for overload.
+// takeQuotaToken takes one token from the quota of the request's team; it returns nil, or a refusal if no token is left. It runs before
+// admission, so that requests over a quota don't count as overload.
 func (n *Node) takeQuotaToken(ctx context.Context, q *request) *answer {
 	if !n.countsAgainstQuota(q) {
 		return nil
 	}
-	asked := clock.Boot(n.clock) // tokens lapse while the VM is suspended, too
+	requestedAt := clock.Boot(n.clock) // tokens expire while the VM is suspended, too
 	n.quotas.mu.Lock()
-	ok, want := n.quotas.pool.Take(asked, q.team.Name)
+	ok, want := n.quotas.pool.Take(requestedAt, q.team.Name)
 	n.quotas.mu.Unlock()
 	if ok {
 		return nil
 	}
-	tokens, heard := n.requestTokens(ctx, q.team, want)
-	for tokens == 0 && !heard && n.pollDuringStartup(ctx) {
-		tokens, heard = n.requestTokens(ctx, q.team, 1) // a node that has just started doesn't know the owners yet
+	tokens, reached := n.requestTokens(ctx, q.team, want)
+	for tokens == 0 && !reached && n.pollDuringStartup(ctx) {
+		tokens, reached = n.requestTokens(ctx, q.team, 1) // a node that has just started doesn't know the owners yet
 	}
 	n.quotas.mu.Lock()
-	n.quotas.pool.Put(asked, q.team.Name, tokens)
+	n.quotas.pool.Put(requestedAt, q.team.Name, tokens)
 	n.quotas.mu.Unlock()
 	if tokens > 0 {
 		return nil
 	}
-	return n.overQuotaAnswer(q, heard)
+	return n.overQuotaAnswer(q, reached)
 }
 
-// overQuotaAnswer is the answer to a request for which there is no token; heard tells whether an owner said so.
-func (n *Node) overQuotaAnswer(q *request, heard bool) *answer {
+// overQuotaAnswer returns the refusal of a request for which there is no token; reached reports whether an owner answered.
+func (n *Node) overQuotaAnswer(q *request, reached bool) *answer {
 	a := refused(wire.ReasonQuota)
-	if !heard {
+	if !reached {
 		a = refused(wire.ReasonNoOwner)
 	}
-	a.overloaded = true // the next tokens are for others who wait as well
-	n.callLog.Info("over quota", "request", q.id, "route", q.Route, "team", q.team.Name, "owner_heard", heard)
+	a.overloaded = true // the next tokens also go to other waiting requests
+	n.callLog.Info("over quota", "request", q.id, "route", q.Route, "team", q.team.Name, "owner_heard", reached)
 	return a
 }
 
-// returnQuotaToken returns the token of a request that wasn't let in after all.
+// returnQuotaToken returns the token of a request that wasn't admitted after all.
 func (n *Node) returnQuotaToken(q *request) {
 	if !n.countsAgainstQuota(q) {
 		return
@@ -118,10 +118,10 @@
 	n.quotas.pool.GiveBack(clock.Boot(n.clock), q.team.Name)
 }
 
-// requestTokens asks the owner of the own zone for tokens, and those of the others, in an order by chance, if it has none; heard tells
-// whether one of them has answered, or did so a moment ago.
-func (n *Node) requestTokens(ctx context.Context, team *desired.Team, want int) (tokens int, heard bool) {
-	tokens, heard = n.requestTokensFromZone(ctx, n.cfg.Zone, team, want)
+// requestTokens requests tokens from the owner in this zone, and if it has none from the owners in the other zones in random order. It returns
+// the number of tokens, and whether any owner has answered now or a moment ago.
+func (n *Node) requestTokens(ctx context.Context, team *desired.Team, want int) (tokens int, reached bool) {
+	tokens, reached = n.requestTokensFromZone(ctx, n.cfg.Zone, team, want)
 	if tokens > 0 {
 		return tokens, true
 	}
@@ -130,22 +130,23 @@
 		if zones[i] == n.cfg.Zone {
 			continue
 		}
-		// One at a time: tokens of other zones are for requests that are there.
+		// One token at a time, because tokens of another zone are meant for requests there.
 		tokens, answered := n.requestTokensFromZone(ctx, zones[i], team, 1)
-		heard = heard || answered
+		reached = reached || answered
 		if tokens > 0 {
 			return tokens, true
 		}
 	}
-	return 0, heard
+	return 0, reached
 }
 
-// requestTokensFromZone asks the owner of one zone, unless it had nothing a moment ago.
-func (n *Node) requestTokensFromZone(ctx context.Context, zone string, team *desired.Team, want int) (tokens int, heard bool) {
+// requestTokensFromZone requests tokens from the owner in one zone, unless it had none a moment ago. It returns the number of tokens, and
+// whether the owner has answered now or a moment ago.
+func (n *Node) requestTokensFromZone(ctx context.Context, zone string, team *desired.Team, want int) (tokens int, reached bool) {
 	n.quotas.mu.Lock()
-	may := n.quotas.pool.MayHave(clock.Boot(n.clock), team.Name, zone)
+	mayHaveTokens := n.quotas.pool.MayHave(clock.Boot(n.clock), team.Name, zone)
 	n.quotas.mu.Unlock()
-	if !may {
+	if !mayHaveTokens {
 		return 0, true
 	}
 	a, ok := n.requestTokensFromOwner(ctx, zone, team, want)
@@ -157,30 +158,31 @@
 	return a.Tokens, ok
 }
 
-// requestTokensFromOwner asks the owner of one zone, and whom that one takes for the owner if it isn't.
+// requestTokensFromOwner requests tokens from the owner in one zone. If that node isn't the owner it tries once the one that the node names. It
+// returns the response, and whether an owner gave it.
 func (n *Node) requestTokensFromOwner(ctx context.Context, zone string, team *desired.Team, want int) (quotaResponse, bool) {
-	question := quotaRequest{Team: team.Name, Want: want, Zone: n.cfg.Zone}
+	req := quotaRequest{Team: team.Name, Want: want, Zone: n.cfg.Zone}
 	host := n.roles.Load().rings[zone].Of(team.Name)
 	for range 2 {
 		if host == n.ip {
-			a := n.grantTokens(&question)
-			return a, a.Owner == ""
+			res := n.grantTokens(&req)
+			return res, res.Owner == ""
 		}
 		if host == "" || !n.peer(host).reachable() || n.quotas.isUnresponsive(n.clock.Now(), host) {
 			return quotaResponse{}, false
 		}
 		n.metrics.count("quota_questions_total", "near", strconv.FormatBool(zone == n.cfg.Zone))
-		var a quotaResponse
-		if err := n.queryNode(ctx, host, quotaPath, quotaRequestTimeout, &question, &a); err != nil {
+		var res quotaResponse
+		if err := n.queryNode(ctx, host, quotaPath, quotaRequestTimeout, &req, &res); err != nil {
 			if ctx.Err() == nil {
 				n.quotas.markUnresponsive(n.clock.Now(), host)
 			}
 			return quotaResponse{}, false
 		}
-		if a.Owner == "" || a.Owner == host {
-			return a, a.Owner == ""
+		if res.Owner == "" || res.Owner == host {
+			return res, res.Owner == ""
 		}
-		host = a.Owner
+		host = res.Owner
 	}
 	return quotaResponse{}, false
 }
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -10,25 +10,25 @@
 	"github.com/rockspoke/rockspoke/pkg/quota"
 )
 
-// teamRoles says which nodes do what for keys and quotas; it is never changed once published.
+// teamRoles assigns the reading of freshness proofs and the ownership of quotas to nodes; it is immutable once published.
 type teamRoles struct {
 	proofs freshness.Roles
-	rings  map[string]*quota.Ring // owners of quotas, by availability zone
+	rings  map[string]*quota.Ring // quota owners, by availability zone
 }
 
-// zoneMembers is the nodes of each availability zone as the roles were last chosen; the control goroutine's.
+// zoneMembers are the hosts in each availability zone at the last assignment of roles; only the control goroutine uses it.
 type zoneMembers struct {
 	byZone         map[string][]string
-	localZoneKnown int // of the own zone, whether they are heard or not
+	localZoneKnown int // known hosts in the local zone, whether or not they send reports
 }
 
-// updateTeamRoles chooses anew where nodes have come or gone.
+// updateTeamRoles assigns roles again if the members of a zone have changed.
 func (n *Node) updateTeamRoles(now time.Time) {
 	if !n.needsKeys(n.state.Load()) {
 		return
 	}
-	members, before := n.roleCandidates(now), n.control.members
-	if members.localZoneKnown == before.localZoneKnown && maps.EqualFunc(members.byZone, before.byZone, slices.Equal) {
+	members, previous := n.roleCandidates(now), n.control.members
+	if members.localZoneKnown == previous.localZoneKnown && maps.EqualFunc(members.byZone, previous.byZone, slices.Equal) {
 		return
 	}
 	n.control.members = members
@@ -36,23 +36,23 @@
 	roles := &teamRoles{rings: make(map[string]*quota.Ring, len(members.byZone)), proofs: old.proofs}
 	for zone, hosts := range members.byZone {
 		roles.rings[zone] = old.rings[zone]
-		if !slices.Equal(hosts, before.byZone[zone]) {
+		if !slices.Equal(hosts, previous.byZone[zone]) {
 			roles.rings[zone] = quota.Owners(hosts)
 		}
 	}
-	own := members.byZone[n.cfg.Zone]
-	if !slices.Equal(own, before.byZone[n.cfg.Zone]) {
-		roles.proofs = freshness.Choose(own)
+	localHosts := members.byZone[n.cfg.Zone]
+	if !slices.Equal(localHosts, previous.byZone[n.cfg.Zone]) {
+		roles.proofs = freshness.Choose(localHosts)
 	}
-	n.updateQuotaOwnership(now, roles.rings[n.cfg.Zone], float64(len(own))/float64(max(members.localZoneKnown, 1)))
+	n.updateQuotaOwnership(now, roles.rings[n.cfg.Zone], float64(len(localHosts))/float64(max(members.localZoneKnown, 1)))
 	n.roles.Store(roles)
 }
 
-// maxStartSkew is by how much older than this process another one of its zone is that wasn't started together with it.
+// maxStartSkew is the largest difference between the starts of nodes of a zone that count as started together.
 const maxStartSkew = 3 * time.Second
 
-// quotaGrantDelay returns how long this node waits before it gives out what it comes to own. Where all nodes of the zone were started
-// together nobody has owned it since this one was started, so it has come in since.
+// quotaGrantDelay returns how long this node waits before it grants tokens of quotas that it comes to own. If all nodes of the zone started
+// together, nobody owned a quota before this node's start, so the wait counts from the start.
 func (n *Node) quotaGrantDelay(now time.Time) time.Duration {
 	for _, r := range n.control.reports {
 		if r.Epoch < n.epoch-maxStartSkew.Milliseconds() {
@@ -65,20 +65,20 @@
 	return n.started.Sub(now)
 }
 
-// roleCandidates returns the nodes of each zone that may have a role: of the own zone those that are heard, of the others
-// all that are known.
+// roleCandidates returns the nodes of each zone that may have a role: in the local zone those that send reports, in other zones
+// all known nodes.
 func (n *Node) roleCandidates(now time.Time) zoneMembers {
 	m := zoneMembers{byZone: make(map[string][]string)}
-	fresh := now.Sub(n.started) < reportLifeLeast
+	justStarted := now.Sub(n.started) < reportLifeLeast
 	for _, r := range n.control.directory.All() {
-		near := r.Zone == n.cfg.Zone || r.Host == n.ip
-		heard := !near || r.Host == n.ip || n.hasRecentReport(now, r.Host) || fresh
-		if near && (r.Phase != directory.Gone || heard) {
+		local := r.Zone == n.cfg.Zone || r.Host == n.ip
+		alive := !local || r.Host == n.ip || n.hasRecentReport(now, r.Host) || justStarted
+		if local && (r.Phase != directory.Gone || alive) {
 			m.localZoneKnown++
 		}
-		if heard && !n.isStopping(now, r.Host) && (near || r.Phase != directory.Gone) {
+		if alive && !n.isStopping(now, r.Host) && (local || r.Phase != directory.Gone) {
 			zone := r.Zone
-			if near {
+			if local {
 				zone = n.cfg.Zone
 			}
 			m.byZone[zone] = append(m.byZone[zone], r.Host)
@@ -87,24 +87,24 @@
 	return m
 }
 
-// memberExchanges is how long a node that isn't heard any more keeps its role, in exchanges, and minMemberTime at the least: what it owns is
-// at nobody's disposal meanwhile. Reports of a node that is well take about a second to reach all of its zone.
+// memberExchanges is how many exchange periods a node keeps its role after its last report, and minMemberTime the minimum time. Nobody serves
+// its role meanwhile. Reports of a healthy node reach the whole zone within about a second.
 const (
 	memberExchanges = 6
 	minMemberTime   = 2 * time.Second
 )
 
-// hasRecentReport tells whether a node of the own zone was heard lately, and doesn't leave.
+// hasRecentReport reports whether a node of the local zone has sent a report lately and isn't leaving.
 func (n *Node) hasRecentReport(now time.Time, host string) bool {
 	r := n.control.reports[host]
 	return r != nil && !r.Leaving && now.Sub(r.heard) <= max(memberExchanges*n.calmTalkPeriod(), minMemberTime)
 }
 
-// isStopping tells whether a node is known to be stopping.
+// isStopping reports whether a node is known to be stopping.
 func (n *Node) isStopping(now time.Time, host string) bool {
 	if host == n.ip {
 		return n.stop.stopping()
 	}
-	_, stops := n.peer(host).stoppingFor(now)
-	return stops
+	_, stopping := n.peer(host).stoppingFor(now)
+	return stopping
 }
--- a/pkg/mesh/unresponsive_peer.go
+++ b/pkg/mesh/unresponsive_peer.go
@@ -6,62 +6,63 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// The constants of peers that fall silent. Requests to a node that was cut off hang until their time is up, and tell
-// nothing before: others that are sent after them would hang as well.
+// Limits for the detection of unresponsive peers. Requests to a node that was cut off hang until their time limit, without any sign before; later
+// requests would hang as well.
 const (
-	// minUnansweredSends is how many requests in a row have to be without a word from the peer.
+	// minUnansweredSends is how many requests in a row must be without any answer from the peer.
 	minUnansweredSends = 4
-	// minUnresponsiveTime is the least time for which nothing was heard since the first of them, and silentHolds by how many
-	// times that which such requests usually take it is longer.
+	// minUnresponsiveTime is the minimum time without an answer since the first of them; unresponsiveHoldFactor times the expected slot
+	// hold time of such requests is added to it.
 	minUnresponsiveTime    = 250 * time.Millisecond
 	unresponsiveHoldFactor = 3
-	// minResponseWait and newConnHolds are the same for the next request to go on a new connection.
+	// minResponseWait and responseWaitHoldFactor are the same for sending the next request on a new connection.
 	minResponseWait        = 50 * time.Millisecond
 	responseWaitHoldFactor = 2
-	// defaultHoldTime is taken for requests of which that isn't known.
+	// defaultHoldTime is the expected slot hold time of requests for which none is known.
 	defaultHoldTime = time.Second
 )
 
-// unansweredSends is what was sent to a peer since it was last heard; its zero value is nothing.
+// unansweredSends counts the requests sent to a peer since its last answer; its zero value counts none.
 type unansweredSends struct {
 	count       int
 	firstSent   time.Time     // when the first of them was sent
-	longestHold time.Duration // that the longest of them usually takes
+	longestHold time.Duration // largest expected slot hold time of them
 }
 
-// add notes a request to the peer that usually takes so long.
-func (s *unansweredSends) add(now time.Time, usual time.Duration) {
+// add counts a request with the given expected slot hold time.
+func (s *unansweredSends) add(now time.Time, holdTime time.Duration) {
 	if s.count == 0 {
 		*s = unansweredSends{firstSent: now}
 	}
 	s.count++
-	s.longestHold = max(s.longestHold, usual)
+	s.longestHold = max(s.longestHold, holdTime)
 }
 
-// timedOut tells whether the peer would have been heard by now if it could.
+// timedOut reports whether a reachable peer would have answered by now.
 func (s *unansweredSends) timedOut(now time.Time) bool {
 	return s.count >= minUnansweredSends && now.Sub(s.firstSent) > minUnresponsiveTime+unresponsiveHoldFactor*s.longestHold
 }
 
-// expectedHoldTime returns how long a request may be taken to hold a slot of a server with a pace, which is so long at any server, 0 if that
-// isn't known.
-func expectedHoldTime(pace float64, usual time.Duration) time.Duration {
+// expectedHoldTime returns the expected slot hold time at a server with the given slowdown factor; usual is its typical value across all servers,
+// 0 if unknown.
+func expectedHoldTime(slowdown float64, usual time.Duration) time.Duration {
 	if usual == 0 {
 		return defaultHoldTime
 	}
-	return time.Duration(float64(usual) * max(pace, 1))
+	return time.Duration(float64(usual) * max(slowdown, 1))
 }
 
-// expectedResponseTime returns in which time the answer to a request can be expected that usually takes so long, as httpconn counts it.
-func (n *Node) expectedResponseTime(usual time.Duration) time.Duration {
+// expectedResponseTime returns the time within which a request with the given expected slot hold time should be answered (httpconn.Request.Patience);
+// 0 if the detection is switched off.
+func (n *Node) expectedResponseTime(holdTime time.Duration) time.Duration {
 	if n.off[settings.Silence] {
 		return 0
 	}
-	return minResponseWait + responseWaitHoldFactor*usual
+	return minResponseWait + responseWaitHoldFactor*holdTime
 }
 
-// recordSend notes a request to the peer that usually takes so long at any server, 0 if that isn't known; it returns how long it
-// may be taken to take there.
+// recordSend counts a request sent to the peer; usual is its typical slot hold time across all servers, 0 if unknown. It returns the slot hold time
+// expected at this peer.
 func (p *peer) recordSend(now time.Time, usual time.Duration) time.Duration {
 	p.inflight.Add(1)
 	p.mu.Lock()
@@ -71,7 +72,7 @@
 	return usual
 }
 
-// becameUnresponsive tells whether the peer has fallen silent, once.
+// becameUnresponsive reports once that the peer has become unresponsive; it resets the count.
 func (p *peer) becameUnresponsive(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +83,7 @@
 	return true
 }
 
-// backOffUnresponsivePeers sets aside the peers that have fallen silent.
+// backOffUnresponsivePeers backs off the peers that have become unresponsive and closes their idle connections.
 func (n *Node) backOffUnresponsivePeers(now time.Time) {
 	if n.off[settings.Silence] {
 		return
@@ -92,7 +93,7 @@
 	for _, p := range n.peers {
 		if !p.local && p.becameUnresponsive(now) && p.backOff(now) {
 			n.metrics.count("peers_aside_total")
-			n.controlLog.Warn("peer is silent", "peer", p.host, "in_progress", p.inflight.Load())
+			n.controlLog.Warn("peer is unresponsive", "peer", p.host, "in_progress", p.inflight.Load())
 			p.pool.DropIdle()
 		}
 	}
