--- a/pkg/mesh/client_connections_test.go
+++ b/pkg/mesh/client_connections_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Clients that keep their connections open don't keep others out.
+// Clients that keep idle connections open don't keep others out.
 func TestNodeAcceptsNewConnectionsWhileManyAreIdle(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
--- a/pkg/mesh/control_loop_test.go
+++ b/pkg/mesh/control_loop_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Work for the control goroutine that found its queue full when that had ended waited for ever, and the halt of the node with it:
-// a node under load that was told to end stayed until it was killed.
+// Work for the control goroutine that found a full queue after that goroutine had ended waited forever, and so did halt:
+// a loaded node that was told to stop stayed until it was killed.
 func TestANodeWhoseQueueIsFullCanBeHalted(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
@@ -22,7 +22,7 @@
 		default:
 		}
 	}
-	// The control goroutine may take a few more before it sees that it is to end, but hardly a hundred.
+	// The control goroutine may take a few more before it sees that it has to end, but hardly a hundred.
 	for range 100 {
 		n.startBackground(func() { n.enqueue(func() {}) })
 		n.startBackground(func() { n.enqueueAndWait(context.Background(), func() {}) })
@@ -47,9 +47,9 @@
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
-	asked := false
-	c.Assert(n.enqueueAndWait(t.Context(), func() { asked = true }), qt.IsTrue)
-	c.Assert(asked, qt.IsTrue)
+	ran := false
+	c.Assert(n.enqueueAndWait(t.Context(), func() { ran = true }), qt.IsTrue)
+	c.Assert(ran, qt.IsTrue)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	blocked := make(chan struct{})
@@ -58,7 +58,7 @@
 	close(blocked)
 }
 
-// Signals are taken before the node starts: what they handed over raced with its start.
+// Signals are handled before the node starts: a reload raced with the start.
 func TestReloadDuringStart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/fake_server_test.go
+++ b/pkg/mesh/fake_server_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// testNames are headers of the tests' own.
+// testNames are the header names that the tests use.
 var testNames = HeaderNames{
 	AttemptID: "X-Attempt", TimeLeft: "X-Time-Left", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Caller: "X-Caller", Key: "Authorization", KeyScheme: "Token", Team: "X-Team",
 }
 
-// sealHeader is one that backend servers set and nodes pass on like any other.
+// sealHeader is a header that backend servers set and nodes pass on like any other.
 const sealHeader = "X-Seal"
 
-// fakeServer is a backend server beside a node.
+// fakeServer is the backend server of a node.
 type fakeServer struct {
 	ip, service, instance, zone string
 	slots                       int
@@ -31,11 +31,11 @@
 	seen         []string // attempt ids that ran
 	srv          *http.Server
 	heartbeatSeq atomic.Int64
-	life         atomic.Int64 // which of its lives this is
-	down         atomic.Bool  // it has ended, and the next life hasn't begun
-	born         atomic.Int64 // when this life began, in Unix milliseconds; 0: it doesn't say
+	life         atomic.Int64 // number of its current lifetime
+	down         atomic.Bool  // it has crashed, and its next lifetime hasn't begun
+	born         atomic.Int64 // start of this lifetime, in Unix milliseconds; 0: not reported
 	outboundAddr string       // the node's outbound address
-	client       *http.Client // to the node
+	client       *http.Client // for calls to the node
 }
 
 func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -61,7 +61,7 @@
 	fmt.Fprintf(w, "%s %s", f.service, id)
 }
 
-// call makes one call, which ends with its run at the latest.
+// call makes one call, whose time limit is the deadline of its run; it reports whether the call succeeded.
 func (f *fakeServer) call(id string, i int, path string, deadline time.Time) bool {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+f.outboundAddr+path, nil)
 	req.Host = "h"
@@ -76,7 +76,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// callClient sends from the address of a VM, as its backend server does.
+// callClient returns the client that sends from the address of a VM, as its backend server does.
 func callClient(ip string) *http.Client {
 	v, _ := callClients.LoadOrStore(ip, &http.Client{Transport: &http.Transport{
 		DialContext: newDialer(ip, time.Second).DialContext, MaxIdleConnsPerHost: 500,
@@ -86,6 +86,7 @@
 
 var callClients sync.Map
 
+// ran returns the attempt ids that ran here.
 func (f *fakeServer) ran() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/mesh/leaving_test.go
+++ b/pkg/mesh/leaving_test.go
@@ -23,7 +23,7 @@
 		c.Assert(status, qt.Equals, 200)
 	}
 	c.Assert(s.servers[1].ran(), qt.HasLen, before)
-	s.heartbeat(1, false) // a heartbeat that was under way
+	s.heartbeat(1, false) // a heartbeat that was in flight
 	s.request(1, http.MethodPost, "/pay/x", "late", time.Second)
 	c.Assert(s.servers[1].ran(), qt.HasLen, before)
 }
@@ -44,7 +44,7 @@
 	c.Assert(time.Since(begun) < 3*time.Second, qt.IsTrue)
 }
 
-// A planned stop answers what is in progress and what comes on open connections.
+// A planned stop answers requests in flight and those that arrive on open connections.
 func TestPlannedStopAnswersRequestsInFlight(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
@@ -91,8 +91,8 @@
 	c.Assert(<-done, qt.IsNil)
 }
 
-// A stopping node ended as soon as nothing was in progress: beside a busy machine's load a client that had just got its
-// answer and came back found a closed port, or a connection that was closed unread.
+// A stopping node ended as soon as no request was in flight. On a busy machine a client that had just got its answer and
+// returned found a closed port, or a connection that was closed before its request was read.
 func TestReturningClientIsAnsweredBeforeStopEnds(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
@@ -111,7 +111,7 @@
 	c.Assert(<-done, qt.IsNil)
 }
 
-// A stopping node once took its peers' requests until its end, and cut those that were in progress then.
+// A stopping node accepted its peers' requests until its end and cut those that were in flight then.
 func TestStoppingNodeRejectsPeerRequests(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/log_lines_test.go
+++ b/pkg/mesh/log_lines_test.go
@@ -16,10 +16,10 @@
 	"github.com/rockspoke/rockspoke/pkg/docpage"
 )
 
-// loggerPrefixes are the loggers' fields and the prefixes of their lines.
+// loggerPrefixes has the fields with loggers and the prefixes of their lines.
 var loggerPrefixes = map[string]string{"callLog": "call", "controlLog": "control"}
 
-// TestPageHasEveryLogLineAndItsFields compares docs/LOGS.md with the calls in the code.
+// TestPageHasEveryLogLineAndItsFields compares docs/LOGS.md with the log calls in the code.
 func TestPageHasEveryLogLineAndItsFields(t *testing.T) {
 	c := qt.New(t)
 	files, err := filepath.Glob("*.go")
@@ -40,21 +40,21 @@
 	}
 	rows, err := docpage.Rows("../../docs/LOGS.md")
 	c.Assert(err, qt.IsNil)
-	told := map[string]bool{}
+	documented := map[string]bool{}
 	for _, row := range rows {
 		if cells := strings.Split(row, " | "); len(cells) == 4 {
-			told[strings.Join(cells[:3], " | ")] = true
+			documented[strings.Join(cells[:3], " | ")] = true
 		}
 	}
 	for line := range found {
-		c.Check(told[line], qt.IsTrue, qt.Commentf("not on the page: %s", line))
+		c.Check(documented[line], qt.IsTrue, qt.Commentf("not on the page: %s", line))
 	}
-	for line := range told {
+	for line := range documented {
 		c.Check(found[line], qt.IsTrue, qt.Commentf("not in the code: %s", line))
 	}
 }
 
-// pageCells returns the page's first cells for a call that writes a line.
+// pageCells returns the first cells of the page's row for a call that writes a log line, and false for any other syntax node.
 func pageCells(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
--- a/pkg/mesh/memory_network_test.go
+++ b/pkg/mesh/memory_network_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// memoryNetwork connects nodes, servers and clients within the process, so that whole sites run in made-up time.
+// memoryNetwork connects nodes, servers and clients within the process, so that whole sites run in simulated time.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	// unreachable tells whether a VM can't reach an address; connections that are open stay.
+	// unreachable reports whether a VM can't dial an address; open connections stay.
 	unreachable func(ip, addr string) bool
-	dialTime    time.Duration // that a connection, or its refusal, takes
+	dialTime    time.Duration // duration of a dial, successful or refused
 
-	dialed []*memoryConn // the sides that called
+	dialed []*memoryConn // the dialing ends of all connections
 }
 
-// memoryAddr is an address on it.
+// memoryAddr is an address on a memoryNetwork.
 type memoryAddr string
 
 func (memoryAddr) Network() string  { return "memory" }
@@ -31,7 +31,7 @@
 type memoryConn struct {
 	net.Conn
 	local, remote memoryAddr
-	unresponsive  *atomic.Bool // the connection has gone silent: nothing that one side sends, its end included, reaches the other
+	unresponsive  *atomic.Bool // nothing that one end sends reaches the other, not even its close
 }
 
 func (c *memoryConn) Write(b []byte) (int, error) {
@@ -51,7 +51,7 @@
 func (c *memoryConn) LocalAddr() net.Addr  { return c.local }
 func (c *memoryConn) RemoteAddr() net.Addr { return c.remote }
 
-// memoryListener takes connections to one address.
+// memoryListener accepts connections to one address.
 type memoryListener struct {
 	network  *memoryNetwork
 	addr     memoryAddr
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// listen takes connections to an address.
+// listen binds an address.
 func (w *memoryNetwork) listen(addr string) (net.Listener, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,7 +96,7 @@
 	return l, nil
 }
 
-// dial connects after dialTime; an address on which nobody listens refuses.
+// dial connects after dialTime; it is refused if nothing listens at the address or the VM can't reach it.
 func (w *memoryNetwork) dial(ctx context.Context, ip, addr string, _ time.Duration) (net.Conn, error) {
 	w.mu.Lock()
 	wait := w.dialTime
@@ -104,9 +104,9 @@
 	time.Sleep(wait)
 	w.mu.Lock()
 	l := w.listeners[addr]
-	away := w.unreachable != nil && w.unreachable(ip, addr)
+	blocked := w.unreachable != nil && w.unreachable(ip, addr)
 	w.mu.Unlock()
-	if l == nil || away {
+	if l == nil || blocked {
 		return nil, syscall.ECONNREFUSED
 	}
 	from := memoryAddr(net.JoinHostPort(ip, "1"))
@@ -126,14 +126,14 @@
 	}
 }
 
-// setDialTime has connections take a time.
+// setDialTime sets the duration of later dials.
 func (w *memoryNetwork) setDialTime(dialTime time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dialTime = dialTime
 }
 
-// makeUnresponsive makes the open connections to addresses silent for good; new ones work.
+// makeUnresponsive makes the open connections to some addresses unresponsive for good; new ones work.
 func (w *memoryNetwork) makeUnresponsive(to func(addr string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// client returns an HTTP client of a VM.
+// client returns an HTTP client on a VM.
 func (w *memoryNetwork) client(ip string) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 500,
--- a/pkg/mesh/mesh_test.go
+++ b/pkg/mesh/mesh_test.go
@@ -32,7 +32,7 @@
 	c.Assert(status, qt.Equals, 404)
 }
 
-// BenchmarkDeepChain is whole requests through three services, on five nodes.
+// BenchmarkDeepChain measures whole requests through three services on five nodes.
 func BenchmarkDeepChain(b *testing.B) {
 	s := newSite(b)
 	for _, service := range []string{"top", "mid", "mid", "low", "low"} {
@@ -73,8 +73,8 @@
 	b.ReportMetric(float64(served)/float64(b.N), "served/op")
 }
 
-// A node that had just started knew no servers yet, and refused the calls of the backend server beside it,
-// whose runs then failed.
+// A node that had just started knew no servers yet and refused the calls of its local backend server, whose runs then
+// failed.
 func TestStartingNodeWaitsBeforeRefusing(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/network_test.go
+++ b/pkg/mesh/network_test.go
@@ -17,7 +17,7 @@
 	"github.com/rockspoke/rockspoke/pkg/httpconn"
 )
 
-// droppingListener takes TCP connections that can be made to go silent: the kernel drops what comes on them, so that nothing is
+// droppingListener accepts TCP connections that can be made unresponsive: the kernel drops what arrives on them, so that nothing is
 // acknowledged either.
 type droppingListener struct {
 	net.Listener
@@ -25,6 +25,7 @@
 	conns []*net.TCPConn
 }
 
+// Accept records the accepted connection.
 func (l *droppingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
@@ -35,7 +36,7 @@
 	return c, err
 }
 
-// dropIncoming makes all connections go silent that are open.
+// dropIncoming makes all accepted connections unresponsive.
 func (l *droppingListener) dropIncoming(c *qt.C) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// serveDropping serves on such connections.
+// serveDropping serves h on a droppingListener.
 func serveDropping(t *testing.T, h http.HandlerFunc) *droppingListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.New(t).Assert(err, qt.IsNil)
@@ -62,7 +63,7 @@
 	return l
 }
 
-// maxDeadConnUse is how long a connection that is silent on TCP is used, with a margin for a busy machine.
+// maxDeadConnUse is how long a connection that is unresponsive on TCP may be used, with a margin for a busy machine.
 const maxDeadConnUse = deadConnDetectTime + 3*time.Second
 
 func TestUnresponsiveTCPConnectionIsDropped(t *testing.T) {
@@ -83,12 +84,12 @@
 	c.Assert(get(), qt.IsNil)
 	l.dropIncoming(c)
 	begun := time.Now()
-	c.Assert(get(), qt.IsNotNil) // sent on it: nothing is acknowledged
+	c.Assert(get(), qt.IsNotNil) // sent on the dead connection: nothing is acknowledged
 	c.Assert(time.Since(begun) < maxDeadConnUse, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 	c.Assert(get(), qt.IsNil)
 	l.dropIncoming(c)
 	for begun := time.Now(); time.Since(begun) < maxDeadConnUse; {
-		time.Sleep(deadConnDetectTime + 500*time.Millisecond) // it rests, and is found dead meanwhile
+		time.Sleep(deadConnDetectTime + 500*time.Millisecond) // it is idle, and found dead meanwhile
 		if get() == nil {
 			return
 		}
@@ -96,7 +97,7 @@
 	t.Fatal("a dead connection was used")
 }
 
-// When the time of one call to the store is up, the next one goes on a new connection.
+// After a call to the store has timed out, the next one uses a new connection.
 func TestOnlyOneStoreCallFailsOnUnresponsiveConnections(t *testing.T) {
 	c := qt.New(t)
 	together := make(chan struct{})
@@ -115,8 +116,8 @@
 	})
 	h := NewStoreHTTP("127.0.0.1")
 	t.Cleanup(h.CloseIdleConnections)
-	call := func(path string, span time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), span)
+	call := func(path string, timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		req := httptest.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.Addr().String()+path, nil)
 		req.RequestURI = ""
--- a/pkg/mesh/quota_start_test.go
+++ b/pkg/mesh/quota_start_test.go
@@ -15,7 +15,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// In the first seconds after the first start, teams with low limits were refused a part of what is below them.
+// In the first seconds after the first start of the system, teams with low limits were refused some requests although they stayed below the limits.
 func TestTeamsBelowTheirQuotasAreServedFromTheFirstStartOn(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -33,10 +33,10 @@
 		s.waitUntilKnown(1)
 		s.waitUntilAccepted("free")
 		var mu sync.Mutex
-		var asking sync.WaitGroup
+		var clients sync.WaitGroup
 		sent, answers := 0, map[string]int{}
 		for i := range teams {
-			asking.Go(func() {
+			clients.Go(func() {
 				rate := 0.7 * float64(1+i%5)
 				for begun := time.Now(); time.Since(begun) < 8*time.Second; time.Sleep(time.Duration(rand.ExpFloat64() * float64(time.Second) / rate)) {
 					at := time.Since(begun) / (2 * time.Second)
@@ -50,7 +50,7 @@
 				}
 			})
 		}
-		asking.Wait()
+		clients.Wait()
 		refused := 0
 		for what, n := range answers {
 			t.Logf("%s: %d", what, n)
--- a/pkg/mesh/suspension_test.go
+++ b/pkg/mesh/suspension_test.go
@@ -14,21 +14,21 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// suspendableClock is the clock of a VM that can be suspended: its steady part stands still meanwhile, and so do its timers; it learns of it
-// by the boot clock.
+// suspendableClock is the clock of a VM that can be suspended. Its steady time and timers stand still meanwhile; the boot time shows
+// the suspension.
 type suspendableClock struct {
 	clock.Real
 	suspended, noted atomic.Int64 // nanoseconds
 }
 
-// Now returns the steady time and what is counted of the suspensions.
+// Now returns the steady time plus the suspensions noted so far.
 func (k *suspendableClock) Now() time.Time { return time.Now().Add(time.Duration(k.noted.Load())) }
 
-// Boot returns the time that goes on while the VM is suspended.
+// Boot returns the time including suspensions.
 func (k *suspendableClock) Boot() time.Time { return time.Now().Add(time.Duration(k.suspended.Load())) }
 
-// NewTicker ticks by function timers. The runtime isn't ready for the race detector where goroutines of one bubble of made-up time look at
-// channel timers that are due in the same instant: it runs them side by side in one context of the detector, which then crashes.
+// NewTicker returns a ticker made of function timers. The race detector crashes on channel timers in a synctest bubble: when several
+// goroutines look at channel timers that are due at the same instant, the runtime runs them concurrently in one detector context.
 func (k *suspendableClock) NewTicker(d time.Duration) (<-chan time.Time, func()) {
 	c := make(chan time.Time, 1)
 	var t *time.Timer
@@ -42,7 +42,7 @@
 		t.Reset(d)
 		select {
 		case c <- time.Now():
-		default: // as with any ticker, what isn't taken in time is lost
+		default: // like any ticker, it drops ticks for a slow receiver
 		}
 	})
 	close(made)
@@ -52,13 +52,13 @@
 	}
 }
 
-// NoteSuspension counts what isn't counted yet.
+// NoteSuspension returns the suspension time that wasn't noted yet.
 func (k *suspendableClock) NoteSuspension() time.Duration {
 	total := k.suspended.Load()
 	return time.Duration(total - k.noted.Swap(total))
 }
 
-// clockOf returns the clock of a VM. That of a site within the process tells made-up time as the time since the start, too.
+// clockOf returns the clock of a VM. On a network within the process it counts simulated time.
 func (s *site) clockOf(ip string) clock.Clock {
 	if k := s.clocks[ip]; k != nil {
 		return k
@@ -69,7 +69,7 @@
 	return clock.Real{}
 }
 
-// newSuspendableSite is a site of one VM, with its clock.
+// newSuspendableSite returns a site of one VM, and its clock.
 func newSuspendableSite(t *testing.T) (*site, *suspendableClock) {
 	s := newMemorySite(t)
 	k := &suspendableClock{}
@@ -80,8 +80,8 @@
 	return s, k
 }
 
-// A VM was suspended while the desired state changed: by its steady clock the state in force was known to be the newest a moment ago, and requests by the
-// old one were served for as long as it had been suspended and more.
+// A VM was suspended while the desired state changed. By its steady clock, the state in force had just been known to be the newest, so
+// requests were served by the old state for as long as the suspension and longer.
 func TestSuspensionMakesStateFreshnessUncertain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,7 @@
 		s.store.setDown(true)
 		for i := range s.nodes {
 			if i != 1 {
-				s.nodes[i].halt() // nobody tells it anything
+				s.nodes[i].halt() // it receives no updates
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -108,7 +108,7 @@
 	})
 }
 
-// What was in progress is ended by the time that its client had, not later by as long as the VM was suspended.
+// Requests in flight end when their client's time limit is over, not later by the length of the suspension.
 func TestRequestsExpireWhileVMIsSuspended(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -126,14 +126,15 @@
 		k.suspended.Add(int64(10 * time.Second))
 		took := <-answered
 		c.Assert(took < 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%v by the steady clock", took))
-		// The run counts as one of three seconds, not of eleven: one that has four isn't refused as too late.
+		// The run counts as three seconds, not eleven: a request with a limit of four isn't refused as too late.
 		status, _, _ := s.request(0, http.MethodGet, "/read/x", "r", 4*time.Second)
 		c.Assert(status, qt.Equals, http.StatusGatewayTimeout, qt.Commentf("the next one has all of its time"))
 		c.Assert(time.Since(begun)-took > 3900*time.Millisecond, qt.IsTrue)
 	})
 }
 
-// Connections that rested while the VM was suspended aren't used again: the other sides have given them up, and a request that may run once would be lost on them.
+// Connections that were idle during a suspension aren't used again: the other ends have given them up, and a once-only request would be lost on
+// them.
 func TestIdleConnectionsAreDroppedAfterSuspension(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -12,7 +12,7 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// The plan lets in what urgent teams ask for on any route before what others ask for on the most urgent one.
+// The plan admits requests of urgent teams on any route before requests of other teams on the most urgent route.
 func TestTeamPriorityPrecedesRoutePriority(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -19,7 +19,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// newTeamSite is some nodes in zones, with a store of their own each, that serve teams.
+// newTeamSite returns nodes in zones, with a backend server each, whose settings allow teams and strict revocation.
 func newTeamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
 	s := newMemorySite(t)
 	s.firstStart = true
@@ -39,12 +39,13 @@
 	return s
 }
 
+// publicRoute returns the route as a public one.
 func publicRoute(r desired.Route) desired.Route {
 	r.Public = true
 	return r
 }
 
-// teamState is a state with two teams and a public route.
+// teamState returns a state with two teams and a public route, after the given change.
 func teamState(version int64, change func(s *desired.State)) desired.State {
 	s := desired.State{
 		Version: version,
@@ -60,7 +61,7 @@
 	return s
 }
 
-// send sends a request with headers to a node, and returns its status.
+// send sends a request with extra headers to a node; it returns the status, 0 if the connection broke, and the header of the answer.
 func (s *site) send(i int, path, id string, header http.Header) (int, http.Header) {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+s.servers[i].outboundAddr+path, nil)
 	req.Host = "h"
@@ -77,6 +78,7 @@
 	return res.StatusCode, res.Header
 }
 
+// withKey returns a header with the given keys.
 func withKey(keys ...string) http.Header {
 	h := http.Header{}
 	for _, k := range keys {
@@ -85,7 +87,7 @@
 	return h
 }
 
-// waitUntilAccepted waits until every node lets a key pass.
+// waitUntilAccepted waits until every node accepts a key.
 func (s *site) waitUntilAccepted(key string) {
 	s.t.Helper()
 	s.waitFor("all nodes let the key pass", func() bool {
@@ -98,7 +100,7 @@
 	})
 }
 
-// newServingTeamSite is a teamSite whose nodes let the keys of the first state pass.
+// newServingTeamSite returns a team site whose nodes accept the keys of the first state.
 func newServingTeamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
 	s := newTeamSite(t, zones, perZone, revoke)
 	s.store.put(teamState(1, nil))
@@ -107,7 +109,7 @@
 	return s
 }
 
-// recordedHeaders notes the headers that servers get.
+// recordedHeaders records the headers that backend servers receive.
 type recordedHeaders struct {
 	mu  sync.Mutex
 	all []http.Header
@@ -211,8 +213,8 @@
 	})
 }
 
-// A store that falls silent, to all or to some, lets no key pass for longer than the bound; keys pass again soon after it is back,
-// and public routes are served all the while.
+// While the store rejects all nodes, a removed key is accepted for no longer than the revocation bound. Keys are accepted again soon after the
+// store is back, and public routes are served throughout.
 func TestKeysFailClosedWhileTheStoreIsUnreachable(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testKeysFailClosedWhileTheStoreIsUnreachable)
@@ -244,7 +246,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.Check(served > 0, qt.IsTrue) // as late as is safe
+	c.Check(served > 0, qt.IsTrue) // served for as long as is safe
 	for _, n := range s.nodes {
 		s.store.turnAway(n.ip, false)
 	}
@@ -255,7 +257,7 @@
 	c.Check(status, qt.Equals, http.StatusUnauthorized)
 }
 
-// A node that the store turns away goes on by the proofs of the others.
+// A node that the store rejects keeps accepting keys with the freshness proofs of other nodes.
 func TestNodesRejectedByTheStoreUseProofsOfPeers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testNodesRejectedByTheStoreUseProofsOfPeers)
@@ -266,7 +268,7 @@
 	const revoke = 1500 * time.Millisecond
 	s := newServingTeamSite(t, 2, 3, revoke)
 	for _, n := range s.nodes[:3] {
-		s.store.turnAway(n.ip, true) // all of one zone
+		s.store.turnAway(n.ip, true) // all nodes of one zone
 	}
 	for end := time.Now().Add(2 * revoke); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for i := range s.nodes {
@@ -276,7 +278,7 @@
 	}
 }
 
-// What a team runs stays within its quota over all nodes, and other teams don't notice.
+// A team's requests stay within its quota over all nodes, and other teams aren't affected.
 func TestQuotaOverAllNodes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testQuotaOverAllNodes)
@@ -293,7 +295,7 @@
 	s.waitUntilAccepted("kb1")
 	time.Sleep(3 * time.Second) // the buckets fill
 	const span = 5 * time.Second
-	var ran, refusedCalm, sent [2]int
+	var ran, refusedOther, sent [2]int
 	for begun := time.Now(); time.Since(begun) < span; time.Sleep(time.Millisecond) {
 		due := int(time.Since(begun).Seconds() * 330)
 		for ; sent[0] < due; sent[0]++ {
@@ -308,17 +310,17 @@
 			}
 			if sent[0]%4 == 0 { // 82 a second
 				if status, _ := s.send(sent[0]%len(s.nodes), "/read/x", fmt.Sprint("r", sent[0]), withKey("kr1")); status != http.StatusOK {
-					refusedCalm[0]++
+					refusedOther[0]++
 				}
 			}
 		}
 	}
 	c.Check(ran[0] <= 625, qt.IsTrue, qt.Commentf("%d ran", ran[0]))
 	c.Check(ran[0] >= 475, qt.IsTrue, qt.Commentf("%d ran", ran[0]))
-	c.Check(refusedCalm[0], qt.Equals, 0)
+	c.Check(refusedOther[0], qt.Equals, 0)
 }
 
-// Keys stand nowhere in what a node writes or shows.
+// Keys appear neither in logs nor in a dump.
 func TestKeysAreNotShown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testKeysAreNotShown)
@@ -346,7 +348,7 @@
 	c.Check(status, qt.Equals, http.StatusOK)
 }
 
-// Without teams a key is a header like any other.
+// Without teams the key header is passed on like any other.
 func TestWithoutTeamsHeadersPassThrough(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
@@ -382,7 +384,7 @@
 	}
 }
 
-// An owner that stops in order hands over what is left of its teams, so that the next one needn't wait.
+// A quota owner in a planned stop hands its remaining tokens over, so that the next owner needn't wait.
 func TestStoppingQuotaOwnerHandsOver(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testStoppingQuotaOwnerHandsOver)
@@ -394,28 +396,28 @@
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Rate, st.Teams[0].Burst = 10, 10 }))
 	s.waitUntilKnown(1)
 	s.waitUntilAccepted("kb1")
-	owner := func(n *Node) bool {
+	ownsTeam := func(n *Node) bool {
 		n.quotas.mu.Lock()
 		defer n.quotas.mu.Unlock()
 		return n.quotas.owner.Owns("blue")
 	}
 	var first, next *Node
 	s.waitFor("one node owns the team", func() bool {
-		owners := 0
+		owning := 0
 		for _, n := range s.nodes {
-			if owner(n) {
+			if ownsTeam(n) {
 				first = n
-				owners++
+				owning++
 			}
 		}
-		return owners == 1
+		return owning == 1
 	})
 	time.Sleep(2 * time.Second) // its bucket fills
 	var stopping sync.WaitGroup
 	stopping.Go(func() { c.Check(first.Stop(context.Background()), qt.IsNil) })
 	s.waitFor("another node owns the team", func() bool {
 		for _, n := range s.nodes {
-			if n != first && owner(n) {
+			if n != first && ownsTeam(n) {
 				next = n
 				return true
 			}
@@ -430,7 +432,7 @@
 	stopping.Wait()
 }
 
-// A VM that was suspended lets no key pass on what it knew before, from the first request on, and has no token in hand.
+// After a suspension of the VM no key is accepted with an older freshness proof, from the first request on, and tokens in hand have expired.
 func TestSuspensionInvalidatesFreshnessProofAndTokens(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testSuspensionInvalidatesFreshnessProofAndTokens)
@@ -455,7 +457,7 @@
 	n.quotas.pool.Put(clock.Boot(k), "blue", 5)
 	n.quotas.mu.Unlock()
 	s.store.turnAway(n.ip, true)
-	for i := range 20 { // whoever notices the suspension first
+	for i := range 20 { // a request or the control goroutine may notice the suspension first
 		k.suspended.Add(int64(10 * time.Second))
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
 		c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -20,7 +20,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// site is some nodes with their backend servers on loopback addresses.
+// site is a set of nodes with their backend servers, on loopback addresses or within the process.
 type site struct {
 	t          testing.TB
 	store      *fakeStore
@@ -32,7 +32,7 @@
 	network    *memoryNetwork // nil: loopback
 	seeds      []string
 	firstStart bool                         // the whole system starts for the first time
-	clocks     map[string]*suspendableClock // of the VMs that have one of their own
+	clocks     map[string]*suspendableClock // clocks of the VMs that have their own
 	log        io.Writer
 	tune       func(m *settings.Mesh) // changes the settings of the nodes, if set
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-// newMemorySite is a site on a network within the process, which runs in made-up time as well.
+// newMemorySite returns a site on a network within the process, which also runs in simulated time.
 func newMemorySite(t testing.TB) *site {
 	s := newSite(t)
 	s.network = &memoryNetwork{}
@@ -56,7 +56,7 @@
 	return s
 }
 
-// add starts a node beside a server of the service.
+// add starts a node with a local backend server of the service.
 func (s *site) add(service, zone string, slots int) (*Node, *fakeServer) {
 	c := qt.New(s.t)
 	ip := s.base + strconv.Itoa(len(s.nodes)+1)
@@ -76,10 +76,10 @@
 	return s.nodes[len(s.nodes)-1], f
 }
 
-// at returns an address of a VM.
+// at returns an address of a VM; port is an offset.
 func (s *site) at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(s.port+port)) }
 
-// nodeNetwork returns what nodes and servers listen on.
+// nodeNetwork returns the network of nodes and servers.
 func (s *site) nodeNetwork() Network {
 	if s.network == nil {
 		return Network{}
@@ -95,7 +95,7 @@
 	return s.network.client(ip)
 }
 
-// start starts the node beside a server, which then sends a heartbeat; one that was halted loses all it knew.
+// start starts the node of a server and sends a heartbeat of the server; a node that was halted starts without its earlier state.
 func (s *site) start(i int) {
 	s.startNode(i)
 	s.heartbeat(i, false)
@@ -108,7 +108,7 @@
 	s.nodes[i] = n
 }
 
-// newNode returns a node beside a server that isn't started.
+// newNode returns the node of a server without starting it.
 func (s *site) newNode(i int) *Node {
 	f := s.servers[i]
 	cfg := settings.Settings{
@@ -129,7 +129,7 @@
 	return n
 }
 
-// heartbeat sends a heartbeat of the server.
+// heartbeat sends a heartbeat of a server to its node.
 func (s *site) heartbeat(i int, draining bool) {
 	f := s.servers[i]
 	s.nodes[i].Heartbeat(context.Background(), directory.Registration{
@@ -137,7 +137,7 @@
 	})
 }
 
-// waitFor waits for a condition.
+// waitFor waits up to 20 seconds for a condition.
 func (s *site) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// waitUntilKnown waits until all nodes know the state and every server.
+// waitUntilKnown waits until all nodes have the state and know every server.
 func (s *site) waitUntilKnown(version int64) {
 	s.t.Helper()
 	s.waitFor("all nodes know all", func() bool {
@@ -165,9 +165,9 @@
 	})
 }
 
-// request sends a request to a node as a client; the status is 0 if the connection broke.
+// request sends a request to a node as a client; it returns the status, 0 if the connection broke, the body or the error, and the header.
 func (s *site) request(i int, method, path, id string, left time.Duration) (int, string, http.Header) {
-	addr := s.servers[i].outboundAddr // the node itself may be started anew meanwhile
+	addr := s.servers[i].outboundAddr // the node may be restarted meanwhile
 	req, _ := http.NewRequest(method, "http://"+addr+path, nil)
 	req.Host = "h"
 	req.Header.Set(testNames.AttemptID, id)
@@ -184,7 +184,7 @@
 	return res.StatusCode, string(body), res.Header
 }
 
-// newThreeServerSite is a site of newThreeServerSite servers of one service, with a route of each kind.
+// newThreeServerSite returns a site of three servers of one service, with a route of each kind.
 func newThreeServerSite(t *testing.T) *site {
 	s := newSite(t)
 	for i := range 3 {
@@ -197,7 +197,7 @@
 	return s
 }
 
-// handleAll gives every server the handler.
+// handleAll sets the handler of every server.
 func (s *site) handleAll(h func(f *fakeServer, w http.ResponseWriter, r *http.Request)) {
 	for _, f := range s.servers {
 		f.mu.Lock()
@@ -206,6 +206,7 @@
 	}
 }
 
+// allRan returns the attempt ids that ran at any server.
 func (s *site) allRan() []string {
 	var all []string
 	for _, f := range s.servers {
@@ -214,6 +215,7 @@
 	return all
 }
 
+// closeConnection closes the connection of a request without an answer.
 func closeConnection(w http.ResponseWriter) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	c.Close()
--- a/pkg/mesh/test_state_test.go
+++ b/pkg/mesh/test_state_test.go
@@ -9,6 +9,7 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
+// decodeTestState decodes a desired state from JSON.
 func decodeTestState(data []byte) (*desired.State, error) {
 	var s desired.State
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -18,6 +19,7 @@
 	return desired.New(s)
 }
 
+// route returns a route to one service for the paths below its name.
 func route(name string, kind desired.Kind, service string) desired.Route {
 	return desired.Route{
 		Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, MaxAttempts: 3,
@@ -25,6 +27,7 @@
 	}
 }
 
+// mustState encodes a desired state as JSON.
 func mustState(t testing.TB, s desired.State) []byte {
 	data, err := json.Marshal(s)
 	qt.Assert(t, err, qt.IsNil)
--- a/pkg/mesh/unresponsive_connections_test.go
+++ b/pkg/mesh/unresponsive_connections_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// requestsPerSecond is how many requests a second each node gets, and silentLimit the time limit of each.
+	// requestsPerSecond is the request rate at each node, and requestTimeLimit the time limit of each request.
 	requestsPerSecond = 100
 	requestTimeLimit  = 4 * time.Second
-	// maxPromptTime is how long a request takes at the most that isn't counted.
+	// maxPromptTime is the longest time of an answer that doesn't count as late.
 	maxPromptTime = 400 * time.Millisecond
 )
 
-// newUnresponsiveConnSite is a site whose requests all go to other nodes, in one that calls nothing.
+// newUnresponsiveConnSite returns a site where the nodes of one service, which makes no calls, send all their requests to the nodes of another.
 func newUnresponsiveConnSite(t *testing.T) *site {
 	s := newMemorySite(t)
 	for i := range 3 {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// requestOutcomes is what became of requests that were sent while connections went silent.
+// requestOutcomes counts the outcomes of requests while connections became unresponsive.
 type requestOutcomes struct {
 	mu           sync.Mutex
 	late, failed int
@@ -58,19 +58,19 @@
 	k.longest = max(k.longest, took)
 }
 
-// runWithUnresponsiveConns sends requests to the fronts for six seconds; after two, connections go silent.
+// runWithUnresponsiveConns sends requests to the front nodes for six seconds; after two seconds the open connections to the chosen addresses become unresponsive.
 func runWithUnresponsiveConns(s *site, path string, to func(addr string) bool) *requestOutcomes {
 	var k requestOutcomes
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	begun := time.Now()
-	silenced := false
+	unresponsive := false
 	for j := 0; time.Since(begun) < 6*time.Second; j++ {
-		if !silenced && time.Since(begun) >= 2*time.Second {
-			silenced = true
+		if !unresponsive && time.Since(begun) >= 2*time.Second {
+			unresponsive = true
 			s.network.makeUnresponsive(to)
 		}
 		for i := range 3 {
-			asking.Go(func() {
+			clients.Go(func() {
 				sent := time.Now()
 				status, _, _ := s.request(i, http.MethodGet, path, fmt.Sprintf("q%d.%d", i, j), requestTimeLimit)
 				k.record(status, time.Since(sent))
@@ -78,20 +78,21 @@
 		}
 		time.Sleep(time.Second / requestsPerSecond)
 	}
-	asking.Wait()
+	clients.Wait()
 	return &k
 }
 
-// unresponsiveConnCases are the connections that go silent, and what that may cost of 1,800 requests; before is what it cost without a look at it.
+// unresponsiveConnCases has the connections that become unresponsive and the allowed late and failed requests of 1,800; before is the outcome
+// without detection.
 var unresponsiveConnCases = []struct {
 	name, path   string
 	port         int // of the listener
 	failed, late int
 	before       string
 }{
-	{"between nodes, repeatable: the peer is asked, and they are sent again", "/read/x", 0, 0, 45, "97 failed, each after its whole time limit"},
+	{"between nodes, repeatable: the peer is queried, and they are sent again", "/read/x", 0, 0, 45, "97 failed, each after its whole time limit"},
 	{"between nodes, once-only: one for each connection that rested or was in use", "/pay/x", 0, 45, 0, "98 failed"},
-	{"to backend servers, which can't be asked", "/read/x", 4, 45, 0, "89 to 99 failed"},
+	{"to backend servers, which can't be queried", "/read/x", 4, 45, 0, "89 to 99 failed"},
 }
 
 func TestConnectionsBecomeUnresponsive(t *testing.T) {
@@ -107,9 +108,9 @@
 				c.Check(k.late <= x.late, qt.IsTrue)
 				if x.failed == 0 {
 					c.Check(k.longest < time.Second, qt.IsTrue)
-					var told strings.Builder
-					s.nodes[0].metrics.writeText(&told)
-					c.Check(told.String(), qt.Contains, "requests_lost_total ")
+					var text strings.Builder
+					s.nodes[0].metrics.writeText(&text)
+					c.Check(text.String(), qt.Contains, "requests_lost_total ")
 				}
 			})
 		})
--- a/pkg/mesh/unresponsive_peer_test.go
+++ b/pkg/mesh/unresponsive_peer_test.go
@@ -7,21 +7,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// While a zone was cut off, requests went on being sent to its servers until those before them had timed out: a tenth of
+// While a zone was cut off, requests were sent to its servers until earlier ones had timed out: a tenth of
 // all requests of the other zones failed for two seconds.
 func TestUnresponsivePeerIsBackedOff(t *testing.T) {
 	c := qt.New(t)
-	cut, sound := server("cut", true, 0, 100, 100), server("sound", true, 10, 100, 100)
+	cut, healthy := server("cut", true, 0, 100, 100), server("sound", true, 10, 100, 100)
 	now, usual := chooseTime, 40*time.Millisecond
 	for range minUnansweredSends {
 		cut.recordSend(now, usual)
-		sound.recordSend(now, usual)
+		healthy.recordSend(now, usual)
 		now = now.Add(10 * time.Millisecond)
 	}
-	sound.receivedReply(now, reply{Limit: 20, Pace: 100, Success: 100})
+	healthy.receivedReply(now, reply{Limit: 20, Pace: 100, Success: 100})
 	c.Assert(cut.becameUnresponsive(now), qt.IsFalse, qt.Commentf("answers may still come"))
 	now = now.Add(minUnresponsiveTime + unresponsiveHoldFactor*usual)
-	c.Assert(sound.becameUnresponsive(now), qt.IsFalse)
+	c.Assert(healthy.becameUnresponsive(now), qt.IsFalse)
 	c.Assert(cut.becameUnresponsive(now), qt.IsTrue)
 	c.Assert(cut.backOff(now), qt.IsTrue)
 	c.Assert(cut.usable(now.Add(maxPeerBackoff)), qt.IsFalse, qt.Commentf("requests to it are still without an answer"))
@@ -33,7 +33,7 @@
 	c.Assert(cut.usable(now.Add(maxPeerBackoff)), qt.IsTrue)
 }
 
-// A slow server isn't a silent one, and neither is one that is hardly used.
+// A slow server isn't unresponsive, and neither is one that gets few requests.
 func TestSlowOrRarelyUsedPeerIsNotUnresponsive(t *testing.T) {
 	c := qt.New(t)
 	var s unansweredSends
