--- a/pkg/mesh/fake_server_test.go
+++ b/pkg/mesh/fake_server_test.go
@@ -27,17 +27,18 @@
 	handle                      func(w http.ResponseWriter, r *http.Request) // instead of the usual answer, if set
 	calls                       []string                                     // paths that one run calls, one after the other
 
-	mu           sync.Mutex
-	seen         []string // attempt ids that ran
-	srv          *http.Server
-	heartbeatSeq atomic.Int64
-	life         atomic.Int64 // number of its current lifetime
-	down         atomic.Bool  // it has crashed, and its next lifetime hasn't begun
-	born         atomic.Int64 // start of this lifetime, in Unix milliseconds; 0: not reported
-	outboundAddr string       // the node's outbound address
-	client       *http.Client // for calls to the node
+	mu             sync.Mutex
+	seen           []string // attempt ids that ran
+	srv            *http.Server
+	heartbeatSeq   atomic.Int64
+	lifetimeNumber atomic.Int64 // number of its current lifetime
+	down           atomic.Bool  // it has crashed, and its next lifetime hasn't begun
+	startedAt      atomic.Int64 // start of this lifetime, in Unix milliseconds; 0: not reported
+	outboundAddr   string       // the node's outbound address
+	client         *http.Client // for calls to the node
 }
 
+// ServeHTTP records the attempt, makes the calls of the run and answers, or calls the handler if one is set.
 func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(testNames.AttemptID)
 	deadline := time.Now().Add(millis(r.Header.Get(testNames.TimeLeft)))
--- a/pkg/mesh/innocent_kinds_test.go
+++ b/pkg/mesh/innocent_kinds_test.go
@@ -173,13 +173,13 @@
 		switch p.rnd.IntN(4) {
 		case 0: // one crashes
 			f := servers[p.rnd.IntN(len(servers))]
-			p.endServer(f, f.life.Load())
+			p.endServer(f, f.lifetimeNumber.Load())
 		case 1: // several crash within 100 ms
 			for _, i := range p.rnd.Perm(len(servers))[:2+p.rnd.IntN(2)] {
 				f := servers[i]
 				p.work.Go(func() {
 					time.Sleep(rand.N(100 * time.Millisecond))
-					p.endServer(f, f.life.Load())
+					p.endServer(f, f.lifetimeNumber.Load())
 				})
 			}
 		case 2: // news is lost between a zone and the others
--- a/pkg/mesh/memory_network_test.go
+++ b/pkg/mesh/memory_network_test.go
@@ -34,6 +34,7 @@
 	unresponsive  *atomic.Bool // nothing that one end sends reaches the other, not even its close
 }
 
+// Write drops b if the connection is unresponsive.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	if c.unresponsive.Load() {
 		return len(b), nil
@@ -41,6 +42,7 @@
 	return c.Conn.Write(b)
 }
 
+// Close ends only this side of an unresponsive connection.
 func (c *memoryConn) Close() error {
 	if c.unresponsive.Load() {
 		return c.SetDeadline(time.Unix(1, 0))
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -29,6 +29,7 @@
 	histograms map[string]*hdrhistogram.Histogram
 }
 
+// init prepares the metrics for use.
 func (m *nodeMetrics) init() {
 	m.registry = metrics.NewRegistry()
 	m.series = make(map[string]int)
--- a/pkg/mesh/planned_stop.go
+++ b/pkg/mesh/planned_stop.go
@@ -15,7 +15,7 @@
 	// refusingPeers is set after peerServingTime by the steady clock, since the wall clock may jump meanwhile.
 	refusingPeers atomic.Bool
 	inFlight      atomic.Int64
-	begun         atomic.Int64 // requests since the start
+	arrivals      atomic.Int64 // requests that arrived since the node's start
 }
 
 // stopping reports whether a planned stop has begun.
@@ -31,7 +31,7 @@
 // beginRequest counts a request in flight until the returned function is called.
 func (s *stopState) beginRequest() func() {
 	s.inFlight.Add(1)
-	s.begun.Add(1)
+	s.arrivals.Add(1)
 	return func() { s.inFlight.Add(-1) }
 }
 
@@ -81,15 +81,15 @@
 
 // idleTracker records since when no request has been in flight or has arrived.
 type idleTracker struct {
-	since time.Time
-	begun int64
+	since    time.Time
+	arrivals int64
 }
 
 // update takes the current counts.
 func (q *idleTracker) update(now time.Time, s *stopState) {
-	begun := s.begun.Load()
-	if s.inFlight.Load() > 0 || begun != q.begun || q.since.IsZero() {
-		q.since, q.begun = now, begun
+	arrivals := s.arrivals.Load()
+	if s.inFlight.Load() > 0 || arrivals != q.arrivals || q.since.IsZero() {
+		q.since, q.arrivals = now, arrivals
 	}
 }
 
--- a/pkg/mesh/poison_innocent_test.go
+++ b/pkg/mesh/poison_innocent_test.go
@@ -66,7 +66,7 @@
 				for range 2 {
 					time.Sleep(3500 * time.Millisecond)
 					for _, f := range p.servers[poisonEntries : poisonEntries+5] {
-						p.endServer(f, f.life.Load())
+						p.endServer(f, f.lifetimeNumber.Load())
 					}
 				}
 				p.finish()
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -115,7 +115,7 @@
 	_, _ = io.Copy(io.Discard, r.Body)
 	if path := r.URL.Path; strings.HasPrefix(path, poisonPath) {
 		p.noteSent(path)
-		life := f.life.Load()
+		life := f.lifetimeNumber.Load()
 		time.Sleep(p.fuse)
 		if p.endServer(f, life) {
 			p.noteEnded(path)
@@ -130,7 +130,7 @@
 // endServer ends one life of a server, which starts anew under another id after some seconds; it reports whether that life went on
 // until now.
 func (p *poisonSite) endServer(f *fakeServer, life int64) bool {
-	if f.down.Load() || !f.life.CompareAndSwap(life, life+1) {
+	if f.down.Load() || !f.lifetimeNumber.CompareAndSwap(life, life+1) {
 		return false
 	}
 	f.down.Store(true)
@@ -144,7 +144,7 @@
 		f.mu.Lock()
 		f.srv = next
 		if p.sameID {
-			f.born.Store(time.Now().UnixMilli())
+			f.startedAt.Store(time.Now().UnixMilli())
 			f.heartbeatSeq.Store(0)
 		} else {
 			f.instance = fmt.Sprintf("i-%s-%d", f.ip, life+1)
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -115,6 +115,7 @@
 	all []http.Header
 }
 
+// record is a handler that records the header of a request and answers it.
 func (s *recordedHeaders) record(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,6 +123,7 @@
 	fmt.Fprint(w, "ok")
 }
 
+// last returns the header of the latest request.
 func (s *recordedHeaders) last() http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -362,6 +364,7 @@
 	c.Check(seen.last()[testNames.Team], qt.DeepEquals, []string{"x"})
 }
 
+// BenchmarkAuthenticate measures the check of a key, by the number of keys in the desired state.
 func BenchmarkAuthenticate(b *testing.B) {
 	for _, keys := range []int{0, 1, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -39,6 +39,7 @@
 
 var siteCount atomic.Int64
 
+// newSite returns a site on loopback addresses, without nodes.
 func newSite(t testing.TB) *site {
 	k := siteCount.Add(1)
 	return &site{
@@ -133,7 +134,7 @@
 func (s *site) heartbeat(i int, draining bool) {
 	f := s.servers[i]
 	s.nodes[i].Heartbeat(context.Background(), directory.Registration{
-		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.heartbeatSeq.Add(1), Born: f.born.Load(),
+		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.heartbeatSeq.Add(1), Born: f.startedAt.Load(),
 	})
 }
 
--- a/pkg/mesh/unresponsive_connections_test.go
+++ b/pkg/mesh/unresponsive_connections_test.go
@@ -46,6 +46,7 @@
 	longest      time.Duration
 }
 
+// record counts the outcome of a request with the given status and duration.
 func (k *requestOutcomes) record(status int, took time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
