--- a/pkg/mesh/capacity_of_services_test.go
+++ b/pkg/mesh/capacity_of_services_test.go
@@ -25,7 +25,7 @@
 	c.Assert(z.room("s", peers), qt.Equals, 18.0+20)
 	c.Assert(z.room("s", peers[:1]), qt.Equals, 9.0, qt.Commentf("one of the two has left since"))
 	c.Assert((*zoneLoad)(nil).room("s", peers), qt.Equals, 60.0)
-	peers[2].failed(time.Unix(100, 0))
+	peers[2].backOff(time.Unix(100, 0))
 	c.Assert((*zoneLoad)(nil).room("s", peers), qt.Equals, 40.0, qt.Commentf("one can't be reached"))
 }
 
@@ -40,7 +40,7 @@
 		return []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: loads.Report{Service: "s", Room: room}}})}}
 	}
 	n := &Node{cfg: settings.Settings{Zone: "a"}}
-	n.control.zones = map[string]*zoneLoad{}
+	n.control.zoneLoads = map[string]*zoneLoad{}
 	n.view.Store(&view{services: map[string][]*peer{"s": {far}}})
 	c.Assert(n.capacity()["s"], qt.Equals, 20.0, qt.Commentf("it wasn't heard yet"))
 	n.takeZones(now, "f", told(18))
@@ -62,7 +62,7 @@
 	n := &Node{cfg: settings.Settings{Zone: "a"}}
 	n.view.Store(&view{services: map[string][]*peer{"s": {p}}})
 	c.Assert(n.capacity(), qt.DeepEquals, map[string]float64{"s": 20})
-	p.failed(time.Unix(100, 0))
+	p.backOff(time.Unix(100, 0))
 	c.Assert(n.capacity(), qt.DeepEquals, map[string]float64{"s": 0})
 }
 
@@ -80,31 +80,31 @@
 					s.add("a", fmt.Sprint("z", i%2), 10)
 				}
 				s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-				s.settled(1)
+				s.waitUntilKnown(1)
 				s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { time.Sleep(time.Second) })
 				time.Sleep(3 * time.Second)
 				room := func(i int) (room float64) {
-					c.Assert(s.nodes[i].ask(t.Context(), func() { room = s.nodes[i].capacity()["a"] }), qt.IsTrue)
+					c.Assert(s.nodes[i].enqueueAndWait(t.Context(), func() { room = s.nodes[i].capacity()["a"] }), qt.IsTrue)
 					return room
 				}
 				all := room(0)
 				c.Assert(all > 30, qt.IsTrue, qt.Commentf("%v", all))
 				if busy {
-					go s.ask(1, http.MethodGet, "/read/x", "q", 3*time.Second)
+					go s.request(1, http.MethodGet, "/read/x", "q", 3*time.Second)
 					time.Sleep(100 * time.Millisecond)
 				}
 				for _, f := range s.servers[:2] {
 					f.srv.Close()
 				}
 				for i := range 8 { // they find that nobody is there
-					go s.ask(i%4, http.MethodGet, "/read/y", fmt.Sprint("r", i), 3*time.Second)
+					go s.request(i%4, http.MethodGet, "/read/y", fmt.Sprint("r", i), 3*time.Second)
 				}
 				time.Sleep(4 * time.Second)
 				for i := range s.nodes {
 					c.Check(room(i) < 0.6*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, room(i), all))
 				}
-				s.beat(0, false)
-				s.beat(1, false)
+				s.heartbeat(0, false)
+				s.heartbeat(1, false)
 				time.Sleep(4 * time.Second)
 				for i := range s.nodes {
 					c.Check(room(i) > 0.9*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, room(i), all))
--- a/pkg/mesh/client_connections_test.go
+++ b/pkg/mesh/client_connections_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Clients that keep their connections open don't keep others out.
-func TestANodeTakesNewConnectionsWhileManyRest(t *testing.T) {
+// Clients that keep idle connections open don't keep others out.
+func TestNodeAcceptsNewConnectionsWhileManyAreIdle(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
+	s := newThreeServerSite(t)
 	n := s.nodes[0]
 	n.clients.SetMost(20)
 	for range 60 {
@@ -18,7 +18,7 @@
 		defer kept.CloseIdleConnections()
 		all := s.clients
 		s.clients = kept
-		status, _, _ := s.ask(0, http.MethodGet, "/read/x", "q", defaultTimeLeft)
+		status, _, _ := s.request(0, http.MethodGet, "/read/x", "q", defaultTimeLeft)
 		s.clients = all
 		c.Assert(status, qt.Equals, http.StatusOK)
 	}
--- a/pkg/mesh/control_loop_test.go
+++ b/pkg/mesh/control_loop_test.go
@@ -8,58 +8,58 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Work for the control goroutine that found its queue full when that had ended waited for ever, and the halt of the node with it:
-// a node under load that was told to end stayed until it was killed.
+// Work for the control goroutine that found a full queue after that goroutine had ended waited forever, and so did halt:
+// a loaded node that was told to stop stayed until it was killed.
 func TestANodeWhoseQueueIsFullCanBeHalted(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
 	blocked := make(chan struct{})
-	n.do(func() { <-blocked })
-	for range eventQueue {
+	n.enqueue(func() { <-blocked })
+	for range eventQueueSize {
 		select {
 		case n.events <- func() {}:
 		default:
 		}
 	}
-	// The control goroutine may take a few more before it sees that it is to end, but hardly a hundred.
+	// The control goroutine may take a few more before it sees that it has to end, but hardly a hundred.
 	for range 100 {
-		n.run(func() { n.do(func() {}) })
-		n.run(func() { n.ask(context.Background(), func() {}) })
+		n.startBackground(func() { n.enqueue(func() {}) })
+		n.startBackground(func() { n.enqueueAndWait(context.Background(), func() {}) })
 	}
 	halted := make(chan struct{})
 	go func() {
 		n.halt()
 		close(halted)
 	}()
-	<-n.ended
+	<-n.done
 	close(blocked)
 	select {
 	case <-halted:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the node isn't halted")
 	}
-	c.Assert(n.ask(context.Background(), func() {}), qt.IsFalse)
-	n.do(func() {})
+	c.Assert(n.enqueueAndWait(context.Background(), func() {}), qt.IsFalse)
+	n.enqueue(func() {})
 }
 
-func TestAskWaitsForTheControlGoroutine(t *testing.T) {
+func TestEnqueueAndWaitWaitsForTheControlGoroutine(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
-	asked := false
-	c.Assert(n.ask(t.Context(), func() { asked = true }), qt.IsTrue)
-	c.Assert(asked, qt.IsTrue)
+	ran := false
+	c.Assert(n.enqueueAndWait(t.Context(), func() { ran = true }), qt.IsTrue)
+	c.Assert(ran, qt.IsTrue)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	blocked := make(chan struct{})
-	n.do(func() { <-blocked })
-	c.Assert(n.ask(ctx, func() {}), qt.IsFalse)
+	n.enqueue(func() { <-blocked })
+	c.Assert(n.enqueueAndWait(ctx, func() {}), qt.IsFalse)
 	close(blocked)
 }
 
-// Signals are taken before the node starts: what they handed over raced with its start.
-func TestSettingsMayBeReadAgainWhileTheNodeStarts(t *testing.T) {
+// Signals are handled before the node starts: a reload raced with the start.
+func TestReloadDuringStart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.add("a", "z", 10)
@@ -70,5 +70,5 @@
 	go func() { started <- n.Start(context.Background()) }()
 	n.Reload(n.cfg)
 	c.Assert(<-started, qt.IsNil)
-	c.Assert(n.ask(t.Context(), func() {}), qt.IsTrue)
+	c.Assert(n.enqueueAndWait(t.Context(), func() {}), qt.IsTrue)
 }
--- a/pkg/mesh/fake_server_test.go
+++ b/pkg/mesh/fake_server_test.go
@@ -10,34 +10,35 @@
 	"time"
 )
 
-// testNames are headers of the tests' own.
+// testNames are the header names that the tests use.
 var testNames = HeaderNames{
 	AttemptID: "X-Attempt", TimeLeft: "X-Time-Left", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Caller: "X-Caller", Key: "Authorization", KeyScheme: "Token", Team: "X-Team",
 }
 
-// sealHeader is one that backend servers set and nodes pass on like any other.
+// sealHeader is a header that backend servers set and nodes pass on like any other.
 const sealHeader = "X-Seal"
 
-// fakeServer is a backend server beside a node.
+// fakeServer is the backend server of a node.
 type fakeServer struct {
 	ip, service, instance, zone string
 	slots                       int
-	work                        time.Duration
+	workTime                    time.Duration
 	handle                      func(w http.ResponseWriter, r *http.Request) // instead of the usual answer, if set
 	calls                       []string                                     // paths that one run calls, one after the other
 
-	mu   sync.Mutex
-	seen []string // attempt ids that ran
-	srv  *http.Server
-	seq  atomic.Int64
-	life atomic.Int64 // which of its lives this is
-	down atomic.Bool  // it has ended, and the next life hasn't begun
-	born atomic.Int64 // when this life began, in Unix milliseconds; 0: it doesn't say
-	out  string       // the node's outbound address
-	ways *http.Client // to the node
+	mu             sync.Mutex
+	seen           []string // attempt ids that ran
+	srv            *http.Server
+	heartbeatSeq   atomic.Int64
+	lifetimeNumber atomic.Int64 // number of its current lifetime
+	down           atomic.Bool  // it has crashed, and its next lifetime hasn't begun
+	startedAt      atomic.Int64 // start of this lifetime, in Unix milliseconds; 0: not reported
+	outboundAddr   string       // the node's outbound address
+	client         *http.Client // for calls to the node
 }
 
+// ServeHTTP records the attempt, makes the calls of the run and answers, or calls the handler if one is set.
 func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(testNames.AttemptID)
 	deadline := time.Now().Add(millis(r.Header.Get(testNames.TimeLeft)))
@@ -50,7 +51,7 @@
 		handle(w, r)
 		return
 	}
-	time.Sleep(f.work)
+	time.Sleep(f.workTime)
 	for i, path := range f.calls {
 		if !f.call(id, i, path, deadline) {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -61,13 +62,13 @@
 	fmt.Fprintf(w, "%s %s", f.service, id)
 }
 
-// call makes one call, which ends with its run at the latest.
+// call makes one call, whose time limit is the deadline of its run; it reports whether the call succeeded.
 func (f *fakeServer) call(id string, i int, path string, deadline time.Time) bool {
-	req, _ := http.NewRequest(http.MethodGet, "http://"+f.out+path, nil)
+	req, _ := http.NewRequest(http.MethodGet, "http://"+f.outboundAddr+path, nil)
 	req.Host = "h"
 	req.Header.Set(testNames.AttemptID, fmt.Sprintf("%s.%d", id, i))
 	req.Header.Set(testNames.TimeLeft, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
-	res, err := f.ways.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -76,16 +77,17 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// callClient sends from the address of a VM, as its backend server does.
+// callClient returns the client that sends from the address of a VM, as its backend server does.
 func callClient(ip string) *http.Client {
 	v, _ := callClients.LoadOrStore(ip, &http.Client{Transport: &http.Transport{
-		DialContext: dialer(ip, time.Second).DialContext, MaxIdleConnsPerHost: 500,
+		DialContext: newDialer(ip, time.Second).DialContext, MaxIdleConnsPerHost: 500,
 	}})
 	return v.(*http.Client)
 }
 
 var callClients sync.Map
 
+// ran returns the attempt ids that ran here.
 func (f *fakeServer) ran() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/mesh/keep_held.go
+++ b/pkg/mesh/keep_held.go
@@ -23,7 +23,7 @@
 	var stored uint64
 	var era int64
 	for clock.Sleep(ctx, jitter(keepHeldPeriod)) {
-		if n.era.left(&era) {
+		if n.storeEpoch.left(&era) {
 			stored = 0 // what was written may be lost
 		}
 		held := n.heldOf(n.cfg.Service)
@@ -32,7 +32,7 @@
 			continue
 		}
 		err := n.callStore(ctx, n.storeWatch.try(), writeHeldCall, storeCallTime, func(ctx context.Context) error {
-			return n.store.WriteHeld(ctx, HeldBack{Service: n.cfg.Service, Cases: held})
+			return n.store.WriteQuarantined(ctx, HeldBack{Service: n.cfg.Service, Cases: held})
 		})
 		if err != nil {
 			n.controlLog.Warn("what is held back isn't stored", "err", err)
--- a/pkg/mesh/memory_network_test.go
+++ b/pkg/mesh/memory_network_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// memoryNetwork connects nodes, servers and clients within the process, so that whole sites run in made-up time.
+// memoryNetwork connects nodes, servers and clients within the process, so that whole sites run in simulated time.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	// cut tells whether a VM can't reach an address; connections that are open stay.
-	cut      func(ip, addr string) bool
-	dialTime time.Duration // that a connection, or its refusal, takes
+	// unreachable reports whether a VM can't dial an address; open connections stay.
+	unreachable func(ip, addr string) bool
+	dialTime    time.Duration // duration of a dial, successful or refused
 
-	open []*memoryConn // the sides that called
+	dialed []*memoryConn // the dialing ends of all connections
 }
 
-// memoryAddr is an address on it.
+// memoryAddr is an address on a memoryNetwork.
 type memoryAddr string
 
 func (memoryAddr) Network() string  { return "memory" }
@@ -31,18 +31,20 @@
 type memoryConn struct {
 	net.Conn
 	local, remote memoryAddr
-	lost          *atomic.Bool // the connection has gone silent: nothing that one side sends, its end included, reaches the other
+	unresponsive  *atomic.Bool // nothing that one end sends reaches the other, not even its close
 }
 
+// Write drops b if the connection is unresponsive.
 func (c *memoryConn) Write(b []byte) (int, error) {
-	if c.lost.Load() {
+	if c.unresponsive.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
+// Close ends only this side of an unresponsive connection.
 func (c *memoryConn) Close() error {
-	if c.lost.Load() {
+	if c.unresponsive.Load() {
 		return c.SetDeadline(time.Unix(1, 0))
 	}
 	return c.Conn.Close()
@@ -51,20 +53,20 @@
 func (c *memoryConn) LocalAddr() net.Addr  { return c.local }
 func (c *memoryConn) RemoteAddr() net.Addr { return c.remote }
 
-// memoryListener takes connections to one address.
+// memoryListener accepts connections to one address.
 type memoryListener struct {
-	network *memoryNetwork
-	addr    memoryAddr
-	came    chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
+	network  *memoryNetwork
+	addr     memoryAddr
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 func (l *memoryListener) Addr() net.Addr { return l.addr }
 
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.came:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// listen takes connections to an address.
+// listen binds an address.
 func (w *memoryNetwork) listen(addr string) (net.Listener, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,12 +93,12 @@
 	if w.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
-	l := &memoryListener{network: w, addr: memoryAddr(addr), came: make(chan net.Conn), closed: make(chan struct{})}
+	l := &memoryListener{network: w, addr: memoryAddr(addr), incoming: make(chan net.Conn), closed: make(chan struct{})}
 	w.listeners[addr] = l
 	return l, nil
 }
 
-// dial connects after dialTime; an address on which nobody listens refuses.
+// dial connects after dialTime; it is refused if nothing listens at the address or the VM can't reach it.
 func (w *memoryNetwork) dial(ctx context.Context, ip, addr string, _ time.Duration) (net.Conn, error) {
 	w.mu.Lock()
 	wait := w.dialTime
@@ -104,20 +106,20 @@
 	time.Sleep(wait)
 	w.mu.Lock()
 	l := w.listeners[addr]
-	away := w.cut != nil && w.cut(ip, addr)
+	blocked := w.unreachable != nil && w.unreachable(ip, addr)
 	w.mu.Unlock()
-	if l == nil || away {
+	if l == nil || blocked {
 		return nil, syscall.ECONNREFUSED
 	}
 	from := memoryAddr(net.JoinHostPort(ip, "1"))
 	a, b := net.Pipe()
 	lost := &atomic.Bool{}
 	select {
-	case l.came <- &memoryConn{Conn: b, local: l.addr, remote: from, lost: lost}:
-		c := &memoryConn{Conn: a, local: from, remote: l.addr, lost: lost}
+	case l.incoming <- &memoryConn{Conn: b, local: l.addr, remote: from, unresponsive: lost}:
+		c := &memoryConn{Conn: a, local: from, remote: l.addr, unresponsive: lost}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.open = append(w.open, c)
+		w.dialed = append(w.dialed, c)
 		return c, nil
 	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
@@ -126,25 +128,25 @@
 	}
 }
 
-// slowDown has connections take a time.
-func (w *memoryNetwork) slowDown(dialTime time.Duration) {
+// setDialTime sets the duration of later dials.
+func (w *memoryNetwork) setDialTime(dialTime time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dialTime = dialTime
 }
 
-// silence makes the open connections to addresses silent for good; new ones work.
-func (w *memoryNetwork) silence(to func(addr string) bool) {
+// makeUnresponsive makes the open connections to some addresses unresponsive for good; new ones work.
+func (w *memoryNetwork) makeUnresponsive(to func(addr string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range w.open {
+	for _, c := range w.dialed {
 		if to(c.remote.String()) {
-			c.lost.Store(true)
+			c.unresponsive.Store(true)
 		}
 	}
 }
 
-// client returns an HTTP client of a VM.
+// client returns an HTTP client on a VM.
 func (w *memoryNetwork) client(ip string) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 500,
--- a/pkg/mesh/metrics_text.go
+++ b/pkg/mesh/metrics_text.go
@@ -12,7 +12,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// writeText writes all metrics in the text form that scrapers read.
+// writeText writes all metrics in the Prometheus text format.
 func (m *nodeMetrics) writeText(w io.Writer) {
 	for _, info := range Metrics {
 		kind := strings.Replace(info.Kind, "histogram", "summary", 1)
@@ -21,7 +21,7 @@
 	}
 }
 
-// writeSeries writes the label sets of one metric in order.
+// writeSeries writes the lines of one metric, sorted.
 func (m *nodeMetrics) writeSeries(w io.Writer, info MetricInfo) {
 	var lines []string
 	m.registry.Each(func(key string, v any) {
@@ -36,7 +36,7 @@
 		}
 	})
 	if info.Kind == "histogram" {
-		lines = append(lines, m.timeLines(info.Name)...)
+		lines = append(lines, m.histogramLines(info.Name)...)
 	}
 	slices.SortFunc(lines, cmp.Compare[string])
 	for _, l := range lines {
@@ -44,12 +44,12 @@
 	}
 }
 
-// timeLines returns the quantiles of a histogram's label sets.
-func (m *nodeMetrics) timeLines(name string) []string {
+// histogramLines returns the lines of a histogram's label sets.
+func (m *nodeMetrics) histogramLines(name string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var lines []string
-	for key, h := range m.times {
+	for key, h := range m.histograms {
 		if base, labels, _ := strings.Cut(key, "{"); base == name {
 			lines = append(lines, quantileLines(name, strings.TrimSuffix(labels, "}"), h)...)
 		}
@@ -57,7 +57,7 @@
 	return lines
 }
 
-// quantileLines returns the lines of one label set, in seconds.
+// quantileLines returns the quantiles, in seconds, and the count of one label set.
 func quantileLines(name, labels string, h *hdrhistogram.Histogram) []string {
 	var lines []string
 	for _, q := range []float64{50, 90, 99} {
--- a/pkg/mesh/network.go
+++ b/pkg/mesh/network.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT on Linux, which package syscall lacks.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-// dialer makes connections from this VM's address that notice a dead peer within about a second.
-func dialer(ip string, timeout time.Duration) *net.Dialer {
+// newDialer returns a dialer from this VM's address whose connections detect a dead peer within about a second.
+func newDialer(ip string, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:   timeout,
 		LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)},
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var serr error
 			err := c.Control(func(fd uintptr) {
-				serr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTime.Milliseconds()))
+				serr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
@@ -33,11 +33,11 @@
 	}
 }
 
-// Network is how a node listens and connects; its zero value is TCP.
+// Network is how a node listens and dials; its zero value is TCP.
 type Network struct {
 	// Listen binds an address of this VM.
 	Listen func(addr string) (net.Listener, error)
-	// Dial connects from the VM with the IP number to an address, within the timeout.
+	// Dial connects from the VM with the given IP address to addr, within the timeout.
 	Dial func(ctx context.Context, ip, addr string, timeout time.Duration) (net.Conn, error)
 }
 
@@ -49,41 +49,41 @@
 	return net.Listen("tcp", addr)
 }
 
-// dialFunc returns a function that connects to one address.
+// dialFunc returns a function that dials one address.
 func (w Network) dialFunc(ip, addr string, timeout time.Duration) func(context.Context) (net.Conn, error) {
 	if w.Dial != nil {
 		return func(ctx context.Context) (net.Conn, error) { return w.Dial(ctx, ip, addr, timeout) }
 	}
-	d := dialer(ip, timeout)
+	d := newDialer(ip, timeout)
 	return func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
 }
 
-// The bounds of connections to the store.
+// Limits of connections to the store.
 const (
-	// storeIdle is how long one rests.
-	storeIdle = 30 * time.Second
-	// storeConns are kept: a node makes three kinds of call, one at a time each, but for records, which it reads in four
-	// parts at once.
-	storeConns = 6
+	// storeIdleTimeout is how long a connection may be idle.
+	storeIdleTimeout = 30 * time.Second
+	// maxIdleStoreConns is how many idle connections are kept. A node makes three kinds of call, one at a time each; only records are
+	// read in four parts at once.
+	maxIdleStoreConns = 6
 )
 
-// NewStoreHTTP returns the HTTP client for the store, from the address of this VM.
+// NewStoreHTTP returns the HTTP client for the store, which dials from the address of this VM.
 func NewStoreHTTP(ip string) *http.Client {
 	return &http.Client{Transport: &storeTransport{http.Transport{
-		DialContext:         dialer(ip, storeCallTime).DialContext,
-		MaxIdleConnsPerHost: storeConns,
-		IdleConnTimeout:     storeIdle,
+		DialContext:         newDialer(ip, storeCallTime).DialContext,
+		MaxIdleConnsPerHost: maxIdleStoreConns,
+		IdleConnTimeout:     storeIdleTimeout,
 		DisableCompression:  true,
 	}}}
 }
 
-// storeTransport makes the calls to the store. When the time of one is up without an answer, the connections that rest may have gone
-// silent with its own, and are closed: else up to storeConns calls would fail one after the other.
+// storeTransport is the HTTP transport for the store. When a call times out without an answer, idle connections may be unresponsive as well, so it
+// closes them: otherwise up to maxIdleStoreConns calls would fail one after the other.
 type storeTransport struct {
 	http.Transport
 }
 
-// RoundTrip makes one call.
+// RoundTrip makes one call and closes idle connections if the call times out.
 func (t *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	res, err := t.Transport.RoundTrip(r)
 	if err != nil && errors.Is(r.Context().Err(), context.DeadlineExceeded) {
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -47,7 +47,7 @@
 	if version <= n.version() {
 		return
 	}
-	far := n.leavesStateToFollowers() && n.state.Load() != nil && !n.peer(host).near.Load()
+	far := n.leavesStateToFollowers() && n.state.Load() != nil && !n.peer(host).sameZone.Load()
 	w := &n.control.newer
 	switch {
 	case far && (version > w.version || w.version <= n.version()):
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -12,64 +12,65 @@
 	"github.com/rockspoke/rockspoke/pkg/httpconn"
 )
 
-// peer is another node, or this one, as a way to the backend server beside it.
+// peer is a node, which may be this one, as the route to the backend server on its VM.
 type peer struct {
 	host  string
 	local bool
 	pool  *httpconn.Pool
 
-	near     atomic.Bool // in this node's availability zone
+	sameZone atomic.Bool // it is in this node's availability zone
 	slots    atomic.Int64
-	inflight atomic.Int64 // sent by this node and not ended
+	inflight atomic.Int64 // requests from this node in flight
 	awaited  awaited.Table
 
-	// digest of its records, and whether it lacks what was learned, as it last told; the control goroutine's.
-	digest    uint64
-	unlearned bool
-
-	mu       sync.Mutex
-	zone     string
-	load     serverLoad
-	silence  silence
-	failures int
-	asideTil time.Time
-	life     string    // of the server, as its record says
-	known    time.Time // since when that is known
-	ended    string    // the life that ended
-	endedTil time.Time // until when that counts
-	stopping time.Time // when its planned stop was first heard of; zero: it isn't stopping
-}
-
-// serverLoad is what a server's node last told of it.
+	// digest is that of the peer's records, and lacksLearned whether it lacks learned call statistics, both as last reported; only the control
+	// goroutine uses them.
+	digest       uint64
+	lacksLearned bool
+
+	mu              sync.Mutex
+	zone            string
+	load            serverLoad
+	unansweredSends unansweredSends
+	failures        int
+	backedOffUntil  time.Time
+	lifetime        string    // of the server, as its record says
+	knownSince      time.Time // when this lifetime became known
+	crashedLifetime string    // the lifetime that crashed
+	crashedUntil    time.Time // until when the crash counts
+	stoppingSince   time.Time // when its planned stop became known; zero: it isn't stopping
+}
+
+// serverLoad is the load of a server, as its node last reported it.
 type serverLoad struct {
-	others  int64 // running and queued, without those of this node
-	limit   float64
-	pace    float64
-	success float64 // share of good answers
-	at      time.Time
+	otherRequests int64 // running and queued, without those of this node
+	limit         float64
+	slowdown      float64
+	success       float64 // fraction of successful answers
+	receivedAt    time.Time
 }
 
-// The constants of what is believed of a peer.
+// Limits on what a node assumes about its peers.
 const (
-	asideFirst = 250 * time.Millisecond
-	asideMost  = 4 * time.Second
-	// asideDoublings bounds the shift; asideMost is reached before.
-	asideDoublings = 6
-	// loadStale is how long a told load counts.
-	loadStale = 2 * time.Second
-	// peerIdle is how long a connection between nodes rests; it is far below idleTime, so that no request
-	// crosses the other side's close.
-	peerIdle = 30 * time.Second
-	// endedTime is how long requests pass by a server that has ended: the next one is known by its first heartbeat, and should the server
-	// be there all the same it is found out by one request then, which its node refuses at no cost.
-	endedTime = 5 * time.Second
-	// settleTime is how long news of a server takes to be everywhere: some rounds of exchanges.
-	settleTime = time.Second
-	// leastSuccess bounds how little a failing server counts for, so that it is still tried.
-	leastSuccess = 0.1
+	minPeerBackoff = 250 * time.Millisecond
+	maxPeerBackoff = 4 * time.Second
+	// maxBackoffDoublings bounds the shift; maxPeerBackoff is reached before.
+	maxBackoffDoublings = 6
+	// maxLoadAge is how long a reported load counts.
+	maxLoadAge = 2 * time.Second
+	// peerIdleTimeout is how long a connection between nodes may be idle. It is far below idleTimeout, so that no request
+	// races with the other side closing the connection.
+	peerIdleTimeout = 30 * time.Second
+	// crashAvoidanceTime is how long requests avoid a server that crashed. The restarted server is known by its first heartbeat; if the server is up
+	// without one, a single request finds out afterwards, which its node refuses at no cost.
+	crashAvoidanceTime = 5 * time.Second
+	// recordSpreadTime is how long a server's record takes to reach all nodes: some rounds of exchanges.
+	recordSpreadTime = time.Second
+	// minSuccessRate bounds the weight of a failing server from below, so that it is still tried.
+	minSuccessRate = 0.1
 )
 
-// peer returns the peer of a VM, made if it is new.
+// peer returns the peer of a VM and creates it if it is new.
 func (n *Node) peer(host string) *peer {
 	n.peersMu.Lock()
 	defer n.peersMu.Unlock()
@@ -82,7 +83,7 @@
 		p = &peer{
 			host: host, local: host == n.ip,
 			pool: &httpconn.Pool{
-				Dial: n.network.dialFunc(n.ip, addr, dialTime), Clock: n.clock, Idle: peerIdle,
+				Dial: n.network.dialFunc(n.ip, addr, dialTimeout), Clock: n.clock, Idle: peerIdleTimeout,
 				Once: map[string]bool{n.names.AttemptID: true, n.names.TimeLeft: true},
 			},
 		}
@@ -91,158 +92,160 @@
 	return p
 }
 
-// describe takes over what a record says of the peer's server.
-func (p *peer) describe(now time.Time, r directory.Record, zone string) {
-	p.near.Store(r.Zone == zone)
+// updateFromRecord takes over what a record says about the peer's server.
+func (p *peer) updateFromRecord(now time.Time, r directory.Record, zone string) {
+	p.sameZone.Store(r.Zone == zone)
 	p.slots.Store(int64(r.Slots))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zone = r.Zone
-	if life := r.LifeName(); p.life != life {
-		p.life, p.known = life, now
-		p.load = serverLoad{} // the next life knows nothing of what the one before did
+	if lifetime := r.LifeName(); p.lifetime != lifetime {
+		p.lifetime, p.knownSince = lifetime, now
+		p.load = serverLoad{} // the load of the previous lifetime doesn't apply to the new one
 	}
 }
 
-// settled tells whether the server has been known for long enough that all nodes know it.
-func (p *peer) settled(now time.Time) bool {
+// isWidelyKnown reports whether the server's lifetime has been known for long enough that all nodes know it.
+func (p *peer) isWidelyKnown(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.known) >= settleTime
+	return now.Sub(p.knownSince) >= recordSpreadTime
 }
 
-// lifeKnown returns the life of the peer's server that is known.
-func (p *peer) lifeKnown() string {
+// knownLifetime returns the name of the known lifetime of the peer's server.
+func (p *peer) knownLifetime() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life
+	return p.lifetime
 }
 
-// serverEnded notes that a life of the peer's server has ended.
-func (p *peer) serverEnded(now time.Time, life string) {
+// markServerCrashed notes that a lifetime of the peer's server has crashed.
+func (p *peer) markServerCrashed(now time.Time, lifetime string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended, p.endedTil = life, now.Add(endedTime)
+	p.crashedLifetime, p.crashedUntil = lifetime, now.Add(crashAvoidanceTime)
 }
 
-// inZone returns the availability zone of the peer's server.
-func (p *peer) inZone() string {
+// serverZone returns the availability zone of the peer's server.
+func (p *peer) serverZone() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.zone
 }
 
-// heard takes the load that came with an answer, and ends the time aside.
-func (p *peer) heard(now time.Time, r reply) {
+// receivedReply takes over the load that came with an answer and ends the backoff.
+func (p *peer) receivedReply(now time.Time, r reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.load = serverLoad{
-		others: max(int64(r.Running+r.Queued)-p.inflight.Load(), 0),
-		limit:  float64(r.Limit), pace: float64(r.Pace) / 100, success: float64(r.Success) / 100, at: now,
+		otherRequests: max(int64(r.Running+r.Queued)-p.inflight.Load(), 0),
+		limit:         float64(r.Limit), slowdown: float64(r.Pace) / 100, success: float64(r.Success) / 100, receivedAt: now,
 	}
-	p.endAside()
-	p.noteStop(now, r.Stopping)
+	p.endBackoff()
+	p.setStopping(now, r.Stopping)
 }
 
-// noteStop takes the peer's word on whether it is stopping; p.mu is held.
-func (p *peer) noteStop(now time.Time, stopping bool) {
+// setStopping notes whether the peer says that it is stopping; p.mu must be held.
+func (p *peer) setStopping(now time.Time, stopping bool) {
 	switch {
 	case !stopping:
-		p.stopping = time.Time{}
-	case p.stopping.IsZero():
-		p.stopping = now
+		p.stoppingSince = time.Time{}
+	case p.stoppingSince.IsZero():
+		p.stoppingSince = now
 	}
 }
 
-// stopsFor returns for how long the peer is known to be stopping, and whether it is.
-func (p *peer) stopsFor(now time.Time) (time.Duration, bool) {
+// stoppingFor returns for how long the peer has been known to be stopping, and whether it is.
+func (p *peer) stoppingFor(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.stopping), !p.stopping.IsZero()
+	return now.Sub(p.stoppingSince), !p.stoppingSince.IsZero()
 }
 
-// alive ends the time aside: the node was heard, and told whether it is stopping.
-func (p *peer) alive(now time.Time, stopping bool) {
+// receivedExchange ends the backoff after an exchange with the node and notes whether it is stopping.
+func (p *peer) receivedExchange(now time.Time, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endAside()
-	p.noteStop(now, stopping)
+	p.endBackoff()
+	p.setStopping(now, stopping)
 }
 
-// answered ends the time aside: the node has answered a question.
-func (p *peer) answered() {
+// markReachable ends the backoff after the node has answered a request.
+func (p *peer) markReachable() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endAside()
+	p.endBackoff()
 }
 
-// endAside takes the peer for one that was just heard; p.mu is held.
-func (p *peer) endAside() { p.failures, p.asideTil, p.silence = 0, time.Time{}, silence{} }
+// endBackoff clears the backoff and the count of unanswered requests; p.mu must be held.
+func (p *peer) endBackoff() {
+	p.failures, p.backedOffUntil, p.unansweredSends = 0, time.Time{}, unansweredSends{}
+}
 
-// failed sets the peer aside for a growing time; it reports whether it was in use before.
-func (p *peer) failed(now time.Time) bool {
+// backOff backs the peer off for a growing time; it reports whether the peer was in use before.
+func (p *peer) backOff(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first := !now.Before(p.asideTil)
-	if first {
-		p.asideTil = now.Add(min(asideFirst<<min(p.failures, asideDoublings), asideMost))
+	wasInUse := !now.Before(p.backedOffUntil)
+	if wasInUse {
+		p.backedOffUntil = now.Add(min(minPeerBackoff<<min(p.failures, maxBackoffDoublings), maxPeerBackoff))
 		p.failures++
 	}
-	return first
+	return wasInUse
 }
 
-// gone tells whether the peer's server has ended and the next one isn't known yet.
-func (p *peer) gone(now time.Time) bool {
+// isServerDown reports whether the peer's server has crashed and its next lifetime isn't known yet.
+func (p *peer) isServerDown(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.isGone(now)
+	return p.isServerDownLocked(now)
 }
 
-// isGone does the same while p.mu is held.
-func (p *peer) isGone(now time.Time) bool {
-	return p.ended != "" && p.ended == p.life && now.Before(p.endedTil)
+// isServerDownLocked does the same; p.mu must be held.
+func (p *peer) isServerDownLocked(now time.Time) bool {
+	return p.crashedLifetime != "" && p.crashedLifetime == p.lifetime && now.Before(p.crashedUntil)
 }
 
-// usable tells whether the peer isn't set aside, and its server hasn't ended without the next one being known yet. One that was set aside, and hasn't been
-// heard since, is tried by one request at a time.
+// usable reports whether requests may be sent to the peer: it isn't backed off and its server isn't down. After a backoff it gets one request at a time
+// until it answers.
 func (p *peer) usable(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.isGone(now) {
+	if p.isServerDownLocked(now) {
 		return false
 	}
-	return !now.Before(p.asideTil) && (p.failures == 0 || p.inflight.Load() == 0)
+	return !now.Before(p.backedOffUntil) && (p.failures == 0 || p.inflight.Load() == 0)
 }
 
-// reachable tells whether the last exchange with the peer went well, or there was none yet.
+// reachable reports whether the last exchange with the peer succeeded, or there was none yet.
 func (p *peer) reachable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failures == 0
 }
 
-// estimate is what is believed of a peer's server.
-type estimate struct {
-	use     float64 // 1 when every slot that counts is taken
-	success float64 // share of good answers
-	pace    float64 // time that requests hold a slot, as a multiple of what their kinds do at any server; 0: not known
+// loadEstimate is the estimated state of a peer's server.
+type loadEstimate struct {
+	utilization float64 // 1 when all usable slots are taken
+	success     float64 // fraction of successful answers
+	slowdown    float64 // slot hold time relative to the same kinds of requests at all servers; 0: not known
 }
 
-// estimate returns what is believed now; news that is too old says nothing.
-func (p *peer) estimate(now time.Time) estimate {
+// loadEstimate returns the current estimate; a reported load that is too old is ignored.
+func (p *peer) loadEstimate(now time.Time) loadEstimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := estimate{success: 1}
+	e := loadEstimate{success: 1}
 	capacity := float64(p.slots.Load())
-	others := int64(0)
+	otherRequests := int64(0)
 	if p.load.limit > 0 {
 		capacity = p.load.limit
 	}
-	if now.Sub(p.load.at) < loadStale {
-		others = p.load.others
-		e.success = max(p.load.success, leastSuccess)
-		e.pace = p.load.pace
+	if now.Sub(p.load.receivedAt) < maxLoadAge {
+		otherRequests = p.load.otherRequests
+		e.success = max(p.load.success, minSuccessRate)
+		e.slowdown = p.load.slowdown
 	}
-	e.use = float64(p.inflight.Load()+others+1) / max(capacity, 1)
+	e.utilization = float64(p.inflight.Load()+otherRequests+1) / max(capacity, 1)
 	return e
 }
--- a/pkg/mesh/quota_start_test.go
+++ b/pkg/mesh/quota_start_test.go
@@ -15,12 +15,12 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// In the first seconds after the first start, teams with low limits were refused a part of what is below them.
+// In the first seconds after the first start of the system, teams with low limits were refused some requests although they stayed below the limits.
 func TestTeamsBelowTheirQuotasAreServedFromTheFirstStartOn(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := teamSite(t, 3, 4, 5*time.Second)
+		s := newTeamSite(t, 3, 4, 5*time.Second)
 		const teams = 30
 		s.store.put(teamState(1, func(st *desired.State) {
 			st.Teams = []desired.Team{{Name: "unlimited", Keys: []desired.Key{"free"}}}
@@ -30,13 +30,13 @@
 				})
 			}
 		}))
-		s.settled(1)
-		s.awaitKeys("free")
+		s.waitUntilKnown(1)
+		s.waitUntilAccepted("free")
 		var mu sync.Mutex
-		var asking sync.WaitGroup
+		var clients sync.WaitGroup
 		sent, answers := 0, map[string]int{}
 		for i := range teams {
-			asking.Go(func() {
+			clients.Go(func() {
 				rate := 0.7 * float64(1+i%5)
 				for begun := time.Now(); time.Since(begun) < 8*time.Second; time.Sleep(time.Duration(rand.ExpFloat64() * float64(time.Second) / rate)) {
 					at := time.Since(begun) / (2 * time.Second)
@@ -50,7 +50,7 @@
 				}
 			})
 		}
-		asking.Wait()
+		clients.Wait()
 		refused := 0
 		for what, n := range answers {
 			t.Logf("%s: %d", what, n)
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -12,8 +12,8 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// The plan lets in what urgent teams ask for on any route before what others ask for on the most urgent one.
-func TestTheTeamsPriorityGoesBeforeTheRoutes(t *testing.T) {
+// The plan admits requests of urgent teams on any route before requests of other teams on the most urgent route.
+func TestTeamPriorityPrecedesRoutePriority(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
@@ -32,7 +32,7 @@
 	costs := map[string]callgraph.Cost{"pay": {Slots: map[string]float64{"a": 0.1}}, "read": {Slots: map[string]float64{"a": 0.1}}}
 	plan := &admissionPlan{}
 	shares := make(chan map[string]overload.Share, 1)
-	n.do(func() {
+	n.enqueue(func() {
 		roots := n.roots(time.Now(), []*loads.Report{report}, plan, costs)
 		shares <- overload.Options{NoLeastPart: true}.Plan(roots, map[string]float64{"a": 2 / overload.Target})
 	})
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -10,25 +10,25 @@
 	"github.com/rockspoke/rockspoke/pkg/quota"
 )
 
-// teamRoles says which nodes do what for keys and quotas; it is never changed once published.
+// teamRoles assigns the reading of freshness proofs and the ownership of quotas to nodes; it is immutable once published.
 type teamRoles struct {
 	proofs freshness.Roles
-	rings  map[string]*quota.ShardOwners // owners of quotas, by availability zone
+	rings  map[string]*quota.ShardOwners // quota owners, by availability zone
 }
 
-// zoneMembers is the nodes of each availability zone as the roles were last chosen; the control goroutine's.
+// zoneMembers are the hosts in each availability zone at the last assignment of roles; only the control goroutine uses it.
 type zoneMembers struct {
-	byZone map[string][]string
-	known  int // of the own zone, whether they are heard or not
+	byZone         map[string][]string
+	localZoneKnown int // known hosts in the local zone, whether or not they send reports
 }
 
-// chooseTeamRoles chooses anew where nodes have come or gone.
-func (n *Node) chooseTeamRoles(now time.Time) {
+// updateTeamRoles assigns roles again if the members of a zone have changed.
+func (n *Node) updateTeamRoles(now time.Time) {
 	if !n.needsKeys(n.state.Load()) {
 		return
 	}
-	members, before := n.teamMembers(now), n.control.members
-	if members.known == before.known && maps.EqualFunc(members.byZone, before.byZone, slices.Equal) {
+	members, previous := n.roleCandidates(now), n.control.members
+	if members.localZoneKnown == previous.localZoneKnown && maps.EqualFunc(members.byZone, previous.byZone, slices.Equal) {
 		return
 	}
 	n.control.members = members
@@ -36,49 +36,49 @@
 	roles := &teamRoles{rings: make(map[string]*quota.ShardOwners, len(members.byZone)), proofs: old.proofs}
 	for zone, hosts := range members.byZone {
 		roles.rings[zone] = old.rings[zone]
-		if !slices.Equal(hosts, before.byZone[zone]) {
+		if !slices.Equal(hosts, previous.byZone[zone]) {
 			roles.rings[zone] = quota.ChooseOwners(hosts)
 		}
 	}
-	own := members.byZone[n.cfg.Zone]
-	if !slices.Equal(own, before.byZone[n.cfg.Zone]) {
-		roles.proofs = freshness.ChooseRoles(own)
+	localHosts := members.byZone[n.cfg.Zone]
+	if !slices.Equal(localHosts, previous.byZone[n.cfg.Zone]) {
+		roles.proofs = freshness.ChooseRoles(localHosts)
 	}
-	n.electOwners(now, roles.rings[n.cfg.Zone], float64(len(own))/float64(max(members.known, 1)))
+	n.updateQuotaOwnership(now, roles.rings[n.cfg.Zone], float64(len(localHosts))/float64(max(members.localZoneKnown, 1)))
 	n.roles.Store(roles)
 }
 
-// youngZone is by how much older than this process another one of its zone is that wasn't started together with it.
-const youngZone = 3 * time.Second
+// maxStartSkew is the largest difference between the starts of nodes of a zone that count as started together.
+const maxStartSkew = 3 * time.Second
 
-// quotaWait returns how long this node waits before it gives out what it comes to own. Where all nodes of the zone were started
-// together nobody has owned it since this one was started, so it has come in since.
-func (n *Node) quotaWait(now time.Time) time.Duration {
+// quotaGrantDelay returns how long this node waits before it grants tokens of quotas that it comes to own. If all nodes of the zone started
+// together, nobody owned a quota before this node's start, so the wait counts from the start.
+func (n *Node) quotaGrantDelay(now time.Time) time.Duration {
 	for _, r := range n.control.reports {
-		if r.Epoch < n.epoch-youngZone.Milliseconds() {
+		if r.Epoch < n.epoch-maxStartSkew.Milliseconds() {
 			return quota.SettleTime
 		}
 	}
-	if now.Sub(n.started) > youngZone {
+	if now.Sub(n.started) > maxStartSkew {
 		return quota.SettleTime
 	}
 	return n.started.Sub(now)
 }
 
-// teamMembers returns the nodes of each zone that may have a role: of the own zone those that are heard, of the others
-// all that are known.
-func (n *Node) teamMembers(now time.Time) zoneMembers {
+// roleCandidates returns the nodes of each zone that may have a role: in the local zone those that send reports, in other zones
+// all known nodes.
+func (n *Node) roleCandidates(now time.Time) zoneMembers {
 	m := zoneMembers{byZone: make(map[string][]string)}
-	fresh := now.Sub(n.started) < reportLifeLeast
+	justStarted := now.Sub(n.started) < reportLifeLeast
 	for _, r := range n.control.directory.All() {
-		near := r.Zone == n.cfg.Zone || r.Host == n.ip
-		heard := !near || r.Host == n.ip || n.heardOf(now, r.Host) || fresh
-		if near && (r.Phase != directory.Gone || heard) {
-			m.known++
+		local := r.Zone == n.cfg.Zone || r.Host == n.ip
+		alive := !local || r.Host == n.ip || n.hasRecentReport(now, r.Host) || justStarted
+		if local && (r.Phase != directory.Gone || alive) {
+			m.localZoneKnown++
 		}
-		if heard && !n.stopsNow(now, r.Host) && (near || r.Phase != directory.Gone) {
+		if alive && !n.isStopping(now, r.Host) && (local || r.Phase != directory.Gone) {
 			zone := r.Zone
-			if near {
+			if local {
 				zone = n.cfg.Zone
 			}
 			m.byZone[zone] = append(m.byZone[zone], r.Host)
@@ -87,24 +87,24 @@
 	return m
 }
 
-// memberTime is how long a node that isn't heard any more keeps its role, in exchanges, and memberLeast at the least: what it owns is
-// at nobody's disposal meanwhile. Reports of a node that is well take about a second to reach all of its zone.
+// memberExchanges is how many exchange periods a node keeps its role after its last report, and minMemberTime the minimum time. Nobody serves
+// its role meanwhile. Reports of a healthy node reach the whole zone within about a second.
 const (
-	memberTime  = 6
-	memberLeast = 2 * time.Second
+	memberExchanges = 6
+	minMemberTime   = 2 * time.Second
 )
 
-// heardOf tells whether a node of the own zone was heard lately, and doesn't leave.
-func (n *Node) heardOf(now time.Time, host string) bool {
+// hasRecentReport reports whether a node of the local zone has sent a report lately and isn't leaving.
+func (n *Node) hasRecentReport(now time.Time, host string) bool {
 	r := n.control.reports[host]
-	return r != nil && !r.Leaving && now.Sub(r.heard) <= max(memberTime*n.calmTalkPeriod(), memberLeast)
+	return r != nil && !r.Leaving && now.Sub(r.heard) <= max(memberExchanges*n.calmTalkPeriod(), minMemberTime)
 }
 
-// stopsNow tells whether a node is known to be stopping.
-func (n *Node) stopsNow(now time.Time, host string) bool {
+// isStopping reports whether a node is known to be stopping.
+func (n *Node) isStopping(now time.Time, host string) bool {
 	if host == n.ip {
-		return n.stop.leaving()
+		return n.stop.stopping()
 	}
-	_, stops := n.peer(host).stopsFor(now)
-	return stops
+	_, stopping := n.peer(host).stoppingFor(now)
+	return stopping
 }
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -19,10 +19,10 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// teamSite is some nodes in zones, with a store of their own each, that serve teams.
-func teamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
+// newTeamSite returns nodes in zones, with a backend server each, whose settings allow teams and strict revocation.
+func newTeamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
 	s := newMemorySite(t)
-	s.first = true
+	s.firstStart = true
 	var names []string
 	for z := range zones {
 		names = append(names, fmt.Sprint("z", z))
@@ -39,16 +39,17 @@
 	return s
 }
 
-func public(r desired.Route) desired.Route {
+// publicRoute returns the route as a public one.
+func publicRoute(r desired.Route) desired.Route {
 	r.Public = true
 	return r
 }
 
-// teamState is a state with two teams and a public route.
+// teamState returns a state with two teams and a public route, after the given change.
 func teamState(version int64, change func(s *desired.State)) desired.State {
 	s := desired.State{
 		Version: version,
-		Routes:  []desired.Route{route("read", desired.Repeatable, "a"), public(route("open", desired.Repeatable, "a"))},
+		Routes:  []desired.Route{route("read", desired.Repeatable, "a"), publicRoute(route("open", desired.Repeatable, "a"))},
 		Teams: []desired.Team{
 			{Name: "blue", Keys: []desired.Key{"kb1", "kb2"}, Priority: 1},
 			{Name: "red", Keys: []desired.Key{"kr1"}},
@@ -60,9 +61,9 @@
 	return s
 }
 
-// send sends a request with headers to a node, and returns its status.
+// send sends a request with extra headers to a node; it returns the status, 0 if the connection broke, and the header of the answer.
 func (s *site) send(i int, path, id string, header http.Header) (int, http.Header) {
-	req, _ := http.NewRequest(http.MethodGet, "http://"+s.servers[i].out+path, nil)
+	req, _ := http.NewRequest(http.MethodGet, "http://"+s.servers[i].outboundAddr+path, nil)
 	req.Host = "h"
 	for k, v := range header {
 		req.Header[k] = v
@@ -77,6 +78,7 @@
 	return res.StatusCode, res.Header
 }
 
+// withKey returns a header with the given keys.
 func withKey(keys ...string) http.Header {
 	h := http.Header{}
 	for _, k := range keys {
@@ -85,10 +87,10 @@
 	return h
 }
 
-// awaitKeys waits until every node lets a key pass.
-func (s *site) awaitKeys(key string) {
+// waitUntilAccepted waits until every node accepts a key.
+func (s *site) waitUntilAccepted(key string) {
 	s.t.Helper()
-	s.until("all nodes let the key pass", func() bool {
+	s.waitFor("all nodes let the key pass", func() bool {
 		for i := range s.nodes {
 			if status, _ := s.send(i, "/read/x", fmt.Sprint("first", i), withKey(key)); status != http.StatusOK {
 				return false
@@ -98,29 +100,31 @@
 	})
 }
 
-// servingTeams is a teamSite whose nodes let the keys of the first state pass.
-func servingTeams(t testing.TB, zones, perZone int, revoke time.Duration) *site {
-	s := teamSite(t, zones, perZone, revoke)
+// newServingTeamSite returns a team site whose nodes accept the keys of the first state.
+func newServingTeamSite(t testing.TB, zones, perZone int, revoke time.Duration) *site {
+	s := newTeamSite(t, zones, perZone, revoke)
 	s.store.put(teamState(1, nil))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	return s
 }
 
-// seenHeaders notes the headers that servers get.
-type seenHeaders struct {
+// recordedHeaders records the headers that backend servers receive.
+type recordedHeaders struct {
 	mu  sync.Mutex
 	all []http.Header
 }
 
-func (s *seenHeaders) note(f *fakeServer, w http.ResponseWriter, r *http.Request) {
+// record is a handler that records the header of a request and answers it.
+func (s *recordedHeaders) record(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, r.Header.Clone())
 	fmt.Fprint(w, "ok")
 }
 
-func (s *seenHeaders) last() http.Header {
+// last returns the header of the latest request.
+func (s *recordedHeaders) last() http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[len(s.all)-1]
@@ -133,9 +137,9 @@
 
 func testServersSeeTheTeamAndNeverTheKey(t *testing.T) {
 	c := qt.New(t)
-	s := servingTeams(t, 2, 1, 5*time.Second)
-	var seen seenHeaders
-	s.handleAll(seen.note)
+	s := newServingTeamSite(t, 2, 1, 5*time.Second)
+	var seen recordedHeaders
+	s.handleAll(seen.record)
 	forged := func(h http.Header) http.Header {
 		h["X-Team"] = []string{"red"}
 		h["x-team"] = []string{"red"}
@@ -158,14 +162,14 @@
 	}
 }
 
-func TestRequestsWithoutAGoodKeyRunNowhere(t *testing.T) {
+func TestRequestsWithoutAValidKeyDoNotRun(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testRequestsWithoutAGoodKeyRunNowhere)
+	synctest.Test(t, testRequestsWithoutAValidKeyDoNotRun)
 }
 
-func testRequestsWithoutAGoodKeyRunNowhere(t *testing.T) {
+func testRequestsWithoutAValidKeyDoNotRun(t *testing.T) {
 	c := qt.New(t)
-	s := servingTeams(t, 1, 2, 5*time.Second)
+	s := newServingTeamSite(t, 1, 2, 5*time.Second)
 	for name, h := range map[string]http.Header{
 		"none": {}, "unknown": withKey("nobody"), "empty": withKey(""), "twice": withKey("kr1", "kr1"),
 		"other scheme": {testNames.Key: {"Bearer kr1"}}, "no scheme": {testNames.Key: {"kr1"}},
@@ -185,43 +189,43 @@
 	c.Check(status, qt.Equals, http.StatusOK)
 }
 
-func TestAKeyThatPassesOnAndTeamsThatGo(t *testing.T) {
+func TestKeyMovesToAnotherTeamAndTeamsAreRemoved(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testAKeyThatPassesOnAndTeamsThatGo)
+	synctest.Test(t, testKeyMovesToAnotherTeamAndTeamsAreRemoved)
 }
 
-func testAKeyThatPassesOnAndTeamsThatGo(t *testing.T) {
+func testKeyMovesToAnotherTeamAndTeamsAreRemoved(t *testing.T) {
 	c := qt.New(t)
-	s := servingTeams(t, 1, 2, 5*time.Second)
-	var seen seenHeaders
-	s.handleAll(seen.note)
+	s := newServingTeamSite(t, 1, 2, 5*time.Second)
+	var seen recordedHeaders
+	s.handleAll(seen.record)
 	s.store.put(teamState(2, func(st *desired.State) {
 		st.Teams[0].Keys = []desired.Key{"kb2"}
 		st.Teams[1].Keys = []desired.Key{"kr1", "kb1"}
 	}))
-	s.settled(2)
+	s.waitUntilKnown(2)
 	status, _ := s.send(0, "/read/x", "moved", withKey("kb1"))
 	c.Check(status, qt.Equals, http.StatusOK)
 	c.Check(seen.last()[testNames.Team], qt.DeepEquals, []string{"red"})
 	s.store.put(teamState(3, func(st *desired.State) { st.Teams = nil }))
-	s.settled(3)
-	s.until("keys of no team are refused", func() bool {
+	s.waitUntilKnown(3)
+	s.waitFor("keys of no team are refused", func() bool {
 		status, _ := s.send(0, "/read/x", "gone", withKey("kr1"))
 		return status == http.StatusUnauthorized
 	})
 }
 
-// A store that falls silent, to all or to some, lets no key pass for longer than the bound; keys pass again soon after it is back,
-// and public routes are served all the while.
-func TestKeysFailClosedWhileTheStoreIsSilent(t *testing.T) {
+// While the store rejects all nodes, a removed key is accepted for no longer than the revocation bound. Keys are accepted again soon after the
+// store is back, and public routes are served throughout.
+func TestKeysFailClosedWhileTheStoreIsUnreachable(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testStoreSilentToAll)
+	synctest.Test(t, testKeysFailClosedWhileTheStoreIsUnreachable)
 }
 
-func testStoreSilentToAll(t *testing.T) {
+func testKeysFailClosedWhileTheStoreIsUnreachable(t *testing.T) {
 	c := qt.New(t)
 	const revoke = 1500 * time.Millisecond
-	s := servingTeams(t, 2, 2, revoke)
+	s := newServingTeamSite(t, 2, 2, revoke)
 	for _, n := range s.nodes {
 		s.store.turnAway(n.ip, true)
 	}
@@ -244,29 +248,29 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.Check(served > 0, qt.IsTrue) // as late as is safe
+	c.Check(served > 0, qt.IsTrue) // served for as long as is safe
 	for _, n := range s.nodes {
 		s.store.turnAway(n.ip, false)
 	}
 	back := time.Now()
-	s.awaitKeys("kr1")
+	s.waitUntilAccepted("kr1")
 	c.Check(time.Since(back) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(back)))
 	status, _ := s.send(0, "/read/x", "old", withKey("kb1"))
 	c.Check(status, qt.Equals, http.StatusUnauthorized)
 }
 
-// A node that the store turns away goes on by the proofs of the others.
-func TestANodeThatIsTurnedAwayServesOn(t *testing.T) {
+// A node that the store rejects keeps accepting keys with the freshness proofs of other nodes.
+func TestNodesRejectedByTheStoreUseProofsOfPeers(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testNodesTurnedAway)
+	synctest.Test(t, testNodesRejectedByTheStoreUseProofsOfPeers)
 }
 
-func testNodesTurnedAway(t *testing.T) {
+func testNodesRejectedByTheStoreUseProofsOfPeers(t *testing.T) {
 	c := qt.New(t)
 	const revoke = 1500 * time.Millisecond
-	s := servingTeams(t, 2, 3, revoke)
+	s := newServingTeamSite(t, 2, 3, revoke)
 	for _, n := range s.nodes[:3] {
-		s.store.turnAway(n.ip, true) // all of one zone
+		s.store.turnAway(n.ip, true) // all nodes of one zone
 	}
 	for end := time.Now().Add(2 * revoke); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for i := range s.nodes {
@@ -276,7 +280,7 @@
 	}
 }
 
-// What a team runs stays within its quota over all nodes, and other teams don't notice.
+// A team's requests stay within its quota over all nodes, and other teams aren't affected.
 func TestQuotaOverAllNodes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testQuotaOverAllNodes)
@@ -284,16 +288,16 @@
 
 func testQuotaOverAllNodes(t *testing.T) {
 	c := qt.New(t)
-	s := teamSite(t, 3, 4, 5*time.Second)
+	s := newTeamSite(t, 3, 4, 5*time.Second)
 	s.store.put(teamState(1, func(st *desired.State) {
 		st.Teams[0].Rate, st.Teams[0].Burst = 100, 50
 		st.Teams[1].Rate, st.Teams[1].Burst = 100, 50
 	}))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	time.Sleep(3 * time.Second) // the buckets fill
 	const span = 5 * time.Second
-	var ran, refusedCalm, sent [2]int
+	var ran, refusedOther, sent [2]int
 	for begun := time.Now(); time.Since(begun) < span; time.Sleep(time.Millisecond) {
 		due := int(time.Since(begun).Seconds() * 330)
 		for ; sent[0] < due; sent[0]++ {
@@ -308,17 +312,17 @@
 			}
 			if sent[0]%4 == 0 { // 82 a second
 				if status, _ := s.send(sent[0]%len(s.nodes), "/read/x", fmt.Sprint("r", sent[0]), withKey("kr1")); status != http.StatusOK {
-					refusedCalm[0]++
+					refusedOther[0]++
 				}
 			}
 		}
 	}
 	c.Check(ran[0] <= 625, qt.IsTrue, qt.Commentf("%d ran", ran[0]))
 	c.Check(ran[0] >= 475, qt.IsTrue, qt.Commentf("%d ran", ran[0]))
-	c.Check(refusedCalm[0], qt.Equals, 0)
+	c.Check(refusedOther[0], qt.Equals, 0)
 }
 
-// Keys stand nowhere in what a node writes or shows.
+// Keys appear neither in logs nor in a dump.
 func TestKeysAreNotShown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testKeysAreNotShown)
@@ -328,16 +332,16 @@
 	c := qt.New(t)
 	var log logBuffer
 	s := newMemorySite(t)
-	s.log, s.first = &log, true
+	s.log, s.firstStart = &log, true
 	s.tune = func(m *settings.Mesh) { m.StrictRevoke, m.Revoke = true, 2*time.Second }
 	s.add("a", "z", 5)
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Keys = []desired.Key{"very-secret"} }))
-	s.settled(1)
-	s.awaitKeys("very-secret")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("very-secret")
 	s.store.put(teamState(2, func(st *desired.State) {
 		st.Teams[0].Keys, st.Teams[1].Keys = []desired.Key{"very-secret"}, []desired.Key{"very-secret"}
 	}))
-	s.until("the fault is written down", func() bool { return strings.Contains(log.String(), "can't be read") })
+	s.waitFor("the fault is written down", func() bool { return strings.Contains(log.String(), "can't be read") })
 	c.Check(log.String(), qt.Contains, "red key")
 	c.Check(log.String(), qt.Not(qt.Contains), "very-secret")
 	c.Check(fmt.Sprintf("%+v", s.nodes[0].Dump()), qt.Not(qt.Contains), "very-secret")
@@ -346,12 +350,12 @@
 	c.Check(status, qt.Equals, http.StatusOK)
 }
 
-// Without teams a key is a header like any other.
+// Without teams the key header is passed on like any other.
 func TestWithoutTeamsHeadersPassThrough(t *testing.T) {
 	c := qt.New(t)
-	s := three(t)
-	var seen seenHeaders
-	s.handleAll(seen.note)
+	s := newThreeServerSite(t)
+	var seen recordedHeaders
+	s.handleAll(seen.record)
 	h := withKey("k")
 	h[testNames.Team] = []string{"x"}
 	status, _ := s.send(0, "/read/x", "plain", h)
@@ -360,7 +364,8 @@
 	c.Check(seen.last()[testNames.Team], qt.DeepEquals, []string{"x"})
 }
 
-func BenchmarkIdentify(b *testing.B) {
+// BenchmarkAuthenticate measures the check of a key, by the number of keys in the desired state.
+func BenchmarkAuthenticate(b *testing.B) {
 	for _, keys := range []int{0, 1, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
 			st := desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}}
@@ -374,7 +379,7 @@
 			r.Header = withKey("k0")
 			b.ReportAllocs()
 			for range b.N {
-				if _, refusal := n.identify(r, state, &state.Routes[0]); refusal != nil {
+				if _, refusal := n.authenticate(r, state, &state.Routes[0]); refusal != nil {
 					b.Fatal(refusal)
 				}
 			}
@@ -382,40 +387,40 @@
 	}
 }
 
-// An owner that stops in order hands over what is left of its teams, so that the next one needn't wait.
-func TestAnOwnerThatStopsHandsOver(t *testing.T) {
+// A quota owner in a planned stop hands its remaining tokens over, so that the next owner needn't wait.
+func TestStoppingQuotaOwnerHandsOver(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testOwnerStops)
+	synctest.Test(t, testStoppingQuotaOwnerHandsOver)
 }
 
-func testOwnerStops(t *testing.T) {
+func testStoppingQuotaOwnerHandsOver(t *testing.T) {
 	c := qt.New(t)
-	s := teamSite(t, 1, 3, 5*time.Second)
+	s := newTeamSite(t, 1, 3, 5*time.Second)
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Rate, st.Teams[0].Burst = 10, 10 }))
-	s.settled(1)
-	s.awaitKeys("kb1")
-	owner := func(n *Node) bool {
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
+	ownsTeam := func(n *Node) bool {
 		n.quotas.mu.Lock()
 		defer n.quotas.mu.Unlock()
 		return n.quotas.owner.Owns("blue")
 	}
 	var first, next *Node
-	s.until("one node owns the team", func() bool {
-		owners := 0
+	s.waitFor("one node owns the team", func() bool {
+		owning := 0
 		for _, n := range s.nodes {
-			if owner(n) {
+			if ownsTeam(n) {
 				first = n
-				owners++
+				owning++
 			}
 		}
-		return owners == 1
+		return owning == 1
 	})
 	time.Sleep(2 * time.Second) // its bucket fills
 	var stopping sync.WaitGroup
 	stopping.Go(func() { c.Check(first.Stop(context.Background()), qt.IsNil) })
-	s.until("another node owns the team", func() bool {
+	s.waitFor("another node owns the team", func() bool {
 		for _, n := range s.nodes {
-			if n != first && owner(n) {
+			if n != first && ownsTeam(n) {
 				next = n
 				return true
 			}
@@ -424,39 +429,39 @@
 	})
 	taken := 0
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end) && taken == 0; time.Sleep(10 * time.Millisecond) {
-		taken = next.grant(&quotaQuestion{Team: "blue", Want: 1, Zone: next.cfg.Zone}).Tokens
+		taken = next.grantTokens(&quotaRequest{Team: "blue", Want: 1, Zone: next.cfg.Zone}).Tokens
 	}
 	c.Check(taken, qt.Equals, 1)
 	stopping.Wait()
 }
 
-// A VM that was suspended lets no key pass on what it knew before, from the first request on, and has no token in hand.
-func TestAfterASuspensionNoKeyPassesOnAnOldProof(t *testing.T) {
+// After a suspension of the VM no key is accepted with an older freshness proof, from the first request on, and tokens in hand have expired.
+func TestSuspensionInvalidatesFreshnessProofAndTokens(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testAfterASuspensionNoKeyPassesOnAnOldProof)
+	synctest.Test(t, testSuspensionInvalidatesFreshnessProofAndTokens)
 }
 
-func testAfterASuspensionNoKeyPassesOnAnOldProof(t *testing.T) {
+func testSuspensionInvalidatesFreshnessProofAndTokens(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
-	s.first = true
+	s.firstStart = true
 	s.tune = func(m *settings.Mesh) {
 		m.StrictRevoke, m.Revoke = true, 5*time.Second
 		m.QuotaWindow, m.QuotaExcess, m.QuotaSlack, m.Zones = 5*time.Second, 0.1, 20, []string{"z0"}
 	}
-	k := &suspendedClock{}
-	s.clocks = map[string]*suspendedClock{s.base + "1": k}
+	k := &suspendableClock{}
+	s.clocks = map[string]*suspendableClock{s.base + "1": k}
 	s.add("a", "z0", 10)
 	s.store.put(teamState(1, func(st *desired.State) { st.Teams[0].Rate, st.Teams[0].Burst = 100, 100 }))
-	s.settled(1)
-	s.awaitKeys("kb1")
+	s.waitUntilKnown(1)
+	s.waitUntilAccepted("kb1")
 	n := s.nodes[0]
 	n.quotas.mu.Lock()
 	n.quotas.pool.AddGranted(clock.Boot(k), "blue", 5)
 	n.quotas.mu.Unlock()
 	s.store.turnAway(n.ip, true)
-	for i := range 20 { // whoever notices the suspension first
-		k.stood.Add(int64(10 * time.Second))
+	for i := range 20 { // a request or the control goroutine may notice the suspension first
+		k.suspended.Add(int64(10 * time.Second))
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
 		c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 		n.quotas.mu.Lock()
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -20,25 +20,26 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// site is some nodes with their backend servers on loopback addresses.
+// site is a set of nodes with their backend servers, on loopback addresses or within the process.
 type site struct {
-	t       testing.TB
-	store   *fakeStore
-	nodes   []*Node
-	servers []*fakeServer
-	base    string
-	port    int
-	clients *http.Client
-	network *memoryNetwork // nil: loopback
-	seeds   []string
-	first   bool                       // the whole system starts for the first time
-	clocks  map[string]*suspendedClock // of the VMs that have one of their own
-	log     io.Writer
-	tune    func(m *settings.Mesh) // changes the settings of the nodes, if set
+	t          testing.TB
+	store      *fakeStore
+	nodes      []*Node
+	servers    []*fakeServer
+	base       string
+	port       int
+	clients    *http.Client
+	network    *memoryNetwork // nil: loopback
+	seeds      []string
+	firstStart bool                         // the whole system starts for the first time
+	clocks     map[string]*suspendableClock // clocks of the VMs that have their own
+	log        io.Writer
+	tune       func(m *settings.Mesh) // changes the settings of the nodes, if set
 }
 
 var siteCount atomic.Int64
 
+// newSite returns a site on loopback addresses, without nodes.
 func newSite(t testing.TB) *site {
 	k := siteCount.Add(1)
 	return &site{
@@ -47,7 +48,7 @@
 	}
 }
 
-// newMemorySite is a site on a network within the process, which runs in made-up time as well.
+// newMemorySite returns a site on a network within the process, which also runs in simulated time.
 func newMemorySite(t testing.TB) *site {
 	s := newSite(t)
 	s.network = &memoryNetwork{}
@@ -56,14 +57,14 @@
 	return s
 }
 
-// add starts a node beside a server of the service.
+// add starts a node with a local backend server of the service.
 func (s *site) add(service, zone string, slots int) (*Node, *fakeServer) {
 	c := qt.New(s.t)
 	ip := s.base + strconv.Itoa(len(s.nodes)+1)
-	f := &fakeServer{ip: ip, service: service, zone: zone, slots: slots, instance: "i-" + ip, work: 2 * time.Millisecond, out: s.at(ip, 1)}
-	f.ways = s.waysFrom(ip)
+	f := &fakeServer{ip: ip, service: service, zone: zone, slots: slots, instance: "i-" + ip, workTime: 2 * time.Millisecond, outboundAddr: s.at(ip, 1)}
+	f.client = s.clientFrom(ip)
 	f.srv = &http.Server{Addr: s.at(ip, 4), Handler: f}
-	ln, err := s.wire().listen(f.srv.Addr)
+	ln, err := s.nodeNetwork().listen(f.srv.Addr)
 	c.Assert(err, qt.IsNil)
 	go f.srv.Serve(ln)
 	s.servers = append(s.servers, f)
@@ -76,29 +77,29 @@
 	return s.nodes[len(s.nodes)-1], f
 }
 
-// at returns an address of a VM.
+// at returns an address of a VM; port is an offset.
 func (s *site) at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(s.port+port)) }
 
-// wire returns what nodes and servers listen on.
-func (s *site) wire() Network {
+// nodeNetwork returns the network of nodes and servers.
+func (s *site) nodeNetwork() Network {
 	if s.network == nil {
 		return Network{}
 	}
 	return Network{Listen: s.network.listen, Dial: s.network.dial}
 }
 
-// waysFrom returns a client that sends from the address of a VM, as its backend server does.
-func (s *site) waysFrom(ip string) *http.Client {
+// clientFrom returns a client that sends from the address of a VM, as its backend server does.
+func (s *site) clientFrom(ip string) *http.Client {
 	if s.network == nil {
 		return callClient(ip)
 	}
 	return s.network.client(ip)
 }
 
-// start starts the node beside a server, which then sends a heartbeat; one that was halted loses all it knew.
+// start starts the node of a server and sends a heartbeat of the server; a node that was halted starts without its earlier state.
 func (s *site) start(i int) {
 	s.startNode(i)
-	s.beat(i, false)
+	s.heartbeat(i, false)
 }
 
 // startNode does the same without a heartbeat.
@@ -108,20 +109,20 @@
 	s.nodes[i] = n
 }
 
-// newNode returns a node beside a server that isn't started.
+// newNode returns the node of a server without starting it.
 func (s *site) newNode(i int) *Node {
 	f := s.servers[i]
 	cfg := settings.Settings{
 		VM: f.ip, Zone: f.zone, Service: f.service, Backend: settings.Backend{Address: s.at(f.ip, 4)},
 		Listen: settings.Listen{Peers: s.at(f.ip, 0), Outbound: s.at(f.ip, 1), Control: s.at(f.ip, 2), Ready: s.at(f.ip, 2)},
-		Mesh:   &settings.Mesh{Grace: 6 * time.Second, Apply: 3 * time.Second, FirstStart: s.first}, Seeds: s.seeds,
+		Mesh:   &settings.Mesh{Grace: 6 * time.Second, Apply: 3 * time.Second, FirstStart: s.firstStart}, Seeds: s.seeds,
 	}
 	if s.tune != nil {
 		s.tune(cfg.Mesh)
 	}
 	cfg.Fill()
 	n, err := New(Options{
-		Settings: cfg, Names: testNames, Store: s.store.seam(f.ip), Decode: decodeTestState, Network: s.wire(),
+		Settings: cfg, Names: testNames, Store: s.store.seam(f.ip), Decode: decodeTestState, Network: s.nodeNetwork(),
 		Control: func(*Node) http.Handler { return http.NotFoundHandler() }, Clock: s.clockOf(f.ip),
 		Logger: func(part string) *slog.Logger { return slog.New(slog.NewTextHandler(s.log, nil)).With("node", f.ip) },
 	})
@@ -129,16 +130,16 @@
 	return n
 }
 
-// beat sends a heartbeat of the server.
-func (s *site) beat(i int, draining bool) {
+// heartbeat sends a heartbeat of a server to its node.
+func (s *site) heartbeat(i int, draining bool) {
 	f := s.servers[i]
 	s.nodes[i].Heartbeat(context.Background(), directory.Registration{
-		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.seq.Add(1), Born: f.born.Load(),
+		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.heartbeatSeq.Add(1), Born: f.startedAt.Load(),
 	})
 }
 
-// until waits for a condition.
-func (s *site) until(what string, ok func() bool) {
+// waitFor waits up to 20 seconds for a condition.
+func (s *site) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -147,10 +148,10 @@
 	}
 }
 
-// settled waits until all nodes know the state and every server.
-func (s *site) settled(version int64) {
+// waitUntilKnown waits until all nodes have the state and know every server.
+func (s *site) waitUntilKnown(version int64) {
 	s.t.Helper()
-	s.until("all nodes know all", func() bool {
+	s.waitFor("all nodes know all", func() bool {
 		for _, n := range s.nodes {
 			total := 0
 			for _, list := range n.view.Load().services {
@@ -165,9 +166,9 @@
 	})
 }
 
-// ask sends a request to a node as a client; the status is 0 if the connection broke.
-func (s *site) ask(i int, method, path, id string, left time.Duration) (int, string, http.Header) {
-	addr := s.servers[i].out // the node itself may be started anew meanwhile
+// request sends a request to a node as a client; it returns the status, 0 if the connection broke, the body or the error, and the header.
+func (s *site) request(i int, method, path, id string, left time.Duration) (int, string, http.Header) {
+	addr := s.servers[i].outboundAddr // the node may be restarted meanwhile
 	req, _ := http.NewRequest(method, "http://"+addr+path, nil)
 	req.Host = "h"
 	req.Header.Set(testNames.AttemptID, id)
@@ -184,8 +185,8 @@
 	return res.StatusCode, string(body), res.Header
 }
 
-// three is a site of three servers of one service, with a route of each kind.
-func three(t *testing.T) *site {
+// newThreeServerSite returns a site of three servers of one service, with a route of each kind.
+func newThreeServerSite(t *testing.T) *site {
 	s := newSite(t)
 	for i := range 3 {
 		s.add("a", fmt.Sprint("z", i), 10)
@@ -193,11 +194,11 @@
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
 		route("read", desired.Repeatable, "a"), route("pay", desired.Once, "a"),
 	}})
-	s.settled(1)
+	s.waitUntilKnown(1)
 	return s
 }
 
-// handleAll gives every server the handler.
+// handleAll sets the handler of every server.
 func (s *site) handleAll(h func(f *fakeServer, w http.ResponseWriter, r *http.Request)) {
 	for _, f := range s.servers {
 		f.mu.Lock()
@@ -206,6 +207,7 @@
 	}
 }
 
+// allRan returns the attempt ids that ran at any server.
 func (s *site) allRan() []string {
 	var all []string
 	for _, f := range s.servers {
@@ -214,7 +216,8 @@
 	return all
 }
 
-func cutOff(w http.ResponseWriter) {
+// closeConnection closes the connection of a request without an answer.
+func closeConnection(w http.ResponseWriter) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	c.Close()
 }
