--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -18,12 +18,12 @@
 )
 
 // holdsDown tells whether the plan lets in only a part of some kind.
-func holdsDown(roots []overload.Root, plan *admissionPlan) bool {
-	return slices.ContainsFunc(roots, func(r overload.Root) bool { return plan.shares[r.Route].Fresh < 1 })
+func holdsDown(roots []overload.KindDemand, plan *admissionPlan) bool {
+	return slices.ContainsFunc(roots, func(r overload.KindDemand) bool { return plan.shares[r.Kind].Fresh < 1 })
 }
 
 // logPlan writes down what decided the shares, for a plan that holds some kind down or lacks the cost of one.
-func (n *Node) logPlan(now time.Time, plan *admissionPlan, roots []overload.Root, capacity map[string]float64, missing []string) {
+func (n *Node) logPlan(now time.Time, plan *admissionPlan, roots []overload.KindDemand, capacity map[string]float64, missing []string) {
 	if now.Before(n.control.shown.nextPlan) {
 		return
 	}
@@ -43,11 +43,11 @@
 }
 
 // withoutCost returns the kinds that are asked for and take nothing by what is known.
-func withoutCost(roots []overload.Root) []string {
+func withoutCost(roots []overload.KindDemand) []string {
 	var routes []string
 	for _, r := range roots {
-		if len(r.Slots) == 0 && r.Fresh+r.Returning >= missedRate {
-			routes = append(routes, loads.ShowKind(r.Route))
+		if len(r.SlotSeconds) == 0 && r.Fresh+r.Returning >= missedRate {
+			routes = append(routes, loads.ShowKind(r.Kind))
 		}
 	}
 	slices.Sort(routes)
@@ -66,11 +66,11 @@
 
 // demandOf returns the slots that first attempts would take of each service, and the slot seconds of one request
 // of each kind.
-func demandOf(roots []overload.Root) (demand map[string]float64, costs map[string]map[string]float64) {
+func demandOf(roots []overload.KindDemand) (demand map[string]float64, costs map[string]map[string]float64) {
 	demand, costs = map[string]float64{}, map[string]map[string]float64{}
 	for _, r := range roots {
-		costs[loads.ShowKind(r.Route)] = r.Slots
-		for s, cost := range r.Slots {
+		costs[loads.ShowKind(r.Kind)] = r.SlotSeconds
+		for s, cost := range r.SlotSeconds {
 			demand[s] += cost * r.Fresh
 		}
 	}
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -53,9 +53,9 @@
 		plan.runs[route] = c.Runs
 	}
 	roots, capacity := n.roots(now, reports, plan, costs), n.capacity()
-	options := overload.Options{NoLeastPart: n.off[settings.LeastPart], Alike: n.off[settings.CostWeight]}
-	plan.shares = options.Plan(roots, capacity)
-	plan.binding = overload.Binding(roots, plan.shares, capacity)
+	options := overload.Options{NoMinimumShare: n.off[settings.LeastPart], EqualShares: n.off[settings.CostWeight]}
+	plan.shares = options.PlanShares(roots, capacity)
+	plan.binding = overload.BottleneckServices(roots, plan.shares, capacity)
 	missing := withoutCost(roots)
 	urgent := holdsDown(roots, plan) || len(missing) > 0
 	n.noteUrgency(now, urgent)
@@ -67,7 +67,7 @@
 }
 
 // roots returns the demand for each kind of root request: what is counted, and what can't have been counted yet.
-func (n *Node) roots(now time.Time, reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) []overload.Root {
+func (n *Node) roots(now time.Time, reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) []overload.KindDemand {
 	byKind := n.countedRoots(reports, plan, costs)
 	n.control.asked = make(map[string]float64, len(byKind))
 	for kind, r := range byKind {
@@ -85,7 +85,7 @@
 		}
 		byKind[kind].Fresh += missing
 	}
-	roots := make([]overload.Root, 0, len(byKind))
+	roots := make([]overload.KindDemand, 0, len(byKind))
 	for _, r := range byKind {
 		roots = append(roots, *r)
 	}
@@ -93,14 +93,14 @@
 }
 
 // root returns a kind of root request for which there is no demand.
-func (n *Node) root(kind string, costs map[string]callgraph.Cost) *overload.Root {
+func (n *Node) root(kind string, costs map[string]callgraph.Cost) *overload.KindDemand {
 	route, team := loads.SplitKind(kind)
-	return &overload.Root{Route: kind, Priority: n.state.Load().Rank(route, team), Slots: costs[route].Slots}
+	return &overload.KindDemand{Kind: kind, Priority: n.state.Load().Rank(route, team), SlotSeconds: costs[route].Slots}
 }
 
 // countedRoots returns the demand that reports tell of.
-func (n *Node) countedRoots(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.Root {
-	byKind := map[string]*overload.Root{}
+func (n *Node) countedRoots(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.KindDemand {
+	byKind := map[string]*overload.KindDemand{}
 	for _, r := range reports {
 		for kind, e := range r.Entries {
 			if plan.inner[routeOf(kind)] {
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -34,7 +34,7 @@
 	ownZone     zoneLoad // sum of this zone, as last told to others
 	zoneHosts   []string // VMs of this zone that are known
 	reportSeq   int64
-	room        overload.RoomControl
+	room        overload.UsableFractionController
 	suspects    suspectNews
 	gateUse     float64 // of the own gate's slots, smoothed
 	nextLook    time.Time
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -59,7 +59,7 @@
 	stats    trafficStats
 	plan     atomic.Pointer[admissionPlan]
 	budgetMu sync.Mutex
-	budget   overload.RepeatBudget
+	budget   overload.RetryBudget
 	poison   poison.Table
 	limits   clock.Limits    // of requests in progress
 	present  awaited.Present // requests of other nodes that are here
--- a/pkg/mesh/repeats.go
+++ b/pkg/mesh/repeats.go
@@ -25,7 +25,7 @@
 	}
 	runs := n.runsOf(q)
 	n.budgetMu.Lock()
-	ok := n.budget.Take(n.clock.Now(), runs)
+	ok := n.budget.TryWithdraw(n.clock.Now(), runs)
 	n.budgetMu.Unlock()
 	if ok {
 		n.metrics.count("repeats_total", "service", q.Service)
@@ -40,7 +40,7 @@
 	runs := n.runsOf(q)
 	n.budgetMu.Lock()
 	defer n.budgetMu.Unlock()
-	n.budget.Earn(n.clock.Now(), q.Service, runs)
+	n.budget.Deposit(n.clock.Now(), q.Service, runs)
 }
 
 // runsOf returns the runs by service that a request causes, as far as they are known.
@@ -71,7 +71,7 @@
 	n.budgetMu.Lock()
 	defer n.budgetMu.Unlock()
 	n.budget.Ratio = n.cfg.Mesh.RetryRatio * repeatRatioShare
-	n.budget.Below = n.cfg.Mesh.RetryRatio * repeatBelowShare
+	n.budget.DownstreamRatio = n.cfg.Mesh.RetryRatio * repeatBelowShare
 	n.budget.Window = n.cfg.Mesh.RetryWindow
 	n.budget.Burst = max(n.cfg.Mesh.RetrySlack*repeatBurstShare/float64(nodes), 1)
 }
--- a/pkg/mesh/report_own_load.go
+++ b/pkg/mesh/report_own_load.go
@@ -40,7 +40,7 @@
 	n.gateMu.Unlock()
 	n.control.gateUse += useGain * (float64(g.Running+g.Queued)/max(g.Limit, 1) - n.control.gateUse)
 	load := overload.GateLoad{
-		TurnedAway: n.stats.turnedAwayShare(now), Use: n.control.gateUse, Binding: n.isBinding(own.Service),
+		RejectedShare: n.stats.turnedAwayShare(now), Utilization: n.control.gateUse, Bottleneck: n.isBinding(own.Service),
 	}
 	n.control.room.Observe(now, load)
 	excess := n.excess(now, g)
@@ -62,7 +62,7 @@
 	if n.off[settings.RoomControl] {
 		return 1
 	}
-	return n.control.room.Part()
+	return n.control.room.UsableFraction()
 }
 
 // excess returns the slots by which more comes to the own server than planned for, whatever the reason:
@@ -80,7 +80,7 @@
 	}
 	n.control.shown.nextRoom = now.Add(roomLogPeriod)
 	n.controlLog.Info("room", "room", room, "limit", g.Limit, "running", g.Running, "queued", g.Queued, "hold", g.Hold,
-		"turned_away", round(load.TurnedAway), "binding", load.Binding, "part", round(n.roomPart()), "excess", round(excess))
+		"turned_away", round(load.RejectedShare), "binding", load.Bottleneck, "part", round(n.roomPart()), "excess", round(excess))
 }
 
 // logCalls writes down the calls that runs at the own server are taken to make, where they differ clearly from what was
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -34,7 +34,7 @@
 	shares := make(chan map[string]overload.Share, 1)
 	n.do(func() {
 		roots := n.roots(time.Now(), []*loads.Report{report}, plan, costs)
-		shares <- overload.Options{NoLeastPart: true}.Plan(roots, map[string]float64{"a": 2 / overload.Target})
+		shares <- overload.Options{NoMinimumShare: true}.PlanShares(roots, map[string]float64{"a": 2 / overload.TargetUtilization})
 	})
 	got := <-shares
 	c.Check(got[loads.Kind("pay", 0)].Fresh > 0.99, qt.IsTrue, qt.Commentf("%v", got))
--- a/pkg/mesh/traffic_entries.go
+++ b/pkg/mesh/traffic_entries.go
@@ -11,8 +11,8 @@
 	fresh, returning overload.DecayingRate
 	alone            overload.DecayingRate // came while no run was in progress that can have made them
 	longest          time.Duration         // most time that a client of this kind ever had left
-	mayFresh         overload.Allowance
-	mayReturning     overload.Allowance
+	mayFresh         overload.AdmissionBucket
+	mayReturning     overload.AdmissionBucket
 }
 
 // returningShare of the longest time that clients of a kind have is the time left below which an attempt
@@ -26,10 +26,10 @@
 	e := s.entry(kind)
 	if e.isReturning(left) {
 		e.returning.Add(now, 1)
-		return e.mayReturning.Take(now, share.Returning, &e.returning), true
+		return e.mayReturning.Admit(now, share.Returning, &e.returning), true
 	}
 	e.fresh.Add(now, 1)
-	return e.mayFresh.Take(now, share.Fresh, &e.fresh), false
+	return e.mayFresh.Admit(now, share.Fresh, &e.fresh), false
 }
 
 // entry returns the counts of a kind, made if it is new.
--- a/pkg/overload/allowance.go
+++ b/pkg/overload/allowance.go
@@ -10,16 +10,16 @@
 	savedTime = 300 * time.Millisecond
 )
 
-// Allowance lets in a flow's share as a rate, not as one of so many requests: the share is what there is room for divided
+// AdmissionBucket lets in a flow's share as a rate, not as one of so many requests: the share is what there is room for divided
 // by a demand that was counted over a second. Where the demand falls, room would stay empty until that is known, and where it
 // rises too much would be let in. The share times the demand is right in both cases. Its zero value has nothing saved up; it isn't safe for concurrent use.
-type Allowance struct {
+type AdmissionBucket struct {
 	saved float64
 	last  time.Time
 }
 
-// Take tells whether a request may come in, by the share and the flow's demand, which counts the request already.
-func (a *Allowance) Take(now time.Time, share float64, demand *DecayingRate) bool {
+// Admit tells whether a request may come in, by the share and the flow's demand, which counts the request already.
+func (a *AdmissionBucket) Admit(now time.Time, share float64, demand *DecayingRate) bool {
 	if share >= 1 {
 		a.saved, a.last = 0, now
 		return true
@@ -33,7 +33,7 @@
 }
 
 // save adds what was allowed since the last request. While little is known of the demand it is a share of each request.
-func (a *Allowance) save(now time.Time, share float64, demand *DecayingRate) {
+func (a *AdmissionBucket) save(now time.Time, share float64, demand *DecayingRate) {
 	since := now.Sub(a.last)
 	a.last = now
 	rate := share * demand.PerSecond(now)
--- a/pkg/overload/allowance_test.go
+++ b/pkg/overload/allowance_test.go
@@ -11,7 +11,7 @@
 
 // entry is an allowance with its demand, to which requests come at random.
 type entry struct {
-	allowance Allowance
+	allowance AdmissionBucket
 	demand    DecayingRate
 	rnd       *rand.Rand
 	now       time.Time
@@ -28,7 +28,7 @@
 		e.now = e.now.Add(time.Duration(e.rnd.ExpFloat64() / rate * float64(time.Second)))
 		e.demand.Add(e.now, 1)
 		came++
-		if e.allowance.Take(e.now, share, &e.demand) {
+		if e.allowance.Admit(e.now, share, &e.demand) {
 			let++
 		}
 	}
@@ -64,17 +64,17 @@
 
 func TestAnAllowanceOfAllOrNothing(t *testing.T) {
 	c := qt.New(t)
-	var a Allowance
+	var a AdmissionBucket
 	var demand DecayingRate
 	now := time.Unix(1000, 0)
 	for range 1000 {
 		now = now.Add(time.Millisecond)
 		demand.Add(now, 1)
-		c.Assert(a.Take(now, 1, &demand), qt.IsTrue)
+		c.Assert(a.Admit(now, 1, &demand), qt.IsTrue)
 	}
 	for range 1000 {
 		now = now.Add(time.Millisecond)
 		demand.Add(now, 1)
-		c.Assert(a.Take(now, 0, &demand), qt.IsFalse)
+		c.Assert(a.Admit(now, 0, &demand), qt.IsFalse)
 	}
 }
--- a/pkg/overload/plan_flows.go
+++ b/pkg/overload/plan_flows.go
@@ -7,14 +7,14 @@
 
 // flow is the first or the returning attempts of a kind.
 type flow struct {
-	root      *Root
+	root      *KindDemand
 	returning bool
 	whole     float64 // attempts a second
 	rate      float64 // of those, what isn't granted yet
 }
 
 // flowsOf returns all flows, the first to be admitted first.
-func flowsOf(roots []Root) []flow {
+func flowsOf(roots []KindDemand) []flow {
 	var flows []flow
 	for i := range roots {
 		r := &roots[i]
@@ -52,7 +52,7 @@
 
 // grant gives a flow a share of what isn't granted yet.
 func grant(f flow, share float64, left map[string]float64, out map[string]Share) {
-	o := out[f.root.Route]
+	o := out[f.root.Kind]
 	part := share
 	if f.whole > 0 {
 		part = share * f.rate / f.whole
@@ -62,8 +62,8 @@
 	} else {
 		o.Fresh = min(o.Fresh+part, 1)
 	}
-	out[f.root.Route] = o
-	for s, cost := range f.root.Slots {
+	out[f.root.Kind] = o
+	for s, cost := range f.root.SlotSeconds {
 		if _, known := left[s]; known {
 			left[s] -= f.rate * share * cost
 		}
--- a/pkg/overload/plan_least_part.go
+++ b/pkg/overload/plan_least_part.go
@@ -18,7 +18,7 @@
 	fillAlike(fresh, maps.Clone(left), alike)
 	for i := range flows {
 		if f := &flows[i]; !f.returning {
-			least := leastPart * alike[f.root.Route].Fresh
+			least := leastPart * alike[f.root.Kind].Fresh
 			grant(*f, least, left, out)
 			f.rate -= least * f.whole
 		}
--- a/pkg/overload/plan_test.go
+++ b/pkg/overload/plan_test.go
@@ -11,36 +11,36 @@
 
 func TestUrgentKindsKeepTheirShare(t *testing.T) {
 	c := qt.New(t)
-	shares := Plan([]Root{
-		{Route: "bill", Priority: 0, Fresh: 100, Returning: 10, Slots: map[string]float64{"low": 0.1}},
-		{Route: "look", Priority: 2, Fresh: 200, Returning: 50, Slots: map[string]float64{"low": 0.1}},
-		{Route: "pull", Priority: 2, Fresh: 50, Slots: map[string]float64{"files": 0.1}},
+	shares := PlanShares([]KindDemand{
+		{Kind: "bill", Priority: 0, Fresh: 100, Returning: 10, SlotSeconds: map[string]float64{"low": 0.1}},
+		{Kind: "look", Priority: 2, Fresh: 200, Returning: 50, SlotSeconds: map[string]float64{"low": 0.1}},
+		{Kind: "pull", Priority: 2, Fresh: 50, SlotSeconds: map[string]float64{"files": 0.1}},
 	}, map[string]float64{"low": 20, "files": 100})
 	c.Assert(shares["bill"], qt.Equals, Share{1, 1})
 	c.Assert(shares["pull"], qt.Equals, Share{1, 1})
-	c.Assert(math.Abs(shares["look"].Fresh-(20*Target-11)/20) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
+	c.Assert(math.Abs(shares["look"].Fresh-(20*TargetUtilization-11)/20) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
 	c.Assert(math.Abs(shares["look"].Returning) < 0.01, qt.IsTrue)
 }
 
 func TestWhatAKindLeavesGoesToOthers(t *testing.T) {
 	c := qt.New(t)
-	shares := Plan([]Root{
-		{Route: "a", Fresh: 100, Slots: map[string]float64{"x": 0.1, "y": 0.1}},
-		{Route: "b", Fresh: 100, Slots: map[string]float64{"y": 0.1}},
+	shares := PlanShares([]KindDemand{
+		{Kind: "a", Fresh: 100, SlotSeconds: map[string]float64{"x": 0.1, "y": 0.1}},
+		{Kind: "b", Fresh: 100, SlotSeconds: map[string]float64{"y": 0.1}},
 	}, map[string]float64{"x": 2, "y": 10})
-	c.Assert(math.Abs(shares["a"].Fresh-2*Target/10) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
-	c.Assert(math.Abs(shares["b"].Fresh-(10*Target-2*Target)/10) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
+	c.Assert(math.Abs(shares["a"].Fresh-2*TargetUtilization/10) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
+	c.Assert(math.Abs(shares["b"].Fresh-(10*TargetUtilization-2*TargetUtilization)/10) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
 }
 
 // What is learned of a kind is never quite exact: a trace of the tight service once held it down with the others.
 func TestAKindThatTakesLittleIsNotHeldDown(t *testing.T) {
 	c := qt.New(t)
-	shares := Plan([]Root{
-		{Route: "look", Priority: 2, Fresh: 200, Slots: map[string]float64{"low": 0.1}},
-		{Route: "pull", Priority: 2, Fresh: 50, Slots: map[string]float64{"files": 0.1, "low": 0.01}},
+	shares := PlanShares([]KindDemand{
+		{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.1}},
+		{Kind: "pull", Priority: 2, Fresh: 50, SlotSeconds: map[string]float64{"files": 0.1, "low": 0.01}},
 	}, map[string]float64{"low": 5, "files": 100})
 	c.Assert(shares["pull"].Fresh, qt.Equals, 1.0)
-	c.Assert(math.Abs(shares["look"].Fresh-(5*Target-0.5)/20) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
+	c.Assert(math.Abs(shares["look"].Fresh-(5*TargetUtilization-0.5)/20) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
 }
 
 // No service gets more than its capacity, no kind is held down without need, and a less urgent kind that
@@ -51,7 +51,7 @@
 		for i := range 3 {
 			capacity[fmt.Sprint("s", i)] = rapid.Float64Range(0.1, 50).Draw(r, "capacity")
 		}
-		var roots []Root
+		var roots []KindDemand
 		for i := range rapid.IntRange(1, 6).Draw(r, "kinds") {
 			slots := map[string]float64{}
 			for s := range capacity {
@@ -59,42 +59,42 @@
 					slots[s] = rapid.Float64Range(0.01, 0.5).Draw(r, "cost")
 				}
 			}
-			roots = append(roots, Root{
-				Route: fmt.Sprint(i), Priority: rapid.IntRange(0, 2).Draw(r, "priority"),
-				Fresh: rapid.Float64Range(0.1, 200).Draw(r, "fresh"), Returning: rapid.Float64Range(0, 50).Draw(r, "back"), Slots: slots,
+			roots = append(roots, KindDemand{
+				Kind: fmt.Sprint(i), Priority: rapid.IntRange(0, 2).Draw(r, "priority"),
+				Fresh: rapid.Float64Range(0.1, 200).Draw(r, "fresh"), Returning: rapid.Float64Range(0, 50).Draw(r, "back"), SlotSeconds: slots,
 			})
 		}
-		shares := Plan(roots, capacity)
+		shares := PlanShares(roots, capacity)
 		for s, room := range capacity {
 			used, tight := 0.0, false
 			for _, k := range roots {
-				sh := shares[k.Route]
+				sh := shares[k.Kind]
 				if sh.Fresh < 0 || sh.Fresh > 1 || sh.Returning < 0 || sh.Returning > 1 {
-					r.Fatalf("share %v of %s", sh, k.Route)
+					r.Fatalf("share %v of %s", sh, k.Kind)
 				}
-				used += k.Slots[s] * (k.Fresh*sh.Fresh + k.Returning*sh.Returning)
-				tight = tight || k.Slots[s] > 0
+				used += k.SlotSeconds[s] * (k.Fresh*sh.Fresh + k.Returning*sh.Returning)
+				tight = tight || k.SlotSeconds[s] > 0
 			}
-			if tight && used > room*Target+1e-6 {
+			if tight && used > room*TargetUtilization+1e-6 {
 				r.Fatalf("%s gets %v of %v", s, used, room)
 			}
 		}
 		for _, a := range roots {
 			for _, b := range roots {
-				if a.Priority < b.Priority && sameServices(a, b) && shares[a.Route].Fresh < shares[b.Route].Fresh-1e-9 {
-					r.Fatalf("%s (%d) has %v, %s (%d) has %v", a.Route, a.Priority, shares[a.Route], b.Route, b.Priority, shares[b.Route])
+				if a.Priority < b.Priority && sameServices(a, b) && shares[a.Kind].Fresh < shares[b.Kind].Fresh-1e-9 {
+					r.Fatalf("%s (%d) has %v, %s (%d) has %v", a.Kind, a.Priority, shares[a.Kind], b.Kind, b.Priority, shares[b.Kind])
 				}
 			}
 		}
 	})
 }
 
-func sameServices(a, b Root) bool {
-	if len(a.Slots) != len(b.Slots) || len(a.Slots) == 0 {
+func sameServices(a, b KindDemand) bool {
+	if len(a.SlotSeconds) != len(b.SlotSeconds) || len(a.SlotSeconds) == 0 {
 		return false
 	}
-	for s := range a.Slots {
-		if b.Slots[s] == 0 {
+	for s := range a.SlotSeconds {
+		if b.SlotSeconds[s] == 0 {
 			return false
 		}
 	}
@@ -104,12 +104,12 @@
 // Once the urgent kind's calls filled the small service, nothing was left of it for the kind whose only service it is.
 func TestNoKindIsShutOut(t *testing.T) {
 	c := qt.New(t)
-	shares := Plan([]Root{
-		{Route: "bill", Priority: 0, Fresh: 100, Slots: map[string]float64{"low": 0.2}},
-		{Route: "look", Priority: 2, Fresh: 200, Slots: map[string]float64{"low": 0.1}},
-		{Route: "assign", Priority: 2, Fresh: 20, Slots: map[string]float64{"low": 0.07}},
+	shares := PlanShares([]KindDemand{
+		{Kind: "bill", Priority: 0, Fresh: 100, SlotSeconds: map[string]float64{"low": 0.2}},
+		{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.1}},
+		{Kind: "assign", Priority: 2, Fresh: 20, SlotSeconds: map[string]float64{"low": 0.07}},
 	}, map[string]float64{"low": 18})
-	alike := 18 * Target / (20 + 20 + 1.4)
+	alike := 18 * TargetUtilization / (20 + 20 + 1.4)
 	for _, route := range []string{"look", "assign"} {
 		c.Assert(shares[route].Fresh >= leastPart*alike-1e-9, qt.IsTrue, qt.Commentf("%v", shares))
 	}
@@ -120,12 +120,12 @@
 // of the one that was tight: too few requests were served at all after a loss of power, and nobody gained.
 func TestAKindIsNotHeldDownForWantOfAnotherService(t *testing.T) {
 	c := qt.New(t)
-	roots := []Root{
-		{Route: "bill", Priority: 0, Fresh: 100, Slots: map[string]float64{"low": 0.2, "files": 0.1}},
-		{Route: "pull", Priority: 2, Fresh: 50, Returning: 10, Slots: map[string]float64{"files": 0.1}},
+	roots := []KindDemand{
+		{Kind: "bill", Priority: 0, Fresh: 100, SlotSeconds: map[string]float64{"low": 0.2, "files": 0.1}},
+		{Kind: "pull", Priority: 2, Fresh: 50, Returning: 10, SlotSeconds: map[string]float64{"files": 0.1}},
 	}
-	shares := Plan(roots, map[string]float64{"low": 12, "files": 100})
-	c.Assert(math.Abs(shares["bill"].Fresh-0.6*Target) < 1e-9, qt.IsTrue, qt.Commentf("%v", shares))
+	shares := PlanShares(roots, map[string]float64{"low": 12, "files": 100})
+	c.Assert(math.Abs(shares["bill"].Fresh-0.6*TargetUtilization) < 1e-9, qt.IsTrue, qt.Commentf("%v", shares))
 	c.Assert(shares["pull"], qt.Equals, Share{1, 1})
 }
 
@@ -133,9 +133,9 @@
 func TestKindsThatTakeLessGetMore(t *testing.T) {
 	c := qt.New(t)
 	plan := func(cost float64) map[string]Share {
-		return Plan([]Root{
-			{Route: "look", Priority: 2, Fresh: 200, Slots: map[string]float64{"low": 0.065}},
-			{Route: "assign", Priority: 2, Fresh: 22, Slots: map[string]float64{"low": cost}},
+		return PlanShares([]KindDemand{
+			{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.065}},
+			{Kind: "assign", Priority: 2, Fresh: 22, SlotSeconds: map[string]float64{"low": cost}},
 		}, map[string]float64{"low": 5})
 	}
 	same, less, little := plan(0.065), plan(0.05), plan(0.01)
@@ -148,16 +148,16 @@
 // A service of which nothing is known holds nobody down; what the least part took of it made it look full.
 func TestAServiceThatIsNotKnownHoldsNobodyDown(t *testing.T) {
 	c := qt.New(t)
-	roots := []Root{{Route: "a", Fresh: 100, Returning: 5, Slots: map[string]float64{"x": 0.1}}}
-	c.Assert(Plan(roots, map[string]float64{})["a"], qt.Equals, Share{1, 1})
-	c.Assert(Plan(roots, map[string]float64{"x": 0})["a"], qt.Equals, Share{0, 0})
+	roots := []KindDemand{{Kind: "a", Fresh: 100, Returning: 5, SlotSeconds: map[string]float64{"x": 0.1}}}
+	c.Assert(PlanShares(roots, map[string]float64{})["a"], qt.Equals, Share{1, 1})
+	c.Assert(PlanShares(roots, map[string]float64{"x": 0})["a"], qt.Equals, Share{0, 0})
 }
 
 func TestThoseWhoComeBackUncountedGoAfterFirstAttempts(t *testing.T) {
 	c := qt.New(t)
-	shares := Plan([]Root{
-		{Route: "look", Priority: 2, Fresh: 200, Slots: map[string]float64{"low": 0.1}},
-		{Route: "pull", Priority: 2, Fresh: 50, Slots: map[string]float64{"files": 0.1}},
+	shares := PlanShares([]KindDemand{
+		{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.1}},
+		{Kind: "pull", Priority: 2, Fresh: 50, SlotSeconds: map[string]float64{"files": 0.1}},
 	}, map[string]float64{"low": 5, "files": 100})
 	c.Assert(shares["look"].Returning, qt.Equals, 0.0)
 	c.Assert(shares["pull"].Returning, qt.Equals, 1.0)
--- a/pkg/overload/plan_tightest_service.go
+++ b/pkg/overload/plan_tightest_service.go
@@ -11,7 +11,7 @@
 // grantTightest gives the flows below which the service lies their share of it, and returns the others.
 func grantTightest(flows []flow, service string, share func(flow) float64, left map[string]float64, out map[string]Share) (rest []flow) {
 	for _, f := range flows {
-		if service != "" && f.root.Slots[service] == 0 {
+		if service != "" && f.root.SlotSeconds[service] == 0 {
 			rest = append(rest, f)
 			continue
 		}
@@ -24,7 +24,7 @@
 func tightest(flows []flow, left map[string]float64) (string, float64) {
 	demand := map[string]float64{}
 	for _, f := range flows {
-		for s, cost := range f.root.Slots {
+		for s, cost := range f.root.SlotSeconds {
 			demand[s] += f.rate * cost
 		}
 	}
--- a/pkg/overload/plan_weighed_shares.go
+++ b/pkg/overload/plan_weighed_shares.go
@@ -15,7 +15,7 @@
 		service, alike := tightest(open, left)
 		share := weighed(open, service, alike, left)
 		for _, f := range open {
-			if service == "" || f.root.Slots[service] > 0 {
+			if service == "" || f.root.SlotSeconds[service] > 0 {
 				f.rate *= 1 - share(f)
 				rest = append(rest, f)
 			}
@@ -41,11 +41,11 @@
 func sharesByCost(flows []flow, service string) func(level float64) func(flow) float64 {
 	dearest := 0.0
 	for _, f := range flows {
-		dearest = max(dearest, f.root.Slots[service])
+		dearest = max(dearest, f.root.SlotSeconds[service])
 	}
 	return func(level float64) func(flow) float64 {
 		return func(f flow) float64 {
-			return min(level*math.Pow(dearest/f.root.Slots[service], costWeight), 1)
+			return min(level*math.Pow(dearest/f.root.SlotSeconds[service], costWeight), 1)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 func takes(flows []flow, service string, share func(flow) float64) float64 {
 	sum := 0.0
 	for _, f := range flows {
-		if cost := f.root.Slots[service]; cost > 0 {
+		if cost := f.root.SlotSeconds[service]; cost > 0 {
 			sum += f.rate * cost * share(f)
 		}
 	}
@@ -84,8 +84,8 @@
 	for other, room := range left {
 		sum := 0.0
 		for _, f := range flows {
-			if f.root.Slots[service] > 0 {
-				sum += f.rate * f.root.Slots[other] * share(f)
+			if f.root.SlotSeconds[service] > 0 {
+				sum += f.rate * f.root.SlotSeconds[other] * share(f)
 			}
 		}
 		if sum > max(room, 0) {
--- a/pkg/overload/repeat_budget.go
+++ b/pkg/overload/repeat_budget.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// RepeatBudget bounds how often this node's requests reach a server once more. Each request earns a share
+// RetryBudget bounds how often this node's requests reach a server once more. Each request earns a share
 // of a token at every service that it and its calls run on; a repeat pays at each of them, since the
 // calls of a run that is a repeat are repeats too. What was earned in the last window can be spent, less what was spent
 // in it: so a server that begins to refuse can be gone around at once, and in no window more is spent than the share
 // allows. It isn't safe for concurrent use.
-type RepeatBudget struct {
-	Ratio  float64       // tokens that a request earns at its own service
-	Below  float64       // tokens that each run below it earns
-	Burst  float64       // tokens of one service that can be spent in each window whatever was earned
-	Window time.Duration // for which tokens are kept; 0: DefaultRepeatWindow
+type RetryBudget struct {
+	Ratio           float64       // tokens that a request earns at its own service
+	DownstreamRatio float64       // tokens that each run below it earns
+	Burst           float64       // tokens of one service that can be spent in each window whatever was earned
+	Window          time.Duration // for which tokens are kept; 0: DefaultRepeatWindow
 
 	tokens map[string]*tokens
 	begun  time.Time // of the first window
@@ -19,8 +19,8 @@
 
 // The constants of the windows.
 const (
-	// DefaultRepeatWindow is the window where the operator sets none.
-	DefaultRepeatWindow = 10 * time.Second
+	// DefaultRetryWindow is the window where the operator sets none.
+	DefaultRetryWindow = 10 * time.Second
 	// windowParts is how many steps a window moves in: what was spent counts for one step more than the window, what
 	// was earned for the window at the most.
 	windowParts = 20
@@ -32,10 +32,10 @@
 	earned, spent [windowParts + 1]float64
 }
 
-// Earn notes a request for a service, with its runs by service.
-func (b *RepeatBudget) Earn(now time.Time, service string, runs map[string]float64) {
+// Deposit notes a request for a service, with its runs by service.
+func (b *RetryBudget) Deposit(now time.Time, service string, runs map[string]float64) {
 	for s, n := range runs {
-		share := b.Below
+		share := b.DownstreamRatio
 		if s == service {
 			share = b.Ratio
 		}
@@ -44,9 +44,9 @@
 	}
 }
 
-// Take pays for one repeat with the runs that it causes; it reports false, and takes nothing, if a service
+// TryWithdraw pays for one repeat with the runs that it causes; it reports false, and takes nothing, if a service
 // has too few tokens left.
-func (b *RepeatBudget) Take(now time.Time, runs map[string]float64) bool {
+func (b *RetryBudget) TryWithdraw(now time.Time, runs map[string]float64) bool {
 	for s, n := range runs {
 		if b.of(now, s).left()+b.Burst < n {
 			return false
@@ -60,10 +60,10 @@
 }
 
 // of returns the tokens of a service, with the window moved to now.
-func (b *RepeatBudget) of(now time.Time, service string) *tokens {
+func (b *RetryBudget) of(now time.Time, service string) *tokens {
 	window := b.Window
 	if window == 0 {
-		window = DefaultRepeatWindow
+		window = DefaultRetryWindow
 	}
 	if b.begun.IsZero() {
 		b.begun = now
--- a/pkg/overload/repeat_budget_test.go
+++ b/pkg/overload/repeat_budget_test.go
@@ -13,17 +13,17 @@
 func TestRepeatsPayForTheirCalls(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
-	b := RepeatBudget{Ratio: 0.1, Below: 0.1, Burst: 2}
+	b := RetryBudget{Ratio: 0.1, DownstreamRatio: 0.1, Burst: 2}
 	whole := map[string]float64{"top": 1, "low": 4}
-	c.Assert(b.Take(now, whole), qt.IsFalse, qt.Commentf("two tokens don't pay four runs"))
+	c.Assert(b.TryWithdraw(now, whole), qt.IsFalse, qt.Commentf("two tokens don't pay four runs"))
 	for range 50 {
-		b.Earn(now, "top", whole)
+		b.Deposit(now, "top", whole)
 	}
 	for range 5 {
-		c.Assert(b.Take(now, whole), qt.IsTrue, qt.Commentf("twenty earned below and the burst"))
+		c.Assert(b.TryWithdraw(now, whole), qt.IsTrue, qt.Commentf("twenty earned below and the burst"))
 	}
-	c.Assert(b.Take(now, whole), qt.IsFalse)
-	c.Assert(b.Take(now, map[string]float64{"top": 1}), qt.IsTrue, qt.Commentf("a refused repeat takes nothing"))
+	c.Assert(b.TryWithdraw(now, whole), qt.IsFalse)
+	c.Assert(b.TryWithdraw(now, map[string]float64{"top": 1}), qt.IsTrue, qt.Commentf("a refused repeat takes nothing"))
 }
 
 // A service that began to refuse half of its calls was gone around for a second only: what had been earned before was
@@ -31,7 +31,7 @@
 func TestRepeatsAreKeptForAWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const window, step = 10 * time.Second, 100 * time.Millisecond
-		b := RepeatBudget{Ratio: 0.08, Burst: 1, Window: window}
+		b := RetryBudget{Ratio: 0.08, Burst: 1, Window: window}
 		now := time.Unix(0, 0)
 		var asked, spent []float64 // by step
 		phase, rate, need := 0, 0, 0.0
@@ -44,10 +44,10 @@
 			now = now.Add(step)
 			took := 0.0
 			for range rate {
-				b.Earn(now, "s", map[string]float64{"s": 1})
+				b.Deposit(now, "s", map[string]float64{"s": 1})
 			}
 			for range int(need * float64(rate)) {
-				if b.Take(now, map[string]float64{"s": 1}) {
+				if b.TryWithdraw(now, map[string]float64{"s": 1}) {
 					took++
 				}
 			}
@@ -67,14 +67,14 @@
 // What was earned in calm pays for the first seconds of a fault.
 func TestASuddenFaultCanBePaidFor(t *testing.T) {
 	c := qt.New(t)
-	b := RepeatBudget{Ratio: 0.08, Burst: 1, Window: 10 * time.Second}
+	b := RetryBudget{Ratio: 0.08, Burst: 1, Window: 10 * time.Second}
 	now, one := time.Unix(0, 0), map[string]float64{"s": 1}
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
-		b.Earn(now, "s", one)
+		b.Deposit(now, "s", one)
 	}
 	paid := 0
-	for b.Take(now, one) {
+	for b.TryWithdraw(now, one) {
 		paid++
 	}
 	c.Assert(paid > 300, qt.IsTrue, qt.Commentf("%d", paid))
@@ -85,16 +85,16 @@
 func TestAllThatIsEarnedCanBeSpent(t *testing.T) {
 	c := qt.New(t)
 	const step = 10 * time.Millisecond
-	b := RepeatBudget{Ratio: 0.1, Window: 10 * time.Second}
+	b := RetryBudget{Ratio: 0.1, Window: 10 * time.Second}
 	now, one := time.Unix(0, 0), map[string]float64{"s": 1}
 	var spent []float64
 	for range 6000 {
 		now = now.Add(step)
 		for range 5 {
-			b.Earn(now, "s", one)
+			b.Deposit(now, "s", one)
 		}
 		took := 0.0
-		for b.Take(now, one) {
+		for b.TryWithdraw(now, one) {
 			took++
 		}
 		spent = append(spent, took)
@@ -118,15 +118,15 @@
 func TestWindowsGoByTheSteadyClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := RepeatBudget{Burst: 1, Window: 10 * time.Second}
+		b := RetryBudget{Burst: 1, Window: 10 * time.Second}
 		one := map[string]float64{"s": 1}
 		begun := time.Now()
-		c.Assert(b.Take(begun, one), qt.IsTrue)
+		c.Assert(b.TryWithdraw(begun, one), qt.IsTrue)
 		time.Sleep(time.Second)
-		c.Assert(b.Take(time.Now(), one), qt.IsFalse)
+		c.Assert(b.TryWithdraw(time.Now(), one), qt.IsFalse)
 		parts := b.of(time.Now(), "s").part
 		c.Assert(parts, qt.Equals, int64(2), qt.Commentf("counted from the first use, not by the time of day"))
 		time.Sleep(10 * time.Second)
-		c.Assert(b.Take(time.Now(), one), qt.IsTrue)
+		c.Assert(b.TryWithdraw(time.Now(), one), qt.IsTrue)
 	})
 }
--- a/pkg/overload/room_control.go
+++ b/pkg/overload/room_control.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// RoomControl works out which part of a server's room may be planned for. What one request costs is learned,
+// UsableFractionController works out which part of a server's room may be planned for. What one request costs is learned,
 // and learned badly while many calls fail, as after a restart in the middle of an overload; the plan then lets
 // in several times too much and has no way to see that. The control does: it takes room away while requests
 // are turned away at the server's gate, and gives it back slowly. The other way round a service that turns work away
 // or fails it is planned with as full though its slots are free, since requests end before they have made all of
 // their calls: the control then adds room. Its zero value plans for all.
-type RoomControl struct {
+type UsableFractionController struct {
 	taken float64 // part of the room that isn't planned for
 	added float64 // logarithm of how many times the room is planned for, beyond that
 	first time.Time
@@ -20,9 +20,9 @@
 
 // GateLoad is what a gate saw of late.
 type GateLoad struct {
-	TurnedAway float64 // share of the requests that it turned away for want of room
-	Use        float64 // slots in use, and requests that wait, as a share of the slots
-	Binding    bool    // by the plan, this service is what holds requests down
+	RejectedShare float64 // share of the requests that it turned away for want of room
+	Utilization   float64 // slots in use, and requests that wait, as a share of the slots
+	Bottleneck    bool    // by the plan, this service is what holds requests down
 }
 
 // The constants of the control.
@@ -59,13 +59,13 @@
 )
 
 // Observe takes what the gate saw of late.
-func (c *RoomControl) Observe(now time.Time, g GateLoad) {
+func (c *UsableFractionController) Observe(now time.Time, g GateLoad) {
 	step := min(max(now.Sub(c.last), 0), longestStep)
 	if c.last.IsZero() {
 		step = 0
 	}
 	c.last = now
-	if c.first.IsZero() && g.Use > 0 {
+	if c.first.IsZero() && g.Utilization > 0 {
 		c.first = now
 	}
 	if c.first.IsZero() || now.Sub(c.first) < learnTime {
@@ -73,10 +73,10 @@
 	}
 	c.add(step, g)
 	switch {
-	case g.Use < freeUse:
+	case g.Utilization < freeUse:
 		c.taken = max(c.taken-freeGiveRate*step.Seconds(), 0)
-	case g.TurnedAway > turnedFree:
-		left := (1 - c.taken) * math.Exp(-takeRate*g.TurnedAway*step.Seconds())
+	case g.RejectedShare > turnedFree:
+		left := (1 - c.taken) * math.Exp(-takeRate*g.RejectedShare*step.Seconds())
 		c.taken = min(1-left, 1-leastRoom)
 	default:
 		c.taken = max(c.taken-giveRate*step.Seconds(), 0)
@@ -84,15 +84,15 @@
 }
 
 // add plans for more room while the server is taken for full and isn't.
-func (c *RoomControl) add(step time.Duration, g GateLoad) {
+func (c *UsableFractionController) add(step time.Duration, g GateLoad) {
 	switch {
-	case !g.Binding || g.TurnedAway > turnedFree:
+	case !g.Bottleneck || g.RejectedShare > turnedFree:
 		c.added *= math.Exp(-step.Seconds() / dropTime.Seconds())
-	case g.Use < freeUse || g.Use > fullUse:
-		c.added += math.Log(fullUse/max(g.Use, leastUse)) * step.Seconds() / addTime.Seconds()
+	case g.Utilization < freeUse || g.Utilization > fullUse:
+		c.added += math.Log(fullUse/max(g.Utilization, leastUse)) * step.Seconds() / addTime.Seconds()
 		c.added = min(max(c.added, 0), math.Log(mostRoom))
 	}
 }
 
-// Part returns the part of the room that may be planned for; it may be above 1.
-func (c *RoomControl) Part() float64 { return (1 - c.taken) * math.Exp(c.added) }
+// UsableFraction returns the part of the room that may be planned for; it may be above 1.
+func (c *UsableFractionController) UsableFraction() float64 { return (1 - c.taken) * math.Exp(c.added) }
