--- a/pkg/callgraph/calls_of_whole_runs.go
+++ b/pkg/callgraph/calls_of_whole_runs.go
@@ -5,8 +5,8 @@
 	// leastRuns is the count of runs from which those that ended well are believed alone: one that failed
 	// may not have made all of its calls.
 	leastRuns = 5.0
-	// StrayCalls is the count of calls by one run below which they are taken for chance.
-	StrayCalls = 0.02
+	// MinCallsPerRun is the count of calls by one run below which they are taken for chance.
+	MinCallsPerRun = 0.02
 	// tracePart of the calls in a run of the route that makes most of them in all is what a run of another one makes at
 	// least to be believed: less than that can't be told from noise within a day's load. By all runs and not by one, since of
 	// a route that hardly ever runs a few stray calls seem to be many for each run.
@@ -41,15 +41,15 @@
 	}
 }
 
-// Calls returns how many calls of each route one run of the route makes.
-func (l *Learner) Calls(route string) Rates {
+// CallsPerRun returns how many calls of each route one run of the route makes.
+func (l *Learner) CallsPerRun(route string) Rates {
 	s := l.routes[route]
 	if s == nil {
 		return nil
 	}
 	out := Rates{}
 	for c, n := range s.perRun() {
-		if n >= max(StrayCalls, tracePart*l.mainCalls(c)) {
+		if n >= max(MinCallsPerRun, tracePart*l.mainCalls(c)) {
 			out[c] = n
 		}
 	}
--- a/pkg/callgraph/forget_old_evidence_test.go
+++ b/pkg/callgraph/forget_old_evidence_test.go
@@ -14,8 +14,8 @@
 	young.route, young.called, young.calls = "new", "y", 1
 	play(&l, start, 2*second, 1, old)
 	play(&l, start.Add(2*second), 600*second, 2, young)
-	c.Assert(l.Calls("old"), qt.HasLen, 0)
-	c.Assert(near(l.Calls("new")["y"], 1, 0.05), qt.IsTrue)
-	c.Assert(l.Calls("new")["x"], qt.Equals, 0.0)
+	c.Assert(l.CallsPerRun("old"), qt.HasLen, 0)
+	c.Assert(near(l.CallsPerRun("new")["y"], 1, 0.05), qt.IsTrue)
+	c.Assert(l.CallsPerRun("new")["x"], qt.Equals, 0.0)
 	c.Assert(l.routes, qt.HasLen, 1)
 }
--- a/pkg/callgraph/learner.go
+++ b/pkg/callgraph/learner.go
@@ -12,8 +12,8 @@
 // maximization in turn). What counts in the end is the calls of whole runs that ended well, so that neither slow
 // services below nor failed calls change it. Its zero value knows nothing; it isn't safe for concurrent use.
 type Learner struct {
-	// CallsAreOnTime tells that no call is seen late: one that seems to end after a run isn't the run's.
-	CallsAreOnTime bool
+	// NoLateCalls tells that no call is seen late: one that seems to end after a run isn't the run's.
+	NoLateCalls bool
 
 	routes   map[string]*routeStats
 	calls    map[string]*callStats
@@ -25,9 +25,9 @@
 	first    time.Time // look
 }
 
-// Look works out the calls a second of each route's runs from what was seen since the last look and before, and
+// Update works out the calls a second of each route's runs from what was seen since the last look and before, and
 // forgets what is old. It is to be called some times a second.
-func (l *Learner) Look(now time.Time) {
+func (l *Learner) Update(now time.Time) {
 	l.pass(now)
 	l.endStretch(now)
 	inTime := l.timeInProgress()
--- a/pkg/callgraph/learner_test.go
+++ b/pkg/callgraph/learner_test.go
@@ -12,8 +12,8 @@
 	for seed := range uint64(20) {
 		var l Learner
 		play(&l, start, 10*second, seed, pull, list)
-		c.Check(near(l.Calls("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
-		c.Check(l.Calls("pull")["roster"], qt.Equals, 0.0)
+		c.Check(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
+		c.Check(l.CallsPerRun("pull")["roster"], qt.Equals, 0.0)
 	}
 }
 
@@ -25,8 +25,8 @@
 	for seed := range uint64(5) {
 		var l Learner
 		play(&l, start, 6*second, seed, many, busy)
-		c.Check(near(l.Calls("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
-		c.Check(l.Calls("pull")["roster"], qt.Equals, 0.0)
+		c.Check(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
+		c.Check(l.CallsPerRun("pull")["roster"], qt.Equals, 0.0)
 	}
 }
 
@@ -36,8 +36,8 @@
 	for seed := range uint64(20) {
 		var l Learner
 		play(&l, start, 2*second, seed, bill, check)
-		c.Check(near(l.Calls("bill")["list"], 2, 0.3), qt.IsTrue, qt.Commentf("%v", l.Calls("bill")))
-		c.Check(near(l.Calls("check")["list"], 1, 0.2), qt.IsTrue, qt.Commentf("%v", l.Calls("check")))
+		c.Check(near(l.CallsPerRun("bill")["list"], 2, 0.3), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("bill")))
+		c.Check(near(l.CallsPerRun("check")["list"], 1, 0.2), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("check")))
 	}
 }
 
@@ -47,10 +47,10 @@
 	a := kind{route: "a", rate: 30, work: 50 * time.Millisecond, limit: 5 * second, called: "x", calls: 2, each: 50 * time.Millisecond, bound: second}
 	b := kind{route: "b", rate: 40, work: 10 * time.Millisecond, limit: 5 * second, called: "y", calls: 3, each: 40 * time.Millisecond, bound: second}
 	play(&l, start, 20*second, 1, a, b)
-	c.Assert(near(l.Calls("a")["x"], 2, 0.6), qt.IsTrue, qt.Commentf("%v", l.Calls("a")))
-	c.Assert(near(l.Calls("b")["y"], 3, 0.6), qt.IsTrue, qt.Commentf("%v", l.Calls("b")))
-	c.Assert(l.Calls("a")["y"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.Calls("a")))
-	c.Assert(l.Calls("b")["x"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.Calls("b")))
+	c.Assert(near(l.CallsPerRun("a")["x"], 2, 0.6), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("a")))
+	c.Assert(near(l.CallsPerRun("b")["y"], 3, 0.6), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("b")))
+	c.Assert(l.CallsPerRun("a")["y"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("a")))
+	c.Assert(l.CallsPerRun("b")["x"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("b")))
 }
 
 // Where nothing tells two routes apart, together they still make the calls that there are.
@@ -61,8 +61,8 @@
 	b := a
 	b.route, b.rate = "b", 30
 	play(&l, start, 20*second, 1, a, b)
-	got := 10*l.Calls("a")["x"] + 30*l.Calls("b")["x"]
-	c.Assert(near(got, 80, 8), qt.IsTrue, qt.Commentf("%v %v", l.Calls("a"), l.Calls("b")))
+	got := 10*l.CallsPerRun("a")["x"] + 30*l.CallsPerRun("b")["x"]
+	c.Assert(near(got, 80, 8), qt.IsTrue, qt.Commentf("%v %v", l.CallsPerRun("a"), l.CallsPerRun("b")))
 }
 
 // A run ends with its first failed call. Where many fail, as after a restart in the middle of an overload, each
@@ -73,7 +73,7 @@
 	failing := list
 	failing.failed = 0.3
 	play(&l, start, 10*second, 1, failing)
-	c.Assert(near(l.Calls("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
+	c.Assert(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 }
 
 // What was learned in calm isn't pushed out by runs that fail.
@@ -84,8 +84,8 @@
 	failing := list
 	failing.failed = 0.9
 	play(&l, start.Add(10*second), 20*second, 2, failing, pull)
-	c.Assert(l.Calls("list")["roster"] > 3.4, qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
-	c.Assert(l.Calls("pull")["roster"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.Calls("pull")))
+	c.Assert(l.CallsPerRun("list")["roster"] > 3.4, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
+	c.Assert(l.CallsPerRun("pull")["roster"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("pull")))
 }
 
 // Where no run ends well, the failing ones say more than nothing.
@@ -95,7 +95,7 @@
 	failing := list
 	failing.failed = 1
 	play(&l, start, 3*second, 1, failing)
-	c.Assert(near(l.Calls("list")["roster"], 1, 0.1), qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
+	c.Assert(near(l.CallsPerRun("list")["roster"], 1, 0.1), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 }
 
 // In the first moments hardly any run has ended. Going by those alone, each run seemed to make hundreds of
@@ -105,7 +105,7 @@
 	for span := 50 * time.Millisecond; span < second; span += 50 * time.Millisecond {
 		var l Learner
 		playUntil(&l, start, span, span, 1, list, bill)
-		c.Check(l.Calls("list")["roster"] < 4.5, qt.IsTrue, qt.Commentf("%v after %v", l.Calls("list"), span))
+		c.Check(l.CallsPerRun("list")["roster"] < 4.5, qt.IsTrue, qt.Commentf("%v after %v", l.CallsPerRun("list"), span))
 	}
 }
 
@@ -118,8 +118,8 @@
 	slow.each *= 5
 	for i := range 5 {
 		play(&l, start.Add(time.Duration(5+i)*second), second, uint64(i), slow, pull)
-		c.Check(near(l.Calls("list")["roster"], 4, 0.8), qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
-		c.Check(l.Calls("pull")["roster"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.Calls("pull")))
+		c.Check(near(l.CallsPerRun("list")["roster"], 4, 0.8), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
+		c.Check(l.CallsPerRun("pull")["roster"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("pull")))
 	}
 }
 
@@ -134,8 +134,8 @@
 			busy := fixing
 			busy.late = late * time.Millisecond
 			play(&l, start, 5*second, seed, busy, release)
-			c.Check(near(l.Calls("fixing")["index"], 4, 0.4), qt.IsTrue, qt.Commentf("%v ms late: %v", int64(late), l.Calls("fixing")))
-			c.Check(l.Calls("release")["index"] < 0.4, qt.IsTrue, qt.Commentf("%v ms late: %v", int64(late), l.Calls("release")))
+			c.Check(near(l.CallsPerRun("fixing")["index"], 4, 0.4), qt.IsTrue, qt.Commentf("%v ms late: %v", int64(late), l.CallsPerRun("fixing")))
+			c.Check(l.CallsPerRun("release")["index"] < 0.4, qt.IsTrue, qt.Commentf("%v ms late: %v", int64(late), l.CallsPerRun("release")))
 		}
 	}
 }
@@ -147,12 +147,12 @@
 	var l Learner
 	for i := range 50 {
 		now := start.Add(time.Duration(i) * 20 * time.Millisecond)
-		r := l.Begin(now, "read", now.Add(second))
+		r := l.BeginRun(now, "read", now.Add(second))
 		r.add("check", 0.9)
-		l.End(now.Add(10*time.Millisecond), r, true)
+		l.EndRun(now.Add(10*time.Millisecond), r, true)
 	}
-	rare := l.Begin(start, "rare", start.Add(second))
+	rare := l.BeginRun(start, "rare", start.Add(second))
 	rare.add("check", 8)
-	l.End(start.Add(second), rare, true)
-	c.Assert(near(l.Calls("read")["check"], 0.9, 0.01), qt.IsTrue, qt.Commentf("%v", l.Calls("read")))
+	l.EndRun(start.Add(second), rare, true)
+	c.Assert(near(l.CallsPerRun("read")["check"], 0.9, 0.01), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("read")))
 }
--- a/pkg/callgraph/made_up_server_test.go
+++ b/pkg/callgraph/made_up_server_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	for at := time.Duration(0); at < span; at += 100 * time.Millisecond {
-		events = append(events, event{at, func(l *Learner, now time.Time) { l.Look(now) }})
+		events = append(events, event{at, func(l *Learner, now time.Time) { l.Update(now) }})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	for _, e := range events {
@@ -59,7 +59,7 @@
 	around := func(d time.Duration) time.Duration { return time.Duration((0.5 + rnd.Float64()) * float64(d)) }
 	var r *Run
 	begun, limit := at, k.limit-time.Duration(rnd.Float64()*k.vary*float64(k.limit))
-	events = append(events, event{at, func(l *Learner, now time.Time) { r = l.Begin(now, k.route, now.Add(limit)) }})
+	events = append(events, event{at, func(l *Learner, now time.Time) { r = l.BeginRun(now, k.route, now.Add(limit)) }})
 	at += around(k.work)
 	good := true
 	for range k.calls {
@@ -69,7 +69,7 @@
 		}
 		left := (end - at).Truncate(time.Millisecond) // it is told in milliseconds
 		seen := at + time.Duration(rnd.Float64()*float64(k.late))
-		events = append(events, event{seen, func(l *Learner, now time.Time) { l.Call(now, k.called, now.Add(left)) }})
+		events = append(events, event{seen, func(l *Learner, now time.Time) { l.ObserveCall(now, k.called, now.Add(left)) }})
 		if !k.beside {
 			at += around(k.each)
 		}
@@ -80,7 +80,7 @@
 	if k.beside {
 		at += around(k.each)
 	}
-	return append(events, event{at, func(l *Learner, now time.Time) { l.End(now, r, good) }})
+	return append(events, event{at, func(l *Learner, now time.Time) { l.EndRun(now, r, good) }})
 }
 
 var start = time.Unix(1000, 0)
--- a/pkg/callgraph/recalled_calls.go
+++ b/pkg/callgraph/recalled_calls.go
@@ -10,8 +10,8 @@
 	knownRuns = 10
 )
 
-// Recall takes what was known before this node started: the calls of one run of each route.
-func (l *Learner) Recall(known map[string]Rates) {
+// Restore takes what was known before this node started: the calls of one run of each route.
+func (l *Learner) Restore(known map[string]Rates) {
 	if l.recall == nil {
 		l.recall = map[string]Rates{}
 	}
@@ -31,12 +31,12 @@
 	}
 }
 
-// Known returns the calls of one run of each route, as far as they were seen in enough runs.
-func (l *Learner) Known() map[string]Rates {
+// ReliableCalls returns the calls of one run of each route, as far as they were seen in enough runs.
+func (l *Learner) ReliableCalls() map[string]Rates {
 	known := map[string]Rates{}
 	for route, s := range l.routes {
 		if s.good.runs >= knownRuns {
-			known[route] = l.Calls(route)
+			known[route] = l.CallsPerRun(route)
 		}
 	}
 	return known
--- a/pkg/callgraph/request_cost.go
+++ b/pkg/callgraph/request_cost.go
@@ -1,22 +1,22 @@
 package callgraph
 
-// Place says which services a route runs on, by share, and how long a run holds a slot there, in seconds.
-type Place struct {
-	Shares map[string]float64
-	Hold   float64
+// Placement says which services a route runs on, by share, and how long a run holds a slot there, in seconds.
+type Placement struct {
+	Shares      map[string]float64
+	HoldSeconds float64
 }
 
 // Cost is what one request of a route takes, with all calls below it.
 type Cost struct {
-	Slots map[string]float64 // slot seconds by service
-	Runs  map[string]float64 // runs by service
+	SlotSeconds map[string]float64 // slot seconds by service
+	Runs        map[string]float64 // runs by service
 }
 
 // Graph is the calls that one run makes, by the service that it runs on and its route.
 type Graph map[string]map[string]Rates
 
 // Costs returns the cost of one request of every route.
-func Costs(graph Graph, places map[string]Place) map[string]Cost {
+func Costs(graph Graph, places map[string]Placement) map[string]Cost {
 	w := walk{graph: graph, places: places, done: make(map[string]Cost, len(places)), open: map[string]bool{}}
 	for route := range places {
 		w.cost(route)
@@ -28,7 +28,7 @@
 // out there: a few stray calls make such cycles look real.
 type walk struct {
 	graph  Graph
-	places map[string]Place
+	places map[string]Placement
 	done   map[string]Cost
 	open   map[string]bool // on the way down to the present route
 }
@@ -37,17 +37,17 @@
 	if c, ok := w.done[route]; ok {
 		return c
 	}
-	c := Cost{Slots: map[string]float64{}, Runs: map[string]float64{}}
+	c := Cost{SlotSeconds: map[string]float64{}, Runs: map[string]float64{}}
 	p, known := w.places[route]
 	if !known || w.open[route] {
 		return c
 	}
 	w.open[route] = true
 	for service, share := range p.Shares {
-		c.Slots[service] += share * p.Hold
+		c.SlotSeconds[service] += share * p.HoldSeconds
 		c.Runs[service] += share
 		for called, n := range w.graph[service][route] {
-			if n >= StrayCalls {
+			if n >= MinCallsPerRun {
 				c.add(w.cost(called), share*n)
 			}
 		}
@@ -59,8 +59,8 @@
 
 // add puts n times another cost on top.
 func (c Cost) add(o Cost, n float64) {
-	for s, v := range o.Slots {
-		c.Slots[s] += n * v
+	for s, v := range o.SlotSeconds {
+		c.SlotSeconds[s] += n * v
 	}
 	for s, v := range o.Runs {
 		c.Runs[s] += n * v
--- a/pkg/callgraph/runs_in_progress.go
+++ b/pkg/callgraph/runs_in_progress.go
@@ -41,8 +41,8 @@
 	inTime map[*routeStats]float64
 }
 
-// Begin notes that a run begins, with the time limit that the server was given.
-func (l *Learner) Begin(now time.Time, route string, deadline time.Time) *Run {
+// BeginRun notes that a run begins, with the time limit that the server was given.
+func (l *Learner) BeginRun(now time.Time, route string, deadline time.Time) *Run {
 	if l.routes == nil {
 		l.routes = map[string]*routeStats{}
 	}
@@ -59,8 +59,8 @@
 	return r
 }
 
-// End notes that a run has ended; a good one has made all of its calls.
-func (l *Learner) End(now time.Time, r *Run, good bool) {
+// EndRun notes that a run has ended; a good one has made all of its calls.
+func (l *Learner) EndRun(now time.Time, r *Run, good bool) {
 	l.leave(now, r)
 	r.stats.all.add(r.calls)
 	if good {
@@ -68,8 +68,8 @@
 	}
 }
 
-// Drop notes that the server refused what was taken for a run.
-func (l *Learner) Drop(now time.Time, r *Run) {
+// DiscardRun notes that the server refused what was taken for a run.
+func (l *Learner) DiscardRun(now time.Time, r *Run) {
 	l.leave(now, r)
 }
 
--- a/pkg/callgraph/seen_late.go
+++ b/pkg/callgraph/seen_late.go
@@ -52,7 +52,7 @@
 
 // seenLate returns the part of the calls that is seen late.
 func (l *Learner) seenLate() float64 {
-	if l.CallsAreOnTime {
+	if l.NoLateCalls {
 		return 0
 	}
 	return l.lateness.share()
--- a/pkg/callgraph/share_out_call.go
+++ b/pkg/callgraph/share_out_call.go
@@ -44,8 +44,8 @@
 
 func (n likely) sum() float64 { return n.sameEnd + n.other }
 
-// Call notes that the server makes a call, with its time limit.
-func (l *Learner) Call(now time.Time, route string, deadline time.Time) {
+// ObserveCall notes that the server makes a call, with its time limit.
+func (l *Learner) ObserveCall(now time.Time, route string, deadline time.Time) {
 	c := l.calls[route]
 	if c == nil {
 		c = &callStats{by: map[*routeStats]*callerStats{}}
@@ -78,9 +78,9 @@
 	}
 }
 
-// MayHaveMade tells whether a run is in progress that lasts at least until a time limit, so that it can have made a
+// HasPossibleCaller tells whether a run is in progress that lasts at least until a time limit, so that it can have made a
 // call with that limit.
-func (l *Learner) MayHaveMade(deadline time.Time) bool {
+func (l *Learner) HasPossibleCaller(deadline time.Time) bool {
 	for _, s := range l.routes {
 		for _, r := range s.running {
 			if end := r.ends(deadline); end == together || end == later {
--- a/pkg/callgraph/share_out_call_test.go
+++ b/pkg/callgraph/share_out_call_test.go
@@ -10,11 +10,11 @@
 func BenchmarkCallAmongHundredRuns(b *testing.B) {
 	var l Learner
 	for i := range 100 {
-		l.Begin(start.Add(time.Duration(i)*time.Millisecond), string(rune('a'+i%8)), start.Add(second))
+		l.BeginRun(start.Add(time.Duration(i)*time.Millisecond), string(rune('a'+i%8)), start.Add(second))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Call(start.Add(second/2), "x", start.Add(second/2))
+		l.ObserveCall(start.Add(second/2), "x", start.Add(second/2))
 	}
 }
 
@@ -23,9 +23,9 @@
 func TestACallBeforeAnyRunIsAStrayOne(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
-	l.Call(start, "x", start.Add(second))
-	l.Look(start.Add(second))
-	c.Assert(l.Calls("a"), qt.HasLen, 0)
+	l.ObserveCall(start, "x", start.Add(second))
+	l.Update(start.Add(second))
+	c.Assert(l.CallsPerRun("a"), qt.HasLen, 0)
 	play(&l, start.Add(second), 5*second, 1, list)
-	c.Assert(near(l.Calls("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.Calls("list")))
+	c.Assert(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 }
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -7,8 +7,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// Verdict is what the Gate decides about a ticket.
-type Verdict struct {
+// Decision is what the Gate decides about a ticket.
+type Decision struct {
 	Start  bool
 	Queued bool        // Notify tells how it ends
 	Reason wire.Reason // why it was refused
@@ -16,12 +16,12 @@
 
 // Ticket is a request that wants to start.
 type Ticket struct {
-	Inner    bool // a call of a request in progress
-	Priority int  // 0 is the most urgent
-	Deadline time.Time
-	Age      time.Duration // of a call: how long before it the work began that it belongs to, at least
-	Usual    time.Duration // for which requests of its kind hold a slot at any server; 0: not known
-	Notify   func(Verdict) // called once if the ticket was queued
+	Internal    bool // a call of a request in progress
+	Priority    int  // 0 is the most urgent
+	Deadline    time.Time
+	Age         time.Duration  // of a call: how long before it the work began that it belongs to, at least
+	TypicalHold time.Duration  // for which requests of its kind hold a slot at any server; 0: not known
+	Notify      func(Decision) // called once if the ticket was queued
 
 	arrived time.Time
 	order   int64
@@ -29,15 +29,15 @@
 	queued  bool
 }
 
-// Reading is a Gate's state.
-type Reading struct {
-	Limit   float64       `json:"limit"`
-	Running int           `json:"running"`
-	Queued  int           `json:"queued"`
-	Hold    time.Duration `json:"hold_ns"`
-	Pace    float64       `json:"pace"`    // time that requests hold a slot, as a multiple of what their kinds do at any server
-	Success float64       `json:"success"` // share of good answers among those of requests that ran
-	Shed    float64       `json:"shed"`    // share of requests that the server itself refused
+// State is a Gate's state.
+type State struct {
+	Limit        float64       `json:"limit"`
+	Running      int           `json:"running"`
+	Queued       int           `json:"queued"`
+	HoldTime     time.Duration `json:"hold_ns"`
+	Slowdown     float64       `json:"pace"`    // time that requests hold a slot, as a multiple of what their kinds do at any server
+	SuccessShare float64       `json:"success"` // share of good answers among those of requests that ran
+	ShedShare    float64       `json:"shed"`    // share of requests that the server itself refused
 }
 
 // limitShare of the slots are used: servers slow down when they are nearly full.
@@ -45,8 +45,8 @@
 
 // Gate decides for one backend server; it isn't safe for concurrent use.
 type Gate struct {
-	// ByArrival tells that the queue is in the order of arrival, without a lead of calls or of urgent roots.
-	ByArrival bool
+	// FIFO tells that the queue is in the order of arrival, without a lead of calls or of urgent roots.
+	FIFO bool
 
 	slots   int
 	limit   float64
@@ -78,34 +78,34 @@
 	g.queue = nil
 	for _, t := range waiting {
 		t.queued = false
-		t.Notify(Verdict{Reason: wire.ReasonLeaving})
+		t.Notify(Decision{Reason: wire.ReasonLeaving})
 	}
 }
 
-// Arrive decides about a new ticket.
-func (g *Gate) Arrive(now time.Time, t *Ticket) Verdict {
+// Submit decides about a new ticket.
+func (g *Gate) Submit(now time.Time, t *Ticket) Decision {
 	if !g.open {
-		return Verdict{Reason: wire.ReasonLeaving}
+		return Decision{Reason: wire.ReasonLeaving}
 	}
 	left := t.Deadline.Sub(now)
 	if g.tooLate(t, now) {
-		return Verdict{Reason: wire.ReasonDeadline}
+		return Decision{Reason: wire.ReasonDeadline}
 	}
-	t.arrived, t.plain = now, g.ByArrival
+	t.arrived, t.plain = now, g.FIFO
 	g.order++
 	t.order = g.order
 	if len(g.queue) == 0 && g.room() {
 		g.running++
-		return Verdict{Start: true}
+		return Decision{Start: true}
 	}
 	place, _ := slices.BinarySearchFunc(g.queue, t, compare)
 	if g.wait(place) > g.longestWait(t, left) {
-		return Verdict{Reason: wire.ReasonQueue}
+		return Decision{Reason: wire.ReasonQueue}
 	}
 	g.queue = slices.Insert(g.queue, place, t)
 	t.queued = true
 	g.evict(now)
-	return Verdict{Queued: true}
+	return Decision{Queued: true}
 }
 
 func (g *Gate) room() bool { return float64(g.running) < max(g.limit, 1) }
@@ -117,11 +117,11 @@
 		g.queue = g.queue[1:]
 		t.queued = false
 		if g.tooLate(t, now) {
-			t.Notify(Verdict{Reason: wire.ReasonDeadline})
+			t.Notify(Decision{Reason: wire.ReasonDeadline})
 			continue
 		}
 		g.running++
-		t.Notify(Verdict{Start: true})
+		t.Notify(Decision{Start: true})
 	}
 }
 
@@ -136,7 +136,7 @@
 	return true
 }
 
-// Read returns the Gate's state.
-func (g *Gate) Read() Reading {
-	return Reading{Limit: g.limit, Running: g.running, Queued: len(g.queue), Hold: g.hold, Pace: g.pace, Success: g.success, Shed: g.shed}
+// Snapshot returns the Gate's state.
+func (g *Gate) Snapshot() State {
+	return State{Limit: g.limit, Running: g.running, Queued: len(g.queue), HoldTime: g.hold, Slowdown: g.pace, SuccessShare: g.success, ShedShare: g.shed}
 }
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -12,8 +12,8 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-func ticket(inner bool, priority int, left time.Duration, got *[]Verdict) *Ticket {
-	return &Ticket{Inner: inner, Priority: priority, Deadline: begin.Add(left), Notify: func(v Verdict) { *got = append(*got, v) }}
+func ticket(inner bool, priority int, left time.Duration, got *[]Decision) *Ticket {
+	return &Ticket{Internal: inner, Priority: priority, Deadline: begin.Add(left), Notify: func(v Decision) { *got = append(*got, v) }}
 }
 
 // warm returns an open gate whose requests hold a slot for the given time.
@@ -27,7 +27,7 @@
 // fill starts requests until the limit is reached.
 func fill(c *qt.C, g *Gate) {
 	for g.room() {
-		v := g.Arrive(begin, ticket(false, 0, time.Second, new([]Verdict)))
+		v := g.Submit(begin, ticket(false, 0, time.Second, new([]Decision)))
 		c.Assert(v.Start, qt.IsTrue)
 	}
 }
@@ -36,26 +36,26 @@
 	c := qt.New(t)
 	g := warm(10, 20*time.Millisecond)
 	fill(c, g)
-	var got []Verdict
-	c.Assert(g.Arrive(begin, ticket(true, 0, time.Second, &got)).Queued, qt.IsTrue)
+	var got []Decision
+	c.Assert(g.Submit(begin, ticket(true, 0, time.Second, &got)).Queued, qt.IsTrue)
 	g.Close()
-	c.Assert(got, qt.DeepEquals, []Verdict{{Reason: wire.ReasonLeaving}})
-	c.Assert(g.Arrive(begin, ticket(true, 0, time.Second, &got)), qt.Equals, Verdict{Reason: wire.ReasonLeaving})
-	g.Done(begin, time.Millisecond, 0, Answered)
-	c.Assert(g.Read().Queued, qt.Equals, 0)
+	c.Assert(got, qt.DeepEquals, []Decision{{Reason: wire.ReasonLeaving}})
+	c.Assert(g.Submit(begin, ticket(true, 0, time.Second, &got)), qt.Equals, Decision{Reason: wire.ReasonLeaving})
+	g.Finish(begin, time.Millisecond, 0, Answered)
+	c.Assert(g.Snapshot().Queued, qt.Equals, 0)
 }
 
 func TestCallsOfRunningRequestsGoFirst(t *testing.T) {
 	c := qt.New(t)
 	g := warm(10, 20*time.Millisecond)
 	fill(c, g)
-	var low, high, inner []Verdict
-	c.Assert(g.Arrive(begin, ticket(false, 2, time.Second, &low)).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(begin, ticket(false, 0, time.Second, &high)).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(begin, ticket(true, 5, time.Second, &inner)).Queued, qt.IsTrue)
-	g.Done(begin, 20*time.Millisecond, 0, Answered)
+	var low, high, inner []Decision
+	c.Assert(g.Submit(begin, ticket(false, 2, time.Second, &low)).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin, ticket(false, 0, time.Second, &high)).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin, ticket(true, 5, time.Second, &inner)).Queued, qt.IsTrue)
+	g.Finish(begin, 20*time.Millisecond, 0, Answered)
 	c.Assert([]int{len(inner), len(high), len(low)}, qt.DeepEquals, []int{1, 0, 0})
-	g.Done(begin, 20*time.Millisecond, 0, Answered)
+	g.Finish(begin, 20*time.Millisecond, 0, Answered)
 	c.Assert([]int{len(inner), len(high), len(low)}, qt.DeepEquals, []int{1, 1, 0})
 }
 
@@ -63,10 +63,10 @@
 	c := qt.New(t)
 	g := warm(10, 100*time.Millisecond)
 	fill(c, g)
-	var got []Verdict
+	var got []Decision
 	queued, refused := 0, 0
 	for range 100 {
-		if v := g.Arrive(begin, ticket(false, 0, time.Minute, &got)); v.Queued {
+		if v := g.Submit(begin, ticket(false, 0, time.Minute, &got)); v.Queued {
 			queued++
 		} else {
 			c.Assert(v.Reason, qt.Equals, wire.ReasonQueue)
@@ -80,26 +80,26 @@
 func TestWhatCannotEndInTimeIsNotStarted(t *testing.T) {
 	c := qt.New(t)
 	g := warm(10, 100*time.Millisecond)
-	c.Assert(g.Arrive(begin, ticket(true, 0, 40*time.Millisecond, new([]Verdict))).Reason, qt.Equals, wire.ReasonDeadline)
+	c.Assert(g.Submit(begin, ticket(true, 0, 40*time.Millisecond, new([]Decision))).Reason, qt.Equals, wire.ReasonDeadline)
 	fill(c, g)
-	var got []Verdict
-	c.Assert(g.Arrive(begin, ticket(true, 0, 200*time.Millisecond, &got)).Queued, qt.IsTrue)
+	var got []Decision
+	c.Assert(g.Submit(begin, ticket(true, 0, 200*time.Millisecond, &got)).Queued, qt.IsTrue)
 	g.Expire(begin.Add(170 * time.Millisecond))
-	c.Assert(got, qt.DeepEquals, []Verdict{{Reason: wire.ReasonDeadline}})
+	c.Assert(got, qt.DeepEquals, []Decision{{Reason: wire.ReasonDeadline}})
 }
 
 // A server that refuses half of its work whatever its load keeps its limit: cutting it only lost throughput.
 func TestLimitStaysWhenTheServerRefuses(t *testing.T) {
 	c := qt.New(t)
 	g := warm(20, 20*time.Millisecond)
-	before := g.Read().Limit
+	before := g.Snapshot().Limit
 	for range 200 {
-		c.Assert(g.Arrive(begin, ticket(true, 0, time.Second, new([]Verdict))).Start, qt.IsTrue)
-		g.Done(begin, time.Millisecond, 0, Shed)
+		c.Assert(g.Submit(begin, ticket(true, 0, time.Second, new([]Decision))).Start, qt.IsTrue)
+		g.Finish(begin, time.Millisecond, 0, Shed)
 	}
-	c.Assert(g.Read().Limit, qt.Equals, before)
-	c.Assert(g.Read().Shed > 0.9, qt.IsTrue)
-	c.Assert(g.Read().Hold, qt.Equals, 20*time.Millisecond)
+	c.Assert(g.Snapshot().Limit, qt.Equals, before)
+	c.Assert(g.Snapshot().ShedShare > 0.9, qt.IsTrue)
+	c.Assert(g.Snapshot().HoldTime, qt.Equals, 20*time.Millisecond)
 }
 
 // Whatever happens, no more run than the limit, and every queued ticket hears its end once.
@@ -114,14 +114,14 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(r, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(r, "what") {
 			case 0, 1:
-				tk := &Ticket{Inner: i%2 == 0, Priority: i % 3, Deadline: now.Add(150 * time.Millisecond)}
-				tk.Notify = func(v Verdict) {
+				tk := &Ticket{Internal: i%2 == 0, Priority: i % 3, Deadline: now.Add(150 * time.Millisecond)}
+				tk.Notify = func(v Decision) {
 					heard[i]++
 					if v.Start {
 						running++
 					}
 				}
-				switch v := g.Arrive(now, tk); {
+				switch v := g.Submit(now, tk); {
 				case v.Start:
 					running++
 				case v.Queued:
@@ -131,7 +131,7 @@
 			case 2:
 				if running > 0 {
 					running--
-					g.Done(now, 10*time.Millisecond, 0, Outcome(1+i%4))
+					g.Finish(now, 10*time.Millisecond, 0, Outcome(1+i%4))
 				}
 			case 3:
 				g.Expire(now)
@@ -162,14 +162,14 @@
 	c := qt.New(t)
 	g := warm(10, 40*time.Millisecond)
 	fill(c, g)
-	var root, soon, late []Verdict
-	c.Assert(g.Arrive(begin, ticket(false, 0, time.Second, &root)).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(begin.Add(innerLead/2), ticket(true, 0, time.Second, &soon)).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(begin.Add(innerLead+time.Millisecond), ticket(true, 0, time.Second, &late)).Queued, qt.IsTrue)
+	var root, soon, late []Decision
+	c.Assert(g.Submit(begin, ticket(false, 0, time.Second, &root)).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin.Add(innerLead/2), ticket(true, 0, time.Second, &soon)).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin.Add(innerLead+time.Millisecond), ticket(true, 0, time.Second, &late)).Queued, qt.IsTrue)
 	now := begin.Add(innerLead + 2*time.Millisecond)
-	g.Done(now, 20*time.Millisecond, 0, Answered)
+	g.Finish(now, 20*time.Millisecond, 0, Answered)
 	c.Assert([]int{len(soon), len(root), len(late)}, qt.DeepEquals, []int{1, 0, 0})
-	g.Done(now, 20*time.Millisecond, 0, Answered)
+	g.Finish(now, 20*time.Millisecond, 0, Answered)
 	c.Assert([]int{len(soon), len(root), len(late)}, qt.DeepEquals, []int{1, 1, 0})
 }
 
@@ -181,14 +181,14 @@
 	g.Open(10, true)
 	for range 100 {
 		g.running++
-		g.Done(begin, 800*time.Millisecond, 800*time.Millisecond, Answered)
+		g.Finish(begin, 800*time.Millisecond, 800*time.Millisecond, Answered)
 	}
-	short := &Ticket{Inner: true, Deadline: begin.Add(200 * time.Millisecond), Usual: 30 * time.Millisecond}
-	c.Assert(g.Arrive(begin, short).Start, qt.IsTrue)
-	long := &Ticket{Deadline: begin.Add(200 * time.Millisecond), Usual: 800 * time.Millisecond}
-	c.Assert(g.Arrive(begin, long).Reason, qt.Equals, wire.ReasonDeadline)
+	short := &Ticket{Internal: true, Deadline: begin.Add(200 * time.Millisecond), TypicalHold: 30 * time.Millisecond}
+	c.Assert(g.Submit(begin, short).Start, qt.IsTrue)
+	long := &Ticket{Deadline: begin.Add(200 * time.Millisecond), TypicalHold: 800 * time.Millisecond}
+	c.Assert(g.Submit(begin, long).Reason, qt.Equals, wire.ReasonDeadline)
 	unknown := &Ticket{Deadline: begin.Add(200 * time.Millisecond)}
-	c.Assert(g.Arrive(begin, unknown).Reason, qt.Equals, wire.ReasonDeadline, qt.Commentf("by all that ran here"))
+	c.Assert(g.Submit(begin, unknown).Reason, qt.Equals, wire.ReasonDeadline, qt.Commentf("by all that ran here"))
 }
 
 // Where a part of the calls was turned away at random, hardly a request of eight calls ended well: those of requests that
@@ -200,22 +200,22 @@
 	var started []string
 	ticket := func(name string, t *Ticket) *Ticket {
 		t.Deadline = begin.Add(time.Minute)
-		t.Notify = func(v Verdict) {
+		t.Notify = func(v Decision) {
 			if v.Start {
 				started = append(started, name)
 			}
 		}
 		return t
 	}
-	c.Assert(g.Arrive(begin, ticket("running", &Ticket{})).Start, qt.IsTrue)
+	c.Assert(g.Submit(begin, ticket("running", &Ticket{})).Start, qt.IsTrue)
 	later := begin.Add(time.Millisecond)
-	c.Assert(g.Arrive(begin, ticket("first call", &Ticket{Inner: true})).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(later, ticket("root", &Ticket{})).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(later, ticket("fifth call", &Ticket{Inner: true, Age: 150 * time.Millisecond})).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin, ticket("first call", &Ticket{Internal: true})).Queued, qt.IsTrue)
+	c.Assert(g.Submit(later, ticket("root", &Ticket{})).Queued, qt.IsTrue)
+	c.Assert(g.Submit(later, ticket("fifth call", &Ticket{Internal: true, Age: 150 * time.Millisecond})).Queued, qt.IsTrue)
 	muchLater := later.Add(innerLead + mostAgeLead)
-	c.Assert(g.Arrive(muchLater, ticket("last call", &Ticket{Inner: true, Age: time.Hour})).Queued, qt.IsTrue)
+	c.Assert(g.Submit(muchLater, ticket("last call", &Ticket{Internal: true, Age: time.Hour})).Queued, qt.IsTrue)
 	for range 5 {
-		g.Done(muchLater, 0, 0, Left)
+		g.Finish(muchLater, 0, 0, Abandoned)
 	}
 	c.Assert(started, qt.DeepEquals, []string{"fifth call", "first call", "root", "last call"})
 }
--- a/pkg/gate/run_outcome.go
+++ b/pkg/gate/run_outcome.go
@@ -19,10 +19,10 @@
 
 // The outcomes.
 const (
-	Answered Outcome = iota + 1 // with an answer of its work
-	Failed                      // with an error, or without a whole answer
-	Shed                        // the server refused it
-	Left                        // the caller gave up
+	Answered  Outcome = iota + 1 // with an answer of its work
+	Failed                       // with an error, or without a whole answer
+	Shed                         // the server refused it
+	Abandoned                    // the caller gave up
 )
 
 // String names the outcome.
@@ -34,17 +34,17 @@
 		return "failed"
 	case Shed:
 		return "shed"
-	case Left:
+	case Abandoned:
 		return "left"
 	}
 	return "unknown"
 }
 
-// Done notes that a started request has ended after it held its slot; usual is how long requests of its kind hold one
+// Finish notes that a started request has ended after it held its slot; usual is how long requests of its kind hold one
 // at any server of the service, or 0.
-func (g *Gate) Done(now time.Time, held, usual time.Duration, o Outcome) {
+func (g *Gate) Finish(now time.Time, held, usual time.Duration, o Outcome) {
 	g.running--
-	if o != Left {
+	if o != Abandoned {
 		g.shed -= successGain * g.shed
 	}
 	switch o {
@@ -56,7 +56,7 @@
 	case Shed:
 		g.shed += successGain
 		// The limit stays: a server that is never filled by us refuses for a fault of its own, whatever its load.
-	case Left:
+	case Abandoned:
 	}
 	g.drain(now)
 }
--- a/pkg/gate/ticket_order.go
+++ b/pkg/gate/ticket_order.go
@@ -28,7 +28,7 @@
 	switch {
 	case t.plain:
 		return t.arrived
-	case t.Inner:
+	case t.Internal:
 		return t.arrived.Add(-innerLead - min(t.Age, mostAgeLead))
 	}
 	return t.arrived.Add(time.Duration(t.Priority) * priorityLag)
--- a/pkg/gate/ticket_wait.go
+++ b/pkg/gate/ticket_wait.go
@@ -26,10 +26,10 @@
 // holds is how long the ticket's request is taken to hold a slot: by its kind, since one server may run kinds of which
 // one takes many times as long as another.
 func (g *Gate) holds(t *Ticket) time.Duration {
-	if t.Usual == 0 {
+	if t.TypicalHold == 0 {
 		return g.hold
 	}
-	return time.Duration(float64(t.Usual) * g.pace)
+	return time.Duration(float64(t.TypicalHold) * g.pace)
 }
 
 // tooLate tells whether the ticket's request has no chance to end in time.
@@ -39,7 +39,7 @@
 // that it couldn't end in time.
 func (g *Gate) longestWait(t *Ticket, left time.Duration) time.Duration {
 	least, holds := rootWaitLeast, rootWaitHolds
-	if t.Inner {
+	if t.Internal {
 		least, holds = innerWaitLeast, innerWaitHolds
 	}
 	return min(left-g.holds(t), max(least, time.Duration(holds*float64(g.hold))))
@@ -55,7 +55,7 @@
 		}
 		g.queue = g.queue[:n-1]
 		last.queued = false
-		last.Notify(Verdict{Reason: wire.ReasonQueue})
+		last.Notify(Decision{Reason: wire.ReasonQueue})
 	}
 }
 
@@ -73,6 +73,6 @@
 	g.queue = kept
 	for _, t := range late {
 		t.queued = false
-		t.Notify(Verdict{Reason: wire.ReasonDeadline})
+		t.Notify(Decision{Reason: wire.ReasonDeadline})
 	}
 }
--- a/pkg/loads/called_routes.go
+++ b/pkg/loads/called_routes.go
@@ -32,8 +32,8 @@
 // Origins are the requests a second of each route that begin at each origin.
 type Origins map[string]map[Origin]Entry
 
-// Add counts one report of a zone.
-func (o Origins) Add(zone string, r *Report) {
+// AddReport counts one report of a zone.
+func (o Origins) AddReport(zone string, r *Report) {
 	at := Origin{zone, r.Service}
 	for kind, e := range r.Entries {
 		route, _ := SplitKind(kind)
@@ -44,23 +44,23 @@
 	}
 }
 
-// Called returns the routes that only backend servers call, given those that were taken for such before. A call comes
+// InternalRoutes returns the routes that only backend servers call, given those that were taken for such before. A call comes
 // while a run is in progress that lasts as long, and beside the servers that make it; what clients send comes at any
 // time, and to the servers of a zone as all their requests do.
-func (o Origins) Called(before func(route string) bool) map[string]bool {
+func (o Origins) InternalRoutes(before func(route string) bool) map[string]bool {
 	clients := o.ofClients()
 	out := make(map[string]bool, len(o))
 	for route, at := range o {
 		sum := sumOf(at)
-		switch alone := sum.Alone / max(sum.All(), innerRate); {
-		case sum.All() < innerRate:
+		switch alone := sum.WithoutCaller / max(sum.Total(), innerRate); {
+		case sum.Total() < innerRate:
 			out[route] = before(route)
 		case alone >= clientShare:
 			out[route] = false
 		case alone > callAlone:
 			out[route] = before(route)
 		default:
-			out[route] = clients.calledAt(at) || (before(route) && sum.All() < sureRate)
+			out[route] = clients.calledAt(at) || (before(route) && sum.Total() < sureRate)
 		}
 	}
 	return out
@@ -74,7 +74,7 @@
 
 // ofClients returns where requests begin that certainly come from clients, or if there are none, where all do.
 func (o Origins) ofClients() spread {
-	s := o.spreadOf(func(e Entry) bool { return e.Alone >= clientShare*e.All() })
+	s := o.spreadOf(func(e Entry) bool { return e.WithoutCaller >= clientShare*e.Total() })
 	if len(s.at) == 0 {
 		s = o.spreadOf(func(Entry) bool { return true })
 	}
@@ -85,12 +85,12 @@
 func (o Origins) spreadOf(counts func(Entry) bool) spread {
 	s := spread{at: map[Origin]float64{}, zones: map[string]float64{}}
 	for _, at := range o {
-		if sum := sumOf(at); sum.All() < innerRate || !counts(sum) {
+		if sum := sumOf(at); sum.Total() < innerRate || !counts(sum) {
 			continue
 		}
 		for k, e := range at {
-			s.at[k] += e.All()
-			s.zones[k.Zone] += e.All()
+			s.at[k] += e.Total()
+			s.zones[k.Zone] += e.Total()
 		}
 	}
 	return s
@@ -101,16 +101,16 @@
 func (s spread) calledAt(at map[Origin]Entry) bool {
 	inZone := map[string]float64{}
 	for k, e := range at {
-		inZone[k.Zone] += e.All()
+		inZone[k.Zone] += e.Total()
 	}
 	expected, is := map[string]float64{}, map[string]float64{}
 	unlike, sum := 0.0, 0.0
 	for k, rate := range s.at {
 		clients := inZone[k.Zone] * rate / s.zones[k.Zone]
 		sum += clients
-		unlike += math.Abs(clients-at[k].All()) / 2
+		unlike += math.Abs(clients-at[k].Total()) / 2
 		expected[k.Service] += clients
-		is[k.Service] += at[k].All()
+		is[k.Service] += at[k].Total()
 	}
 	if missing(expected, is) >= missingRate {
 		return true
--- a/pkg/loads/called_routes_test.go
+++ b/pkg/loads/called_routes_test.go
@@ -40,9 +40,9 @@
 // add puts requests of a route beside a server, as many as counting over a short time gives.
 func (s *madeUpSite) add(route string, at Origin, rate, alone float64) {
 	noisy := max(rate+s.rnd.NormFloat64()*math.Sqrt(rate/rateSpan), 0)
-	s.routes.Add(at.Zone, &Report{
+	s.routes.AddReport(at.Zone, &Report{
 		Service: at.Service,
-		Entries: map[string]Entry{route: {Fresh: noisy, Alone: noisy * alone}},
+		Entries: map[string]Entry{route: {Fresh: noisy, WithoutCaller: noisy * alone}},
 	})
 }
 
@@ -67,7 +67,7 @@
 func never(string) bool { return false }
 
 func (s *madeUpSite) check(c *qt.C, want map[string]bool) {
-	c.Check(s.routes.Called(never), qt.DeepEquals, want, qt.Commentf("%v", s.routes))
+	c.Check(s.routes.InternalRoutes(never), qt.DeepEquals, want, qt.Commentf("%v", s.routes))
 }
 
 // A callee of two services was taken for a client's request: the calls below it weren't counted, its root requests
@@ -132,8 +132,8 @@
 	s := newMadeUpSite(1, 1, 2, 2)
 	s.clients("root", 20, 0.9)
 	s.add("called", Origin{"zone0", service(0)}, 0.5, 0)
-	c.Check(s.routes.Called(func(route string) bool { return route == "called" })["called"], qt.IsTrue)
-	c.Check(s.routes.Called(never)["called"], qt.IsFalse)
+	c.Check(s.routes.InternalRoutes(func(route string) bool { return route == "called" })["called"], qt.IsTrue)
+	c.Check(s.routes.InternalRoutes(never)["called"], qt.IsFalse)
 }
 
 // When hardly anything is asked for, as just before and after a loss of all nodes, calls begin at no clearly other servers than
@@ -144,6 +144,6 @@
 	site.clients("root", 0.5, 0.5)
 	site.calls("called", 0.6, 0)
 	known := func(route string) bool { return route == "called" }
-	c.Assert(site.routes.Called(known), qt.DeepEquals, map[string]bool{"root": false, "called": true})
-	c.Assert(site.routes.Called(func(string) bool { return false }), qt.DeepEquals, map[string]bool{"root": false, "called": false})
+	c.Assert(site.routes.InternalRoutes(known), qt.DeepEquals, map[string]bool{"root": false, "called": true})
+	c.Assert(site.routes.InternalRoutes(func(string) bool { return false }), qt.DeepEquals, map[string]bool{"root": false, "called": false})
 }
--- a/pkg/loads/graph_of_calls.go
+++ b/pkg/loads/graph_of_calls.go
@@ -5,8 +5,8 @@
 // runKey names the runs of one route at the servers of one service.
 type runKey struct{ service, route string }
 
-// Graph returns the calls that one run makes, averaged over the servers of its service by their runs.
-func Graph(reports []*Report) callgraph.Graph {
+// CallGraph returns the calls that one run makes, averaged over the servers of its service by their runs.
+func CallGraph(reports []*Report) callgraph.Graph {
 	g := callgraph.Graph{}
 	rates := runRates(reports)
 	for _, r := range reports {
@@ -17,7 +17,7 @@
 			if g[r.Service][route] == nil {
 				g[r.Service][route] = callgraph.Rates{}
 			}
-			for called, k := range run.Calls {
+			for called, k := range run.CallsPerRun {
 				g[r.Service][route][called] += k * run.Rate / rates[runKey{r.Service, route}]
 			}
 		}
--- a/pkg/loads/kept_demand.go
+++ b/pkg/loads/kept_demand.go
@@ -15,16 +15,16 @@
 	countedSpan = 600 * time.Millisecond
 )
 
-// KeptDemand is how many first attempts a second of each kind were asked for before this process started, for the second
+// RetainedDemand is how many first attempts a second of each kind were asked for before this process started, for the second
 // in which nobody can have counted them: after a loss of all nodes in an overload that lasts, all was taken in for
 // 0.9 s, which the smallest service needed 3 s to work off. Its zero value knows of none.
-type KeptDemand struct {
+type RetainedDemand struct {
 	asked map[string]float64
 	first time.Time // when requests were first reported
 }
 
-// Recall takes the demand of some kinds; of one that several services tell of the most counts.
-func (k *KeptDemand) Recall(asked map[string]float64) {
+// Restore takes the demand of some kinds; of one that several services tell of the most counts.
+func (k *RetainedDemand) Restore(asked map[string]float64) {
 	if k.asked == nil {
 		k.asked = make(map[string]float64, len(asked))
 	}
@@ -33,15 +33,15 @@
 	}
 }
 
-// Reported notes that requests are reported now.
-func (k *KeptDemand) Reported(now time.Time) {
+// MarkReported notes that requests are reported now.
+func (k *RetainedDemand) MarkReported(now time.Time) {
 	if k.first.IsZero() {
 		k.first = now
 	}
 }
 
-// Missing returns the demand by kind that can't have been counted yet.
-func (k *KeptDemand) Missing(now time.Time) map[string]float64 {
+// Uncounted returns the demand by kind that can't have been counted yet.
+func (k *RetainedDemand) Uncounted(now time.Time) map[string]float64 {
 	part := k.part(now)
 	if part <= 0 {
 		k.asked = nil
@@ -55,7 +55,7 @@
 }
 
 // part returns the part of the demand that can't have been counted yet.
-func (k *KeptDemand) part(now time.Time) float64 {
+func (k *RetainedDemand) part(now time.Time) float64 {
 	if k.first.IsZero() {
 		return 1
 	}
--- a/pkg/loads/kept_runs.go
+++ b/pkg/loads/kept_runs.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// KeptTime is how long the runs of a route count after one was last told of: a service that can't be reached any more is
+// RetentionTime is how long the runs of a route count after one was last told of: a service that can't be reached any more is
 // still needed, so what calls it is refused at its entry. Longer than cuts last, short enough for a route that moved.
-const KeptTime = time.Minute
+const RetentionTime = time.Minute
 
-// KeptRuns remembers what was told of the runs of each route at each service, for when nobody tells of them: a zone was
+// RetainedRuns remembers what was told of the runs of each route at each service, for when nobody tells of them: a zone was
 // cut off, or all nodes were lost and nothing has run yet. Its zero value remembers nothing.
-type KeptRuns struct {
+type RetainedRuns struct {
 	runs  map[runKey]keptRun
 	noted time.Time
 }
@@ -22,27 +22,27 @@
 
 // keptRun is the sum over a service's servers, as it was last seen.
 type keptRun struct {
-	Run
+	RunStats
 	seen time.Time
 }
 
-// Note takes what reports tell now, and forgets what was last told of too long ago.
-func (k *KeptRuns) Note(now time.Time, reports []*Report) {
+// Update takes what reports tell now, and forgets what was last told of too long ago.
+func (k *RetainedRuns) Update(now time.Time, reports []*Report) {
 	if d := now.Sub(k.noted); d >= 0 && d < noteEvery {
 		return
 	}
 	k.noted = now
-	for _, s := range AddUp(reports) {
+	for _, s := range SumByService(reports) {
 		for route, run := range s.Load.Runs {
 			k.keep(runKey{s.Load.Service, route}, keptRun{run, now})
 		}
 	}
-	maps.DeleteFunc(k.runs, func(_ runKey, r keptRun) bool { return now.Sub(r.seen) > KeptTime })
+	maps.DeleteFunc(k.runs, func(_ runKey, r keptRun) bool { return now.Sub(r.seen) > RetentionTime })
 }
 
-// Recall takes the runs of a service that were known before this process started, where nothing newer is remembered,
+// Restore takes the runs of a service that were known before this process started, where nothing newer is remembered,
 // and returns how many were taken.
-func (k *KeptRuns) Recall(now time.Time, service string, runs map[string]Run) int {
+func (k *RetainedRuns) Restore(now time.Time, service string, runs map[string]RunStats) int {
 	taken := 0
 	for route, run := range runs {
 		key := runKey{service, route}
@@ -54,15 +54,15 @@
 	return taken
 }
 
-func (k *KeptRuns) keep(key runKey, r keptRun) {
+func (k *RetainedRuns) keep(key runKey, r keptRun) {
 	if k.runs == nil {
 		k.runs = map[runKey]keptRun{}
 	}
 	k.runs[key] = r
 }
 
-// Complete returns the reports, with more of them for the routes that none tells of.
-func (k *KeptRuns) Complete(reports []*Report) []*Report {
+// WithRetained returns the reports, with more of them for the routes that none tells of.
+func (k *RetainedRuns) WithRetained(reports []*Report) []*Report {
 	told := map[string]bool{}
 	for _, r := range reports {
 		for route := range r.Runs {
@@ -75,9 +75,9 @@
 			continue
 		}
 		if missing[key.service] == nil {
-			missing[key.service] = &Report{Service: key.service, Runs: map[string]Run{}}
+			missing[key.service] = &Report{Service: key.service, Runs: map[string]RunStats{}}
 		}
-		missing[key.service].Runs[key.route] = kept.Run
+		missing[key.service].Runs[key.route] = kept.RunStats
 	}
 	for _, r := range missing {
 		reports = append(reports, r)
@@ -86,16 +86,16 @@
 }
 
 // Empty tells whether nothing is remembered.
-func (k *KeptRuns) Empty() bool { return len(k.runs) == 0 }
+func (k *RetainedRuns) Empty() bool { return len(k.runs) == 0 }
 
-// Services returns what is remembered, by service.
-func (k *KeptRuns) Services() map[string]map[string]Run {
-	all := map[string]map[string]Run{}
+// ByService returns what is remembered, by service.
+func (k *RetainedRuns) ByService() map[string]map[string]RunStats {
+	all := map[string]map[string]RunStats{}
 	for key, kept := range k.runs {
 		if all[key.service] == nil {
-			all[key.service] = map[string]Run{}
+			all[key.service] = map[string]RunStats{}
 		}
-		all[key.service][key.route] = kept.Run
+		all[key.service][key.route] = kept.RunStats
 	}
 	return all
 }
--- a/pkg/loads/kind_of_request.go
+++ b/pkg/loads/kind_of_request.go
@@ -31,5 +31,5 @@
 	return route, p
 }
 
-// ShowKind returns the name of a kind for logs and metrics.
-func ShowKind(kind string) string { return strings.Replace(kind, kindSeparator, " team-priority ", 1) }
+// KindLabel returns the name of a kind for logs and metrics.
+func KindLabel(kind string) string { return strings.Replace(kind, kindSeparator, " team-priority ", 1) }
--- a/pkg/loads/kind_of_request_test.go
+++ b/pkg/loads/kind_of_request_test.go
@@ -19,5 +19,5 @@
 	route, priority := SplitKind("r" + kindSeparator + "x")
 	c.Check(route, qt.Equals, "r"+kindSeparator+"x")
 	c.Check(priority, qt.Equals, 0)
-	c.Check(ShowKind(Kind("r", 2)), qt.Equals, "r team-priority 2")
+	c.Check(KindLabel(Kind("r", 2)), qt.Equals, "r team-priority 2")
 }
--- a/pkg/loads/learned.go
+++ b/pkg/loads/learned.go
@@ -7,28 +7,28 @@
 // too much.
 type Learned struct {
 	Service string `json:"service"`
-	// Calls are how many calls of each route one run of each route makes.
-	Calls map[string]callgraph.Rates `json:"calls"`
+	// CallsPerRun are how many calls of each route one run of each route makes.
+	CallsPerRun map[string]callgraph.Rates `json:"calls"`
 	// Times are how often each route runs at all servers of the service, and for how long.
-	Times map[string]RunTimes `json:"times,omitempty"`
-	// Inner are those of the routes that only backend servers call. Until that is known, calls can't be counted, and runs
+	Times map[string]RunTiming `json:"times,omitempty"`
+	// InternalRoutes are those of the routes that only backend servers call. Until that is known, calls can't be counted, and runs
 	// seem to make none.
-	Inner []string `json:"inner,omitempty"`
-	// Asked are how many first attempts a second clients make in all of each of the routes.
-	Asked map[string]float64 `json:"asked,omitempty"`
+	InternalRoutes []string `json:"inner,omitempty"`
+	// Demand are how many first attempts a second clients make in all of each of the routes.
+	Demand map[string]float64 `json:"asked,omitempty"`
 }
 
-// RunTimes are how often a route runs a second, and for how long one run holds a slot, in seconds.
-type RunTimes struct {
-	Rate float64 `json:"rate"`
-	Hold float64 `json:"hold"`
+// RunTiming are how often a route runs a second, and for how long one run holds a slot, in seconds.
+type RunTiming struct {
+	Rate        float64 `json:"rate"`
+	HoldSeconds float64 `json:"hold"`
 }
 
 // Runs returns the runs of each route of which all is known.
-func (l *Learned) Runs() map[string]Run {
-	runs := make(map[string]Run, len(l.Times))
+func (l *Learned) Runs() map[string]RunStats {
+	runs := make(map[string]RunStats, len(l.Times))
 	for route, t := range l.Times {
-		runs[route] = Run{Rate: t.Rate, Hold: t.Hold, Calls: l.Calls[route]}
+		runs[route] = RunStats{Rate: t.Rate, HoldSeconds: t.HoldSeconds, CallsPerRun: l.CallsPerRun[route]}
 	}
 	return runs
 }
--- a/pkg/loads/learned_costs_test.go
+++ b/pkg/loads/learned_costs_test.go
@@ -69,7 +69,7 @@
 // stray the runs that a root may seem to cause where it has none, as a share of what others cause there.
 func (g madeUpGraph) checkRoots(c *qt.C, seed uint64, span time.Duration, most, stray float64) {
 	reports := g.play(seed, span)
-	costs := callgraph.Costs(Graph(reports), Places(reports))
+	costs := callgraph.Costs(CallGraph(reports), Placements(reports))
 	for route, r := range g.routes {
 		if r.rate == 0 {
 			continue
--- a/pkg/loads/made_up_graph_test.go
+++ b/pkg/loads/made_up_graph_test.go
@@ -31,7 +31,7 @@
 type madeUpNode struct {
 	learner callgraph.Learner
 	entries map[string]Entry
-	runs    map[string]Run // Rate counts, Hold adds up
+	runs    map[string]RunStats // Rate counts, Hold adds up
 }
 
 // player plays a graph in made-up time, on one node for each service.
@@ -61,7 +61,7 @@
 func (g madeUpGraph) play(seed uint64, span time.Duration) []*Report {
 	p := &player{graph: g, rnd: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*madeUpNode{}}
 	for _, s := range g.services {
-		p.nodes[s] = &madeUpNode{entries: map[string]Entry{}, runs: map[string]Run{}}
+		p.nodes[s] = &madeUpNode{entries: map[string]Entry{}, runs: map[string]RunStats{}}
 	}
 	for _, name := range sortedRoutes(g.routes) {
 		r := g.routes[name]
@@ -104,12 +104,12 @@
 	p.add(at+late, func(now time.Time) {
 		e := n.entries[route]
 		e.Fresh++
-		if !n.learner.MayHaveMade(now.Add(left)) {
-			e.Alone++
+		if !n.learner.HasPossibleCaller(now.Add(left)) {
+			e.WithoutCaller++
 		}
 		n.entries[route] = e
 		if p.inner[route] {
-			n.learner.Call(now, route, now.Add(left))
+			n.learner.ObserveCall(now, route, now.Add(left))
 		}
 	})
 	if beside != "" && p.rnd.Float64() < p.graph.shed {
@@ -122,7 +122,7 @@
 func (p *player) run(route, service string, at, left time.Duration) (end time.Duration, good bool) {
 	r, n := p.graph.routes[route], p.nodes[service]
 	var run *callgraph.Run
-	p.add(at, func(now time.Time) { run = n.learner.Begin(now, route, now.Add(left)) })
+	p.add(at, func(now time.Time) { run = n.learner.BeginRun(now, route, now.Add(left)) })
 	end, good = at+p.around(r.work), true
 	for _, called := range sortedCalls(r.calls) {
 		for range r.calls[called] {
@@ -136,10 +136,10 @@
 	good = good && end < at+left && p.rnd.Float64() >= p.graph.failed
 	end = min(end, at+left)
 	p.add(end, func(now time.Time) {
-		n.learner.End(now, run, good)
+		n.learner.EndRun(now, run, good)
 		x := n.runs[route]
 		x.Rate++
-		x.Hold += (end - at).Seconds()
+		x.HoldSeconds += (end - at).Seconds()
 		n.runs[route] = x
 	})
 	return end, good
@@ -160,7 +160,7 @@
 
 func (p *player) look(now time.Time) {
 	for _, n := range p.nodes {
-		n.learner.Look(now)
+		n.learner.Update(now)
 	}
 }
 
@@ -168,9 +168,9 @@
 func (p *player) judge(time.Time) {
 	all := Origins{}
 	for _, r := range p.reports(judgedAt) {
-		all.Add("z", r)
+		all.AddReport("z", r)
 	}
-	p.inner = all.Called(func(string) bool { return false })
+	p.inner = all.InternalRoutes(func(string) bool { return false })
 }
 
 // reports returns what the nodes tell after a time.
@@ -178,12 +178,12 @@
 	var all []*Report
 	for _, s := range p.graph.services {
 		n := p.nodes[s]
-		r := &Report{Host: s, Service: s, Entries: map[string]Entry{}, Runs: map[string]Run{}}
+		r := &Report{Host: s, Service: s, Entries: map[string]Entry{}, Runs: map[string]RunStats{}}
 		for route, e := range n.entries {
-			r.Entries[route] = Entry{Fresh: e.Fresh / span.Seconds(), Alone: e.Alone / span.Seconds()}
+			r.Entries[route] = Entry{Fresh: e.Fresh / span.Seconds(), WithoutCaller: e.WithoutCaller / span.Seconds()}
 		}
 		for route, x := range n.runs {
-			r.Runs[route] = Run{Rate: x.Rate / span.Seconds(), Hold: x.Hold / x.Rate, Calls: n.learner.Calls(route)}
+			r.Runs[route] = RunStats{Rate: x.Rate / span.Seconds(), HoldSeconds: x.HoldSeconds / x.Rate, CallsPerRun: n.learner.CallsPerRun(route)}
 		}
 		all = append(all, r)
 	}
--- a/pkg/loads/places_of_routes.go
+++ b/pkg/loads/places_of_routes.go
@@ -12,8 +12,8 @@
 	services   map[string]float64 // runs a second
 }
 
-// Places says where each route runs and for how long, by the reports.
-func Places(reports []*Report) map[string]callgraph.Place {
+// Placements says where each route runs and for how long, by the reports.
+func Placements(reports []*Report) map[string]callgraph.Placement {
 	all := map[string]*routeRuns{}
 	for _, r := range reports {
 		for route, x := range r.Runs {
@@ -23,11 +23,11 @@
 				all[route] = s
 			}
 			s.rate += x.Rate
-			s.held += x.Rate * x.Hold
+			s.held += x.Rate * x.HoldSeconds
 			s.services[r.Service] += x.Rate
 		}
 	}
-	places := make(map[string]callgraph.Place, len(all))
+	places := make(map[string]callgraph.Placement, len(all))
 	for route, s := range all {
 		places[route] = s.place()
 	}
@@ -35,19 +35,19 @@
 }
 
 // place returns the shares of the services and the average hold.
-func (s *routeRuns) place() callgraph.Place {
-	p := callgraph.Place{Shares: map[string]float64{}, Hold: s.held / s.rate}
+func (s *routeRuns) place() callgraph.Placement {
+	p := callgraph.Placement{Shares: map[string]float64{}, HoldSeconds: s.held / s.rate}
 	for service, rate := range s.services {
 		p.Shares[service] = rate / s.rate
 	}
 	return p
 }
 
-// Holds returns how long one run of each route holds a slot.
-func Holds(places map[string]callgraph.Place) map[string]time.Duration {
+// HoldTimes returns how long one run of each route holds a slot.
+func HoldTimes(places map[string]callgraph.Placement) map[string]time.Duration {
 	holds := make(map[string]time.Duration, len(places))
 	for route, p := range places {
-		holds[route] = time.Duration(p.Hold * float64(time.Second))
+		holds[route] = time.Duration(p.HoldSeconds * float64(time.Second))
 	}
 	return holds
 }
--- a/pkg/loads/report.go
+++ b/pkg/loads/report.go
@@ -10,41 +10,41 @@
 	Epoch   int64  `json:"e"` // life of the process
 	Seq     int64  `json:"q"` // grows within one life
 	Service string `json:"s"`
-	// Room is the slots that the gate fills, less those by which more comes than it lets through.
-	Room float64 `json:"l"`
+	// UsableSlots is the slots that the gate fills, less those by which more comes than it lets through.
+	UsableSlots float64 `json:"l"`
 	// Entries are the requests that begin beside the server, by Kind.
-	Entries map[string]Entry `json:"n,omitempty"`
-	Runs    map[string]Run   `json:"r,omitempty"` // started at the server, by route
-	Away    bool             `json:"w,omitempty"` // the server has ended, and has no room until it is heard again
-	Leaving bool             `json:"x,omitempty"` // the node stops; told by all, since it may end before most have heard it
+	Entries      map[string]Entry    `json:"n,omitempty"`
+	Runs         map[string]RunStats `json:"r,omitempty"` // started at the server, by route
+	NotListening bool                `json:"w,omitempty"` // the server has ended, and has no room until it is heard again
+	Leaving      bool                `json:"x,omitempty"` // the node stops; told by all, since it may end before most have heard it
 }
 
 // Entry is how often requests of a route begin beside one server.
 type Entry struct {
 	Fresh     float64 `json:"f,omitempty"`
 	Returning float64 `json:"b,omitempty"`
-	// Alone counts those that came while no run was in progress that can have made them.
-	Alone float64 `json:"a,omitempty"`
+	// WithoutCaller counts those that came while no run was in progress that can have made them.
+	WithoutCaller float64 `json:"a,omitempty"`
 }
 
-// All returns all requests.
-func (e Entry) All() float64 { return e.Fresh + e.Returning }
+// Total returns all requests.
+func (e Entry) Total() float64 { return e.Fresh + e.Returning }
 
 // with returns the sums of both.
 func (e Entry) with(o Entry) Entry {
-	return Entry{Fresh: e.Fresh + o.Fresh, Returning: e.Returning + o.Returning, Alone: e.Alone + o.Alone}
+	return Entry{Fresh: e.Fresh + o.Fresh, Returning: e.Returning + o.Returning, WithoutCaller: e.WithoutCaller + o.WithoutCaller}
 }
 
-// Run is how often a route runs at a server, for how long it holds a slot, in seconds, and how many
+// RunStats is how often a route runs at a server, for how long it holds a slot, in seconds, and how many
 // calls of each route one run makes.
-type Run struct {
-	Rate  float64         `json:"r"`
-	Hold  float64         `json:"h"`
-	Calls callgraph.Rates `json:"c,omitempty"`
+type RunStats struct {
+	Rate        float64         `json:"r"`
+	HoldSeconds float64         `json:"h"`
+	CallsPerRun callgraph.Rates `json:"c,omitempty"`
 }
 
-// Newer tells whether r replaces old.
-func (r *Report) Newer(old *Report) bool {
+// Supersedes tells whether r replaces old.
+func (r *Report) Supersedes(old *Report) bool {
 	if old == nil || r.Epoch != old.Epoch {
 		return old == nil || r.Epoch > old.Epoch
 	}
--- a/pkg/loads/service_sum.go
+++ b/pkg/loads/service_sum.go
@@ -10,13 +10,13 @@
 	Load  Report `json:"l"` // without host, epoch and sequence
 }
 
-// AddUp returns the sums of reports by service.
-func AddUp(reports []*Report) []ServiceSum {
+// SumByService returns the sums of reports by service.
+func SumByService(reports []*Report) []ServiceSum {
 	by := map[string]*ServiceSum{}
 	for _, r := range reports {
 		s := by[r.Service]
 		if s == nil {
-			s = &ServiceSum{Load: Report{Service: r.Service, Entries: map[string]Entry{}, Runs: map[string]Run{}}}
+			s = &ServiceSum{Load: Report{Service: r.Service, Entries: map[string]Entry{}, Runs: map[string]RunStats{}}}
 			by[r.Service] = s
 		}
 		s.add(r)
@@ -31,7 +31,7 @@
 // add puts one node's report on top.
 func (s *ServiceSum) add(r *Report) {
 	s.Nodes++
-	s.Load.Room += r.Room
+	s.Load.UsableSlots += r.UsableSlots
 	for route, e := range r.Entries {
 		s.Load.Entries[route] = s.Load.Entries[route].with(e)
 	}
@@ -41,15 +41,15 @@
 }
 
 // with returns the runs of both, with times and calls averaged by how often each runs.
-func (r Run) with(o Run) Run {
-	sum := Run{Rate: r.Rate + o.Rate, Calls: callgraph.Rates{}}
+func (r RunStats) with(o RunStats) RunStats {
+	sum := RunStats{Rate: r.Rate + o.Rate, CallsPerRun: callgraph.Rates{}}
 	if sum.Rate <= 0 {
 		return sum
 	}
-	sum.Hold = (r.Rate*r.Hold + o.Rate*o.Hold) / sum.Rate
-	for _, part := range []Run{r, o} {
-		for called, k := range part.Calls {
-			sum.Calls[called] += k * part.Rate / sum.Rate
+	sum.HoldSeconds = (r.Rate*r.HoldSeconds + o.Rate*o.HoldSeconds) / sum.Rate
+	for _, part := range []RunStats{r, o} {
+		for called, k := range part.CallsPerRun {
+			sum.CallsPerRun[called] += k * part.Rate / sum.Rate
 		}
 	}
 	return sum
--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -37,7 +37,7 @@
 func shownShares(shares map[string]overload.Share) map[string]overload.Share {
 	shown := make(map[string]overload.Share, len(shares))
 	for kind, s := range shares {
-		shown[loads.ShowKind(kind)] = s
+		shown[loads.KindLabel(kind)] = s
 	}
 	return shown
 }
@@ -47,7 +47,7 @@
 	var routes []string
 	for _, r := range roots {
 		if len(r.SlotSeconds) == 0 && r.Fresh+r.Returning >= missedRate {
-			routes = append(routes, loads.ShowKind(r.Kind))
+			routes = append(routes, loads.KindLabel(r.Kind))
 		}
 	}
 	slices.Sort(routes)
@@ -59,7 +59,7 @@
 	for route, s := range plan.shares {
 		if s.Fresh < 1 || n.control.shown.shares[route] {
 			n.control.shown.shares[route] = true
-			n.metrics.gauge(int64(s.Fresh*1000), "admitted_share", "route", loads.ShowKind(route))
+			n.metrics.gauge(int64(s.Fresh*1000), "admitted_share", "route", loads.KindLabel(route))
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func demandOf(roots []overload.KindDemand) (demand map[string]float64, costs map[string]map[string]float64) {
 	demand, costs = map[string]float64{}, map[string]map[string]float64{}
 	for _, r := range roots {
-		costs[loads.ShowKind(r.Kind)] = r.SlotSeconds
+		costs[loads.KindLabel(r.Kind)] = r.SlotSeconds
 		for s, cost := range r.SlotSeconds {
 			demand[s] += cost * r.Fresh
 		}
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -41,14 +41,14 @@
 func (n *Node) replan(now time.Time) {
 	n.forgetLoads(now)
 	reports := n.loads()
-	n.control.kept.Note(now, reports)
-	all := n.control.kept.Complete(reports)
-	places := loads.Places(all)
+	n.control.kept.Update(now, reports)
+	all := n.control.kept.WithRetained(reports)
+	places := loads.Placements(all)
 	n.judgeRoutes(now)
 	plan := &admissionPlan{
-		inner: maps.Clone(n.control.judged.called), runs: make(map[string]map[string]float64), holds: loads.Holds(places),
+		inner: maps.Clone(n.control.judged.called), runs: make(map[string]map[string]float64), holds: loads.HoldTimes(places),
 	}
-	costs := callgraph.Costs(loads.Graph(all), places)
+	costs := callgraph.Costs(loads.CallGraph(all), places)
 	for route, c := range costs {
 		plan.runs[route] = c.Runs
 	}
@@ -74,9 +74,9 @@
 		n.control.asked[kind] = r.Fresh
 	}
 	if len(byKind) > 0 {
-		n.control.demand.Reported(now)
+		n.control.demand.MarkReported(now)
 	}
-	for kind, missing := range n.control.demand.Missing(now) {
+	for kind, missing := range n.control.demand.Uncounted(now) {
 		if plan.inner[routeOf(kind)] {
 			continue
 		}
@@ -95,7 +95,7 @@
 // root returns a kind of root request for which there is no demand.
 func (n *Node) root(kind string, costs map[string]callgraph.Cost) *overload.KindDemand {
 	route, team := loads.SplitKind(kind)
-	return &overload.KindDemand{Kind: kind, Priority: n.state.Load().Rank(route, team), SlotSeconds: costs[route].Slots}
+	return &overload.KindDemand{Kind: kind, Priority: n.state.Load().Rank(route, team), SlotSeconds: costs[route].SlotSeconds}
 }
 
 // countedRoots returns the demand that reports tell of.
--- a/pkg/mesh/admission_plan_test.go
+++ b/pkg/mesh/admission_plan_test.go
@@ -26,18 +26,18 @@
 	near, far := &peer{host: "n", zone: "a"}, &peer{host: "f", zone: "b"}
 	n.view.Store(&view{services: map[string][]*peer{"top": {near}, "low": {far}}})
 	own := &heldReport{heard: now.Add(time.Hour), Report: loads.Report{
-		Host: "n", Service: "top", Room: 10,
+		Host: "n", Service: "top", UsableSlots: 10,
 		Entries: map[string]loads.Entry{"root": {Fresh: 10}, "local": {Fresh: 10}},
-		Runs:    map[string]loads.Run{"root": {Rate: 10, Hold: 0.1, Calls: callgraph.Rates{"called": 2}}, "local": {Rate: 10, Hold: 0.1}},
+		Runs:    map[string]loads.RunStats{"root": {Rate: 10, HoldSeconds: 0.1, CallsPerRun: callgraph.Rates{"called": 2}}, "local": {Rate: 10, HoldSeconds: 0.1}},
 	}}
 	n.control.reports = map[string]*heldReport{"n": own}
-	low := loads.Report{Service: "low", Room: 10, Runs: map[string]loads.Run{"called": {Rate: 20, Hold: 0.1}}}
+	low := loads.Report{Service: "low", UsableSlots: 10, Runs: map[string]loads.RunStats{"called": {Rate: 20, HoldSeconds: 0.1}}}
 	n.takeZones(now, "f", []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: low}})}})
 	n.replan(now)
 	c.Assert(n.plan.Load().shares["root"].Fresh, qt.Equals, 1.0)
 	n.replan(now.Add(zoneLifeLeast + time.Second))
 	c.Assert(n.plan.Load().shares["root"].Fresh, qt.Equals, 0.0)
 	c.Assert(n.plan.Load().shares["local"].Fresh, qt.Equals, 1.0, qt.Commentf("what needs nothing from there is served"))
-	n.replan(now.Add(zoneLifeLeast + loads.KeptTime + 2*time.Second))
+	n.replan(now.Add(zoneLifeLeast + loads.RetentionTime + 2*time.Second))
 	c.Assert(n.plan.Load().shares["root"].Fresh, qt.Equals, 1.0, qt.Commentf("it may have moved"))
 }
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -78,7 +78,7 @@
 	now := b.n.clock.Now()
 	held := min(now.Sub(begun), max(q.deadline.Sub(begun), 0)) // while the VM was suspended the run held nothing
 	b.n.gateMu.Lock()
-	b.n.gate.Done(now, held, b.n.usualHold(q.Route), outcome)
+	b.n.gate.Finish(now, held, b.n.usualHold(q.Route), outcome)
 	b.n.gateMu.Unlock()
 	if a.outcome == wire.NotRun {
 		b.n.stats.drop(now, run)
@@ -93,13 +93,13 @@
 
 // enter waits for the gate; it returns why the request was refused, or ReasonNone once it may start.
 func (b *backend) enter(ctx context.Context, q *request) wire.Reason {
-	verdicts := make(chan gate.Verdict, 1)
+	verdicts := make(chan gate.Decision, 1)
 	t := &gate.Ticket{
-		Inner: q.Inner, Priority: q.Priority, Deadline: q.deadline, Usual: b.n.usualHold(q.Route), Age: b.n.ageOf(q),
-		Notify: func(v gate.Verdict) { verdicts <- v },
+		Internal: q.Inner, Priority: q.Priority, Deadline: q.deadline, TypicalHold: b.n.usualHold(q.Route), Age: b.n.ageOf(q),
+		Notify: func(v gate.Decision) { verdicts <- v },
 	}
 	b.n.gateMu.Lock()
-	v := b.n.gate.Arrive(b.n.clock.Now(), t)
+	v := b.n.gate.Submit(b.n.clock.Now(), t)
 	b.n.gateMu.Unlock()
 	if v.Queued {
 		select {
@@ -125,7 +125,7 @@
 }
 
 // withdraw takes back a ticket whose caller has gone.
-func (b *backend) withdraw(t *gate.Ticket, verdicts <-chan gate.Verdict) wire.Reason {
+func (b *backend) withdraw(t *gate.Ticket, verdicts <-chan gate.Decision) wire.Reason {
 	b.n.gateMu.Lock()
 	queued := b.n.gate.Cancel(t)
 	b.n.gateMu.Unlock()
@@ -137,7 +137,7 @@
 		return v.Reason
 	}
 	b.n.gateMu.Lock()
-	b.n.gate.Done(b.n.clock.Now(), 0, 0, gate.Left)
+	b.n.gate.Finish(b.n.clock.Now(), 0, 0, gate.Abandoned)
 	b.n.gateMu.Unlock()
 	return wire.ReasonDeadline
 }
@@ -150,7 +150,7 @@
 func (b *backend) send(ctx context.Context, q *request, instance string) (*answer, gate.Outcome) {
 	left := q.deadline.Sub(b.n.clock.Now()) - answerMargin
 	if left < time.Millisecond {
-		return refused(wire.ReasonDeadline), gate.Left
+		return refused(wire.ReasonDeadline), gate.Abandoned
 	}
 	h := q.header.Clone()
 	h.Set(b.n.names.Instance, instance)
@@ -187,7 +187,7 @@
 // patience returns in which time the server's answer can be expected.
 func (b *backend) patience(q *request) time.Duration {
 	b.n.gateMu.Lock()
-	pace := b.n.gate.Read().Pace
+	pace := b.n.gate.Snapshot().Slowdown
 	b.n.gateMu.Unlock()
 	return b.n.connPatience(usualAt(pace, b.n.usualHold(q.Route)))
 }
@@ -216,7 +216,7 @@
 	case ended(err):
 		a := lost(wire.ReasonDeadline)
 		a.canceled = true
-		return a, gate.Left
+		return a, gate.Abandoned
 	default:
 		a := lost(wire.ReasonLost)
 		a.broken = true
--- a/pkg/mesh/capacity_of_services.go
+++ b/pkg/mesh/capacity_of_services.go
@@ -37,8 +37,8 @@
 // nearRoom returns the slots of a server of this zone: as its node reports, or else all of them while it can be
 // reached. It isn't known for one that neither reports nor can be reached.
 func (n *Node) nearRoom(p *peer) (room float64, known bool) {
-	if r := n.control.reports[p.host]; r != nil && (r.Room > 0 || r.Away) {
-		return r.Room, true
+	if r := n.control.reports[p.host]; r != nil && (r.UsableSlots > 0 || r.NotListening) {
+		return r.UsableSlots, true
 	}
 	return float64(p.slots.Load()), p.reachable()
 }
@@ -54,7 +54,7 @@
 	room := 0.0
 	if sum.Nodes > 0 {
 		known := min(left, sum.Nodes)
-		room += sum.Load.Room * float64(known) / float64(sum.Nodes)
+		room += sum.Load.UsableSlots * float64(known) / float64(sum.Nodes)
 		left -= known
 	}
 	if left == 0 {
--- a/pkg/mesh/capacity_of_services_test.go
+++ b/pkg/mesh/capacity_of_services_test.go
@@ -21,7 +21,7 @@
 	for _, p := range peers {
 		p.slots.Store(20)
 	}
-	z := &zoneLoad{services: []loads.ServiceSum{{Nodes: 2, Load: loads.Report{Service: "s", Room: 18}}}}
+	z := &zoneLoad{services: []loads.ServiceSum{{Nodes: 2, Load: loads.Report{Service: "s", UsableSlots: 18}}}}
 	c.Assert(z.room("s", peers), qt.Equals, 18.0+20)
 	c.Assert(z.room("s", peers[:1]), qt.Equals, 9.0, qt.Commentf("one of the two has left since"))
 	c.Assert((*zoneLoad)(nil).room("s", peers), qt.Equals, 60.0)
@@ -37,7 +37,7 @@
 	far := &peer{host: "f", zone: "b"}
 	far.slots.Store(20)
 	told := func(room float64) []packedZone {
-		return []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: loads.Report{Service: "s", Room: room}}})}}
+		return []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: loads.Report{Service: "s", UsableSlots: room}}})}}
 	}
 	n := &Node{cfg: settings.Settings{Zone: "a"}}
 	n.control.zones = map[string]*zoneLoad{}
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -27,8 +27,8 @@
 	reports     map[string]*heldReport // newest of each node of this zone, by host
 	lapsed      map[string]*heldReport // the last that counted of nodes that fell silent, without what it said
 	zones       map[string]*zoneLoad   // newest sum of each other zone
-	kept        loads.KeptRuns
-	demand      loads.KeptDemand
+	kept        loads.RetainedRuns
+	demand      loads.RetainedDemand
 	asked       map[string]float64 // first attempts a second by kind, as last counted
 	judged      judgedRoutes
 	ownZone     zoneLoad // sum of this zone, as last told to others
--- a/pkg/mesh/dump.go
+++ b/pkg/mesh/dump.go
@@ -15,7 +15,7 @@
 	Version  int64                `json:"version"`
 	Stopping bool                 `json:"stopping"`
 	InUse    int64                `json:"in_progress"`
-	Gate     gate.Reading         `json:"gate"`
+	Gate     gate.State           `json:"gate"`
 	Off      []settings.Mechanism `json:"off,omitempty"` // mechanisms that are switched off
 	Records  []directory.Record   `json:"records"`
 	Suspects []Suspect            `json:"suspects,omitempty"` // requests under which servers ended
@@ -25,7 +25,7 @@
 func (n *Node) Dump() Dump {
 	d := Dump{Host: n.ip, Epoch: n.epoch, Version: n.version(), Stopping: n.stop.leaving(), InUse: n.stop.busy.Load(), Off: n.cfg.Mesh.Off}
 	n.gateMu.Lock()
-	d.Gate = n.gate.Read()
+	d.Gate = n.gate.Snapshot()
 	n.gateMu.Unlock()
 	d.Suspects = n.suspects()
 	var records []directory.Record
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -34,12 +34,12 @@
 }
 
 func sampleReport(host string) heldReport {
-	r := heldReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", Room: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.Run{}}}
+	r := heldReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", UsableSlots: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}}
 	for k := range 8 {
 		r.Entries[fmt.Sprintf("r-n2ctnf%d", k)] = loads.Entry{Fresh: 12.3456, Returning: 1.2345}
 	}
 	for k := range 4 {
-		r.Runs[fmt.Sprintf("r-n2ctnf%d", k)] = loads.Run{Rate: 45.6789, Hold: 0.1234, Calls: callgraph.Rates{"r-n2ctnf7": 3.9876}}
+		r.Runs[fmt.Sprintf("r-n2ctnf%d", k)] = loads.RunStats{Rate: 45.6789, HoldSeconds: 0.1234, CallsPerRun: callgraph.Rates{"r-n2ctnf7": 3.9876}}
 	}
 	r.packed = mustPack(r.Report)
 	return r
--- a/pkg/mesh/exchange_zone_loads.go
+++ b/pkg/mesh/exchange_zone_loads.go
@@ -31,7 +31,7 @@
 // ownZone returns the sum of this zone, as told to other zones.
 func (n *Node) ownZone(now time.Time) []packedZone {
 	if now.Sub(n.control.ownZone.made) >= zoneStep {
-		body, err := pack(loads.AddUp(n.ownReports()))
+		body, err := pack(loads.SumByService(n.ownReports()))
 		if err != nil {
 			n.controlLog.Error("report can't be written", "err", err)
 			return nil
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -81,12 +81,12 @@
 // replyHeader puts the load of this VM's server beside what became of a request.
 func (n *Node) replyHeader(a *answer) reply {
 	n.gateMu.Lock()
-	g := n.gate.Read()
+	g := n.gate.Snapshot()
 	n.gateMu.Unlock()
 	return reply{
 		Outcome: a.outcome, Reason: a.reason, ByServer: a.arrived,
-		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Pace: int(g.Pace*100 + 0.5),
-		Success: int(g.Success*(1-g.Shed)*100 + 0.5), Stopping: n.stop.leaving(), Gone: a.gone, Version: n.version(),
+		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Pace: int(g.Slowdown*100 + 0.5),
+		Success: int(g.SuccessShare*(1-g.ShedShare)*100 + 0.5), Stopping: n.stop.leaving(), Gone: a.gone, Version: n.version(),
 		Ended: a.ended, ComeBack: a.comeBack,
 	}
 }
--- a/pkg/mesh/inner_routes.go
+++ b/pkg/mesh/inner_routes.go
@@ -28,11 +28,11 @@
 
 // recall takes what was judged of a service's routes before the start, but for those that this node has judged itself.
 func (j *judgedRoutes) recall(now time.Time, l loads.Learned) {
-	for route := range l.Calls {
+	for route := range l.CallsPerRun {
 		if _, judged := j.called[route]; judged {
 			continue
 		}
-		j.set(route, slices.Contains(l.Inner, route))
+		j.set(route, slices.Contains(l.InternalRoutes, route))
 		if j.held == nil {
 			j.held = map[string]time.Time{}
 		}
@@ -51,7 +51,7 @@
 // while nobody asks for it.
 func (j *judgedRoutes) judge(now time.Time, origins loads.Origins) []string {
 	var changed []string
-	for route, is := range origins.Called(func(route string) bool { return j.called[route] }) {
+	for route, is := range origins.InternalRoutes(func(route string) bool { return j.called[route] }) {
 		if now.Before(j.held[route]) {
 			continue
 		}
@@ -86,11 +86,11 @@
 func (n *Node) originsNow() loads.Origins {
 	all := loads.Origins{}
 	for _, r := range n.control.reports {
-		all.Add(n.cfg.Zone, &r.Report)
+		all.AddReport(n.cfg.Zone, &r.Report)
 	}
 	for zone, z := range n.control.zones {
 		for i := range z.services {
-			all.Add(zone, &z.services[i].Load)
+			all.AddReport(zone, &z.services[i].Load)
 		}
 	}
 	return all
--- a/pkg/mesh/keep_learned.go
+++ b/pkg/mesh/keep_learned.go
@@ -50,7 +50,7 @@
 		}
 		stored = known
 		n.metrics.count("learned_stored_total")
-		n.controlLog.Info("learned calls stored", "routes", len(known.Calls))
+		n.controlLog.Info("learned calls stored", "routes", len(known.CallsPerRun))
 	}
 }
 
@@ -67,22 +67,22 @@
 // learnedOf puts what the control goroutine knows of a service's routes, and how often they are asked for, beside the calls
 // that their runs make.
 func (n *Node) learnedOf(service string, calls map[string]callgraph.Rates, asked map[string]float64) loads.Learned {
-	l := loads.Learned{Service: service, Calls: calls, Times: map[string]loads.RunTimes{}, Asked: map[string]float64{}}
-	runs := n.control.kept.Services()[service]
+	l := loads.Learned{Service: service, CallsPerRun: calls, Times: map[string]loads.RunTiming{}, Demand: map[string]float64{}}
+	runs := n.control.kept.ByService()[service]
 	for route := range calls {
 		if run, known := runs[route]; known {
-			l.Times[route] = loads.RunTimes{Rate: run.Rate, Hold: run.Hold}
+			l.Times[route] = loads.RunTiming{Rate: run.Rate, HoldSeconds: run.HoldSeconds}
 		}
 		if n.control.judged.called[route] {
-			l.Inner = append(l.Inner, route)
+			l.InternalRoutes = append(l.InternalRoutes, route)
 		}
 	}
 	for kind, rate := range asked {
 		if _, known := calls[routeOf(kind)]; known && rate > 0 {
-			l.Asked[kind] = rate
+			l.Demand[kind] = rate
 		}
 	}
-	slices.Sort(l.Inner)
+	slices.Sort(l.InternalRoutes)
 	return l
 }
 
@@ -96,11 +96,11 @@
 // hears from the reports.
 func (n *Node) allLearned() []loads.Learned {
 	var all []loads.Learned
-	missing := n.control.demand.Missing(n.clock.Now())
-	for service, runs := range n.control.kept.Services() {
+	missing := n.control.demand.Uncounted(n.clock.Now())
+	for service, runs := range n.control.kept.ByService() {
 		calls := make(map[string]callgraph.Rates, len(runs))
 		for route, run := range runs {
-			calls[route] = run.Calls
+			calls[route] = run.CallsPerRun
 		}
 		all = append(all, n.learnedOf(service, calls, missing))
 	}
@@ -123,18 +123,18 @@
 
 // differ tells whether what is known of a route differs clearly from what is stored.
 func differ(known, stored loads.Learned) bool {
-	for route, calls := range known.Calls {
-		if differInCalls(calls, stored.Calls[route]) ||
-			differBy(keepHoldChange, known.Times[route].Hold, stored.Times[route].Hold) {
+	for route, calls := range known.CallsPerRun {
+		if differInCalls(calls, stored.CallsPerRun[route]) ||
+			differBy(keepHoldChange, known.Times[route].HoldSeconds, stored.Times[route].HoldSeconds) {
 			return true
 		}
 	}
-	for _, kind := range slices.Concat(slices.Collect(maps.Keys(known.Asked)), slices.Collect(maps.Keys(stored.Asked))) {
-		if differBy(keepAskedChange, known.Asked[kind], stored.Asked[kind]) {
+	for _, kind := range slices.Concat(slices.Collect(maps.Keys(known.Demand)), slices.Collect(maps.Keys(stored.Demand))) {
+		if differBy(keepAskedChange, known.Demand[kind], stored.Demand[kind]) {
 			return true
 		}
 	}
-	return !slices.Equal(known.Inner, stored.Inner)
+	return !slices.Equal(known.InternalRoutes, stored.InternalRoutes)
 }
 
 // differInCalls tells whether a run makes clearly more or fewer calls.
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/keep_learned_test.go
@@ -18,8 +18,8 @@
 // sampleLearned is what is known of one route.
 func sampleLearned() []loads.Learned {
 	return []loads.Learned{{
-		Service: "a", Calls: map[string]callgraph.Rates{"r": {"x": 5}},
-		Times: map[string]loads.RunTimes{"r": {Rate: 10, Hold: 0.1}},
+		Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"x": 5}},
+		Times: map[string]loads.RunTiming{"r": {Rate: 10, HoldSeconds: 0.1}},
 	}}
 }
 
@@ -27,8 +27,8 @@
 func TestANodeRecallsWhatWasLearnedBeforeItsStart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
-	s.store.learned["a"] = loads.Learned{Service: "a", Calls: map[string]callgraph.Rates{"r": {"called": 4}}}
-	s.store.learned["b"] = loads.Learned{Service: "b", Calls: map[string]callgraph.Rates{"r": {"called": 9}}}
+	s.store.learned["a"] = loads.Learned{Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"called": 4}}}
+	s.store.learned["b"] = loads.Learned{Service: "b", CallsPerRun: map[string]callgraph.Rates{"r": {"called": 9}}}
 	n, _ := s.add("a", "z", 10)
 	s.until("it is recalled", func() bool {
 		n.stats.drop(time.Now(), n.stats.begin(time.Now(), "r", time.Now()))
@@ -55,21 +55,21 @@
 	c := qt.New(t)
 	none := loads.Learned{}
 	calls := func(n float64) loads.Learned {
-		return loads.Learned{Calls: map[string]callgraph.Rates{"r": {"x": n}}}
+		return loads.Learned{CallsPerRun: map[string]callgraph.Rates{"r": {"x": n}}}
 	}
 	holds := func(hold float64) loads.Learned {
 		l := calls(4)
-		l.Times = map[string]loads.RunTimes{"r": {Rate: 10, Hold: hold}}
+		l.Times = map[string]loads.RunTiming{"r": {Rate: 10, HoldSeconds: hold}}
 		return l
 	}
 	called := calls(4)
-	called.Inner = []string{"r"}
+	called.InternalRoutes = []string{"r"}
 	c.Assert(differ(calls(4), none), qt.IsTrue)
 	c.Assert(differ(calls(4), calls(3.5)), qt.IsFalse)
 	c.Assert(differ(calls(4), calls(2)), qt.IsTrue)
 	c.Assert(differ(calls(0.1), none), qt.IsFalse)
 	c.Assert(differ(none, calls(4)), qt.IsFalse)
-	c.Assert(differ(loads.Learned{Calls: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that isn't made any more"))
+	c.Assert(differ(loads.Learned{CallsPerRun: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that isn't made any more"))
 	c.Assert(differ(holds(0.03), holds(0.05)), qt.IsFalse)
 	c.Assert(differ(holds(0.03), holds(0.1)), qt.IsTrue)
 	c.Assert(differ(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a time that isn't stored yet"))
@@ -105,8 +105,8 @@
 	known := make(chan struct{})
 	top.do(func() {
 		top.recallLearned("test", []loads.Learned{{
-			Service: "b", Calls: map[string]callgraph.Rates{"called": {"x": 5}},
-			Times: map[string]loads.RunTimes{"called": {Rate: 10, Hold: 0.1}}, Inner: []string{"called"},
+			Service: "b", CallsPerRun: map[string]callgraph.Rates{"called": {"x": 5}},
+			Times: map[string]loads.RunTiming{"called": {Rate: 10, HoldSeconds: 0.1}}, InternalRoutes: []string{"called"},
 		}})
 		close(known)
 	})
@@ -154,8 +154,8 @@
 	n, _ := s.add("a", "z", 10)
 	told := func(calls float64) []loads.Learned {
 		return []loads.Learned{{
-			Service: "a", Calls: map[string]callgraph.Rates{"r": {"x": calls}},
-			Times: map[string]loads.RunTimes{"r": {Rate: 1, Hold: 1}},
+			Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"x": calls}},
+			Times: map[string]loads.RunTiming{"r": {Rate: 1, HoldSeconds: 1}},
 		}}
 	}
 	taken := make(chan float64)
@@ -179,9 +179,9 @@
 	judged := make(chan [2]bool)
 	n.do(func() {
 		now := time.Now()
-		n.control.judged.recall(now, loads.Learned{Calls: map[string]callgraph.Rates{"called": {}, "root": {}}, Inner: []string{"called"}})
+		n.control.judged.recall(now, loads.Learned{CallsPerRun: map[string]callgraph.Rates{"called": {}, "root": {}}, InternalRoutes: []string{"called"}})
 		n.control.reports = map[string]*heldReport{"x": {heard: now, Report: loads.Report{
-			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, Alone: 90}, "root": {Fresh: 100, Alone: 90}},
+			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, WithoutCaller: 90}, "root": {Fresh: 100, WithoutCaller: 90}},
 		}}}
 		n.judgeRoutes(now)
 		soon := n.control.judged.called["called"] && !n.control.judged.called["root"]
--- a/pkg/mesh/loads_that_count.go
+++ b/pkg/mesh/loads_that_count.go
@@ -40,10 +40,10 @@
 // isNews tells whether a report is newer than the one of its node that is held, or was.
 func (n *Node) isNews(r *loads.Report) bool {
 	if held := n.control.reports[r.Host]; held != nil {
-		return r.Newer(&held.Report)
+		return r.Supersedes(&held.Report)
 	}
 	lapsed := n.control.lapsed[r.Host]
-	return lapsed == nil || r.Newer(&lapsed.Report)
+	return lapsed == nil || r.Supersedes(&lapsed.Report)
 }
 
 // ownReports returns the reports of this zone's nodes.
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -108,8 +108,8 @@
 	n.control.shown = shownLines{calls: make(map[string]callgraph.Rates), shares: make(map[string]bool)}
 	n.records.init()
 	n.stats.init()
-	n.stats.learner.CallsAreOnTime = n.off[settings.LateCalls]
-	n.gate.ByArrival = n.off[settings.GateOrder]
+	n.stats.learner.NoLateCalls = n.off[settings.LateCalls]
+	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
 	n.poison.Rules = o.Settings.Mesh.HeldBack.Rules()
 	n.watch.mayBegin = make(chan struct{})
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -127,7 +127,7 @@
 	}
 	n.metrics.gauge(away, "server_away")
 	n.gateMu.Lock()
-	g := n.gate.Read()
+	g := n.gate.Snapshot()
 	n.gateMu.Unlock()
 	n.metrics.gauge(int64(g.Running), "gate_running")
 	n.metrics.gauge(int64(g.Queued), "gate_queued")
--- a/pkg/mesh/recall_learned.go
+++ b/pkg/mesh/recall_learned.go
@@ -75,12 +75,12 @@
 	routes := 0
 	for _, l := range all {
 		if l.Service == n.cfg.Service {
-			n.stats.recall(l.Calls)
+			n.stats.recall(l.CallsPerRun)
 		}
-		taken := n.control.kept.Recall(now, l.Service, l.Runs())
+		taken := n.control.kept.Restore(now, l.Service, l.Runs())
 		n.control.judged.recall(now, l)
 		if taken > 0 {
-			n.control.demand.Recall(l.Asked)
+			n.control.demand.Restore(l.Demand)
 		}
 		routes += taken
 	}
--- a/pkg/mesh/replan_bench_test.go
+++ b/pkg/mesh/replan_bench_test.go
@@ -28,7 +28,7 @@
 		n.control.reports[r.Host] = &r
 	}
 	for _, zone := range []string{"b", "c", "d"} {
-		n.control.zones[zone] = &zoneLoad{services: loads.AddUp(n.ownReports()), made: time.Now().Add(time.Hour)}
+		n.control.zones[zone] = &zoneLoad{services: loads.SumByService(n.ownReports()), made: time.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/mesh/report_own_load.go
+++ b/pkg/mesh/report_own_load.go
@@ -36,7 +36,7 @@
 	n.control.reportSeq++
 	r.Seq = n.control.reportSeq
 	n.gateMu.Lock()
-	g := n.gate.Read()
+	g := n.gate.Snapshot()
 	n.gateMu.Unlock()
 	n.control.gateUse += useGain * (float64(g.Running+g.Queued)/max(g.Limit, 1) - n.control.gateUse)
 	load := overload.GateLoad{
@@ -44,11 +44,11 @@
 	}
 	n.control.room.Observe(now, load)
 	excess := n.excess(now, g)
-	r.Room = round(n.roomPart() * max(g.Limit-excess, leastCapacity*g.Limit))
-	if r.Away = n.away.Load(); r.Away {
-		r.Room = 0
+	r.UsableSlots = round(n.roomPart() * max(g.Limit-excess, leastCapacity*g.Limit))
+	if r.NotListening = n.away.Load(); r.NotListening {
+		r.UsableSlots = 0
 	}
-	n.logRoom(now, g, load, excess, r.Room)
+	n.logRoom(now, g, load, excess, r.UsableSlots)
 	body, err := pack(r)
 	if err != nil {
 		n.controlLog.Error("report can't be written", "err", err)
@@ -67,34 +67,34 @@
 
 // excess returns the slots by which more comes to the own server than planned for, whatever the reason:
 // what waits has to be worked off, and calls that the gate refuses belong to roots that were admitted.
-func (n *Node) excess(now time.Time, g gate.Reading) float64 {
+func (n *Node) excess(now time.Time, g gate.State) float64 {
 	waiting := float64(g.Queued) / backlogTime.Seconds()
-	return (waiting + turnedWeight*n.stats.turnedAwayRate(now)) * g.Hold.Seconds()
+	return (waiting + turnedWeight*n.stats.turnedAwayRate(now)) * g.HoldTime.Seconds()
 }
 
 // logRoom writes down why the own server is planned with for less than its gate lets in.
-func (n *Node) logRoom(now time.Time, g gate.Reading, load overload.GateLoad, excess, room float64) {
+func (n *Node) logRoom(now time.Time, g gate.State, load overload.GateLoad, excess, room float64) {
 	n.metrics.gauge(int64(n.roomPart()*1000), "room_part")
 	if room >= g.Limit || now.Before(n.control.shown.nextRoom) {
 		return
 	}
 	n.control.shown.nextRoom = now.Add(roomLogPeriod)
-	n.controlLog.Info("room", "room", room, "limit", g.Limit, "running", g.Running, "queued", g.Queued, "hold", g.Hold,
+	n.controlLog.Info("room", "room", room, "limit", g.Limit, "running", g.Running, "queued", g.Queued, "hold", g.HoldTime,
 		"turned_away", round(load.RejectedShare), "binding", load.Bottleneck, "part", round(n.roomPart()), "excess", round(excess))
 }
 
 // logCalls writes down the calls that runs at the own server are taken to make, where they differ clearly from what was
 // last written: what is learned wrongly sets what is let in everywhere.
-func (n *Node) logCalls(now time.Time, runs map[string]loads.Run) {
+func (n *Node) logCalls(now time.Time, runs map[string]loads.RunStats) {
 	if now.Before(n.control.shown.nextCalls) {
 		return
 	}
 	n.control.shown.nextCalls = now.Add(callsLogPeriod)
 	changed := map[string]callgraph.Rates{}
 	for route, run := range runs {
-		if differInCalls(run.Calls, n.control.shown.calls[route]) {
-			changed[route] = run.Calls
-			n.control.shown.calls[route] = run.Calls
+		if differInCalls(run.CallsPerRun, n.control.shown.calls[route]) {
+			changed[route] = run.CallsPerRun
+			n.control.shown.calls[route] = run.CallsPerRun
 		}
 	}
 	if len(changed) > 0 {
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -29,7 +29,7 @@
 		loads.Kind("pay", 0): {Fresh: 10}, loads.Kind("read", 0): {Fresh: 10},
 		loads.Kind("pay", 1): {Fresh: 10}, loads.Kind("read", 1): {Fresh: 10},
 	}}
-	costs := map[string]callgraph.Cost{"pay": {Slots: map[string]float64{"a": 0.1}}, "read": {Slots: map[string]float64{"a": 0.1}}}
+	costs := map[string]callgraph.Cost{"pay": {SlotSeconds: map[string]float64{"a": 0.1}}, "read": {SlotSeconds: map[string]float64{"a": 0.1}}}
 	plan := &admissionPlan{}
 	shares := make(chan map[string]overload.Share, 1)
 	n.do(func() {
--- a/pkg/mesh/traffic_entries.go
+++ b/pkg/mesh/traffic_entries.go
@@ -46,7 +46,7 @@
 func (s *trafficStats) begins(now time.Time, kind string, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.learner.MayHaveMade(deadline) {
+	if !s.learner.HasPossibleCaller(deadline) {
 		s.entry(kind).alone.Add(now, 1)
 	}
 }
--- a/pkg/mesh/traffic_runs.go
+++ b/pkg/mesh/traffic_runs.go
@@ -18,21 +18,21 @@
 func (s *trafficStats) begin(now time.Time, route string, deadline time.Time) *callgraph.Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.learner.Begin(now, route, deadline)
+	return s.learner.BeginRun(now, route, deadline)
 }
 
 // drop forgets a run that the server didn't take: counted, it would seem to hold a slot for no time and to make no calls.
 func (s *trafficStats) drop(now time.Time, run *callgraph.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learner.Drop(now, run)
+	s.learner.DiscardRun(now, run)
 }
 
 // end notes the end of a run.
 func (s *trafficStats) end(now time.Time, route string, run *callgraph.Run, held time.Duration, o gate.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learner.End(now, run, o == gate.Answered)
+	s.learner.EndRun(now, run, o == gate.Answered)
 	r := s.runs[route]
 	if r == nil {
 		r = &runStats{}
@@ -46,28 +46,28 @@
 func (s *trafficStats) called(now time.Time, route string, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learner.Call(now, route, deadline)
+	s.learner.ObserveCall(now, route, deadline)
 }
 
 // known returns the calls of one run that are known well.
 func (s *trafficStats) known() map[string]callgraph.Rates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.learner.Known()
+	return s.learner.ReliableCalls()
 }
 
 // recall takes what was known before.
 func (s *trafficStats) recall(known map[string]callgraph.Rates) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learner.Recall(known)
+	s.learner.Restore(known)
 }
 
 // look has the learner work out what was seen.
 func (s *trafficStats) look(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learner.Look(now)
+	s.learner.Update(now)
 }
 
 // lookPeriod is the time between the learner's looks at what was seen.
--- a/pkg/mesh/traffic_stats.go
+++ b/pkg/mesh/traffic_stats.go
@@ -35,17 +35,17 @@
 func (s *trafficStats) report(now time.Time) loads.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := loads.Report{Entries: map[string]loads.Entry{}, Runs: map[string]loads.Run{}}
+	r := loads.Report{Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}
 	for kind, e := range s.entries {
 		f, b := e.fresh.PerSecond(now), e.returning.PerSecond(now)
 		if f+b > leastReported {
-			r.Entries[kind] = loads.Entry{Fresh: round(f), Returning: round(b), Alone: round(e.alone.PerSecond(now))}
+			r.Entries[kind] = loads.Entry{Fresh: round(f), Returning: round(b), WithoutCaller: round(e.alone.PerSecond(now))}
 		}
 	}
 	for route, x := range s.runs {
 		rate, held := x.rate.PerSecond(now), x.held.PerSecond(now)
 		if rate > leastReported {
-			r.Runs[route] = loads.Run{Rate: round(rate), Hold: round(held / rate), Calls: s.callsOf(route)}
+			r.Runs[route] = loads.RunStats{Rate: round(rate), HoldSeconds: round(held / rate), CallsPerRun: s.callsOf(route)}
 		}
 	}
 	return r
@@ -65,7 +65,7 @@
 // callsOf returns the calls of one run of a route, as far as they are learned.
 func (s *trafficStats) callsOf(route string) callgraph.Rates {
 	calls := callgraph.Rates{}
-	for called, n := range s.learner.Calls(route) {
+	for called, n := range s.learner.CallsPerRun(route) {
 		calls[called] = round(n)
 	}
 	return calls
--- a/pkg/mesh/wire_places_test.go
+++ b/pkg/mesh/wire_places_test.go
@@ -22,7 +22,7 @@
 			"From", "Zone", "Version", "Digest", "Stopping", "Records", "Reports", "Zones", "State", "Unlearned", "Learned", "Sure", "Age",
 			"Ends", "Cases", "Held", "Wants", "Brief", "Era",
 		}},
-		{loads.Report{}, []string{"Host", "Epoch", "Seq", "Service", "Room", "Entries", "Runs", "Away", "Leaving"}},
+		{loads.Report{}, []string{"Host", "Epoch", "Seq", "Service", "UsableSlots", "Entries", "Runs", "NotListening", "Leaving"}},
 		{poison.End{}, []string{"Lifetime", "Service", "Age", "Runs"}},
 		{poison.Run{}, []string{"Identity", "Stages", "Route", "Request", "Sound"}},
 		{poison.Case{}, []string{"Fingerprint", "Service", "Route", "Request", "Stage", "Ends", "Cleared", "Age", "Sound"}},
