--- a/pkg/overload/decaying_rate.go
+++ b/pkg/overload/decaying_rate.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// rateMemory is the time in which half of what was counted is forgotten: long enough for some requests of
-// a rare kind, short enough to follow a surge within a second or two.
-const rateMemory = 700 * time.Millisecond
+// rateHalfLife is the time after which half of what was counted has decayed: long enough to count some requests of a rare
+// kind, short enough to follow a surge within a second or two.
+const rateHalfLife = 700 * time.Millisecond
 
-// DecayingRate is a count a second that forgets; its zero value has counted nothing.
+// DecayingRate is an exponentially decaying rate per second; its zero value has counted nothing.
 type DecayingRate struct {
 	sum  float64
-	span float64 // seconds that are remembered
+	span float64 // decayed seconds of observation
 	last time.Time
 }
 
-// Add counts n at now.
+// Add counts n events at now.
 func (r *DecayingRate) Add(now time.Time, n float64) {
-	r.pass(now)
+	r.decayTo(now)
 	r.sum += n
 }
 
-// PerSecond returns the rate at now.
+// PerSecond returns the rate of events a second as of now.
 func (r *DecayingRate) PerSecond(now time.Time) float64 {
-	r.pass(now)
-	return r.sum / max(r.span, leastSpan)
+	r.decayTo(now)
+	return r.sum / max(r.span, minSpan)
 }
 
-// leastSpan is the least time in seconds that a rate is taken over: clients that waited for a start all
-// come in its first moment.
-const leastSpan = 0.5
+// minSpan is the shortest observation in seconds that a rate is computed over: clients that waited for a start all arrive
+// in its first moment.
+const minSpan = 0.5
 
-// known tells whether it was counted for long enough to be more than a guess.
-func (r *DecayingRate) known() bool { return r.span >= leastSpan }
+// reliable reports whether the observation spans at least minSpan.
+func (r *DecayingRate) reliable() bool { return r.span >= minSpan }
 
-func (r *DecayingRate) pass(now time.Time) {
+func (r *DecayingRate) decayTo(now time.Time) {
 	if r.last.IsZero() {
 		r.last = now
 		return
@@ -45,7 +45,7 @@
 		return
 	}
 	r.last = now
-	keep := math.Exp2(-float64(d) / float64(rateMemory))
+	keep := math.Exp2(-float64(d) / float64(rateHalfLife))
 	r.sum *= keep
-	r.span = r.span*keep + rateMemory.Seconds()/math.Ln2*(1-keep)
+	r.span = r.span*keep + rateHalfLife.Seconds()/math.Ln2*(1-keep)
 }
--- a/pkg/overload/decaying_rate_test.go
+++ b/pkg/overload/decaying_rate_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestRateForgets(t *testing.T) {
+func TestRateDecays(t *testing.T) {
 	c := qt.New(t)
 	var r DecayingRate
 	now := time.Unix(0, 0)
--- a/pkg/overload/doc.go
+++ b/pkg/overload/doc.go
@@ -1,20 +1,21 @@
-// Package overload decides how much of each kind of root request is taken in.
+// Package overload decides how much of each kind of root request is admitted.
 //
-// Work below a root is multiplied, so a small service deep down can set what
-// the whole system can serve. A root that is refused at its entry costs
-// nothing; one whose call is refused at the bottom has wasted all work above.
-// Plan gives each kind the share that the tightest service below it can
-// carry: by priority, first attempts before those that come back. Every node
-// works it out from the same news, so there is no coordinator, and it follows
-// the demand by itself.
+// Each root request causes calls to further services, so a small service at the
+// bottom of the call graph can limit what the whole system can serve. A root
+// rejected at its entry costs nothing; one whose call is rejected at the bottom
+// has wasted all the work above it. PlanShares gives each kind the share that the
+// bottleneck service below it can serve: by priority, and first attempts before
+// clients' retries. Every node computes the plan from the same reports, so no
+// coordinator is needed and the plan follows the demand.
 //
-// plan.go holds the plan's steps. plan_flows.go puts first and returning
-// attempts of all kinds into ranks, plan_least_part.go gives each kind a
-// part before all else, and plan_weighed_shares.go fills the tightest service,
-// which plan_tightest_service.go finds, with the flows of one rank.
+// plan.go holds the steps of the plan. plan_flows.go ranks the first attempts and
+// the retries of all kinds, plan_minimum_share.go grants each kind a minimum
+// first, and plan_weighted_shares.go fills the bottleneck service, found by
+// plan_bottleneck.go, with the flows of one rank.
 //
-// A RoomControl (room_control.go) says which part of a server's room may be
-// planned for, a DecayingRate (decaying_rate.go) measures the demand, and a
-// RepeatBudget (repeat_budget.go) bounds how much of it the nodes themselves
-// add by sending requests once more.
+// A UsableFractionController (usable_fraction_controller.go) says which fraction
+// of a server's slots the plan may count on, a DecayingRate (decaying_rate.go)
+// measures demand, an AdmissionBucket (admission_bucket.go) admits a share of a
+// flow, and a RetryBudget (retry_budget.go) bounds the load that the nodes add
+// with their own retries.
 package overload
--- a/pkg/overload/plan.go
+++ b/pkg/overload/plan.go
@@ -1,62 +1,64 @@
 package overload
 
-// KindDemand is one kind of root request.
+// KindDemand is the demand for one kind of root request in the whole system, and its cost.
 type KindDemand struct {
 	Kind        string
-	Priority    int     // 0 is the most urgent
-	Fresh       float64 // first attempts a second, in the whole system
-	Returning   float64 // attempts a second of clients that were refused before
-	SlotSeconds map[string]float64
+	Priority    int                // 0 is the most urgent
+	Fresh       float64            // first attempts a second
+	Returning   float64            // clients' retries a second, after a refusal
+	SlotSeconds map[string]float64 // cost of one request by service, calls included
 }
 
-// Share is the part of a kind that is admitted.
+// Share is the admitted share of a kind's first attempts and of its clients' retries, each 0 to 1.
 type Share struct {
 	Fresh     float64
 	Returning float64
 }
 
-// TargetUtilization is the share of a service's capacity that admission fills. More than all of it, since some requests fail
-// before they have made all of their calls, and since a gate that turns requests away says so (RoomControl).
+// TargetUtilization is the share of a service's capacity that admission fills. It is above 1 because some requests fail
+// before they have made all of their calls, and because a gate that rejects too many requests lowers the capacity
+// (UsableFractionController).
 const TargetUtilization = 1.1
 
-// Options switch parts of the plan off; the zero value has them all.
+// Options switch mechanisms of the plan off; the zero value has them all on.
 type Options struct {
-	NoMinimumShare bool // nothing is kept for the less urgent kinds
-	EqualShares    bool // kinds of one rank get the same share, whatever they cost
+	NoMinimumShare bool // kinds get no minimum before the more urgent ones are served
+	EqualShares    bool // kinds of one rank get equal shares, whatever they cost
 }
 
-// PlanShares returns the share of each kind that fits into the services' capacity, in slots, by all parts of the plan.
+// PlanShares returns the admitted share of each kind such that all fit into the services' capacity in slots, with all
+// mechanisms on.
 func PlanShares(roots []KindDemand, capacity map[string]float64) map[string]Share {
 	return Options{}.PlanShares(roots, capacity)
 }
 
-// PlanShares returns the share of each kind that fits into the services' capacity, in slots.
+// PlanShares returns the admitted share of each kind such that all fit into the services' capacity in slots.
 func (o Options) PlanShares(roots []KindDemand, capacity map[string]float64) map[string]Share {
 	left := make(map[string]float64, len(capacity))
 	for s, c := range capacity {
 		left[s] = c * TargetUtilization
 	}
 	out := make(map[string]Share, len(roots))
-	flows := flowsOf(roots)
+	flows := flowsByRank(roots)
 	if !o.NoMinimumShare {
-		grantLeast(flows, left, out)
+		grantMinimum(flows, left, out)
 	}
 	for len(flows) > 0 {
-		n := firstRank(flows)
+		n := firstRankLen(flows)
 		if o.EqualShares {
-			fillAlike(flows[:n], left, out)
+			grantEqualShares(flows[:n], left, out)
 		} else {
-			fill(flows[:n], left, out)
+			grantWeightedShares(flows[:n], left, out)
 		}
 		flows = flows[n:]
 	}
-	refuseUncounted(roots, out)
+	rejectUncountedRetries(roots, out)
 	return out
 }
 
-// refuseUncounted refuses those who come back of kinds whose first attempts don't all fit, where none were counted: after
-// a loss of all nodes clients that were refused meanwhile come back before anybody knows how many they are.
-func refuseUncounted(roots []KindDemand, out map[string]Share) {
+// rejectUncountedRetries rejects the retries of kinds whose first attempts don't all fit, where no retries were counted:
+// after a loss of all nodes, clients rejected meanwhile come back before any node has counted them.
+func rejectUncountedRetries(roots []KindDemand, out map[string]Share) {
 	for _, r := range roots {
 		if s := out[r.Kind]; s.Fresh < 1 && r.Returning == 0 {
 			out[r.Kind] = Share{Fresh: s.Fresh}
@@ -64,11 +66,11 @@
 	}
 }
 
-// bindingShare of what may be filled of a service is filled if the plan holds requests down for it: it stops a little
-// before that.
-const bindingShare = 0.97
+// bottleneckUtilization is the fraction of a service's target that planned load reaches if the service limits admission:
+// the plan stops a little below the target.
+const bottleneckUtilization = 0.97
 
-// BottleneckServices returns the services that requests fill with their shares.
+// BottleneckServices returns the services whose capacity the admitted requests fill.
 func BottleneckServices(roots []KindDemand, shares map[string]Share, capacity map[string]float64) map[string]bool {
 	load := map[string]float64{}
 	for _, r := range roots {
@@ -77,11 +79,11 @@
 			load[s] += cost * admitted
 		}
 	}
-	binding := map[string]bool{}
+	bottlenecks := map[string]bool{}
 	for s, c := range capacity {
-		if c > 0 && load[s] >= bindingShare*c*TargetUtilization {
-			binding[s] = true
+		if c > 0 && load[s] >= bottleneckUtilization*c*TargetUtilization {
+			bottlenecks[s] = true
 		}
 	}
-	return binding
+	return bottlenecks
 }
--- a/pkg/overload/plan_flows.go
+++ b/pkg/overload/plan_flows.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// flow is the first or the returning attempts of a kind.
+// flow is the first attempts of a kind, or its clients' retries.
 type flow struct {
-	root      *KindDemand
+	kind      *KindDemand
 	returning bool
-	whole     float64 // attempts a second
-	rate      float64 // of those, what isn't granted yet
+	demand    float64 // all attempts a second
+	ungranted float64 // attempts a second without a granted share yet
 }
 
-// flowsOf returns all flows, the first to be admitted first.
-func flowsOf(roots []KindDemand) []flow {
+// flowsByRank returns the flows of all kinds in the order in which they are admitted.
+func flowsByRank(roots []KindDemand) []flow {
 	var flows []flow
 	for i := range roots {
 		r := &roots[i]
 		flows = append(flows, flow{r, false, r.Fresh, r.Fresh}, flow{r, true, r.Returning, r.Returning})
 	}
 	slices.SortStableFunc(flows, func(a, b flow) int {
-		return cmp.Or(cmp.Compare(a.root.Priority, b.root.Priority), boolOrder(a.returning, b.returning))
+		return cmp.Or(cmp.Compare(a.kind.Priority, b.kind.Priority), compareBool(a.returning, b.returning))
 	})
 	return flows
 }
 
-// firstRank returns how many flows have the rank of the first.
-func firstRank(flows []flow) int {
+// firstRankLen returns how many flows share the rank of the first one.
+func firstRankLen(flows []flow) int {
 	n := 1
 	for n < len(flows) && sameRank(flows[n], flows[0]) {
 		n++
@@ -36,10 +36,10 @@
 }
 
 func sameRank(a, b flow) bool {
-	return a.root.Priority == b.root.Priority && a.returning == b.returning
+	return a.kind.Priority == b.kind.Priority && a.returning == b.returning
 }
 
-func boolOrder(a, b bool) int {
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -50,22 +50,22 @@
 	}
 }
 
-// grant gives a flow a share of what isn't granted yet.
+// grant admits a share of the flow's ungranted rate: it adds to the result in out and takes the slots from left.
 func grant(f flow, share float64, left map[string]float64, out map[string]Share) {
-	o := out[f.root.Kind]
+	o := out[f.kind.Kind]
 	part := share
-	if f.whole > 0 {
-		part = share * f.rate / f.whole
+	if f.demand > 0 {
+		part = share * f.ungranted / f.demand
 	}
 	if f.returning {
 		o.Returning = min(o.Returning+part, 1)
 	} else {
 		o.Fresh = min(o.Fresh+part, 1)
 	}
-	out[f.root.Kind] = o
-	for s, cost := range f.root.SlotSeconds {
+	out[f.kind.Kind] = o
+	for s, cost := range f.kind.SlotSeconds {
 		if _, known := left[s]; known {
-			left[s] -= f.rate * share * cost
+			left[s] -= f.ungranted * share * cost
 		}
 	}
 }
--- a/pkg/overload/plan_test.go
+++ b/pkg/overload/plan_test.go
@@ -22,7 +22,7 @@
 	c.Assert(math.Abs(shares["look"].Returning) < 0.01, qt.IsTrue)
 }
 
-func TestWhatAKindLeavesGoesToOthers(t *testing.T) {
+func TestUnusedCapacityGoesToOtherKinds(t *testing.T) {
 	c := qt.New(t)
 	shares := PlanShares([]KindDemand{
 		{Kind: "a", Fresh: 100, SlotSeconds: map[string]float64{"x": 0.1, "y": 0.1}},
@@ -32,8 +32,9 @@
 	c.Assert(math.Abs(shares["b"].Fresh-(10*TargetUtilization-2*TargetUtilization)/10) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
 }
 
-// What is learned of a kind is never quite exact: a trace of the tight service once held it down with the others.
-func TestAKindThatTakesLittleIsNotHeldDown(t *testing.T) {
+// Learned costs are never exact: a trace of the bottleneck service in a kind's cost must not limit the kind like the
+// others.
+func TestTraceOfTheBottleneckDoesntLimitAKind(t *testing.T) {
 	c := qt.New(t)
 	shares := PlanShares([]KindDemand{
 		{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.1}},
@@ -43,9 +44,8 @@
 	c.Assert(math.Abs(shares["look"].Fresh-(5*TargetUtilization-0.5)/20) < 0.01, qt.IsTrue, qt.Commentf("%v", shares))
 }
 
-// No service gets more than its capacity, no kind is held down without need, and a less urgent kind that
-// needs the same services never has the larger share.
-func TestPlanFitsAndKeepsTheOrder(t *testing.T) {
+// No service gets more than its target, and a less urgent kind that needs the same services never has the larger share.
+func TestPlanFitsCapacityAndKeepsPriorities(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		capacity := map[string]float64{}
 		for i := range 3 {
@@ -65,18 +65,18 @@
 			})
 		}
 		shares := PlanShares(roots, capacity)
-		for s, room := range capacity {
-			used, tight := 0.0, false
+		for s, available := range capacity {
+			used, needed := 0.0, false
 			for _, k := range roots {
 				sh := shares[k.Kind]
 				if sh.Fresh < 0 || sh.Fresh > 1 || sh.Returning < 0 || sh.Returning > 1 {
 					r.Fatalf("share %v of %s", sh, k.Kind)
 				}
 				used += k.SlotSeconds[s] * (k.Fresh*sh.Fresh + k.Returning*sh.Returning)
-				tight = tight || k.SlotSeconds[s] > 0
+				needed = needed || k.SlotSeconds[s] > 0
 			}
-			if tight && used > room*TargetUtilization+1e-6 {
-				r.Fatalf("%s gets %v of %v", s, used, room)
+			if needed && used > available*TargetUtilization+1e-6 {
+				r.Fatalf("%s has %v of %v", s, used, available)
 			}
 		}
 		for _, a := range roots {
@@ -101,24 +101,25 @@
 	return true
 }
 
-// Once the urgent kind's calls filled the small service, nothing was left of it for the kind whose only service it is.
-func TestNoKindIsShutOut(t *testing.T) {
+// Guards against shutting a kind out: the urgent kind's calls fill the small service, and nothing is left for the kind
+// that needs only that service.
+func TestUrgentKindDoesntShutOthersOut(t *testing.T) {
 	c := qt.New(t)
 	shares := PlanShares([]KindDemand{
 		{Kind: "bill", Priority: 0, Fresh: 100, SlotSeconds: map[string]float64{"low": 0.2}},
 		{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.1}},
 		{Kind: "assign", Priority: 2, Fresh: 20, SlotSeconds: map[string]float64{"low": 0.07}},
 	}, map[string]float64{"low": 18})
-	alike := 18 * TargetUtilization / (20 + 20 + 1.4)
+	equalShare := 18 * TargetUtilization / (20 + 20 + 1.4)
 	for _, route := range []string{"look", "assign"} {
-		c.Assert(shares[route].Fresh >= leastPart*alike-1e-9, qt.IsTrue, qt.Commentf("%v", shares))
+		c.Assert(shares[route].Fresh >= minimumFraction*equalShare-1e-9, qt.IsTrue, qt.Commentf("%v", shares))
 	}
 	c.Assert(shares["bill"].Fresh > 1.5*shares["look"].Fresh, qt.IsTrue, qt.Commentf("%v", shares))
 }
 
-// Downloads were held down to what was let in of bills, whose calls run on the same service, though they need nothing
-// of the one that was tight: too few requests were served at all after a loss of power, and nobody gained.
-func TestAKindIsNotHeldDownForWantOfAnotherService(t *testing.T) {
+// Guards against limiting a kind for a service that it doesn't use: downloads were limited to the share of bills, whose
+// calls run on the same service, though only bills use the bottleneck. Too few requests were served in all.
+func TestKindIsntLimitedByAServiceThatItDoesntUse(t *testing.T) {
 	c := qt.New(t)
 	roots := []KindDemand{
 		{Kind: "bill", Priority: 0, Fresh: 100, SlotSeconds: map[string]float64{"low": 0.2, "files": 0.1}},
@@ -129,8 +130,8 @@
 	c.Assert(shares["pull"], qt.Equals, Share{1, 1})
 }
 
-// Of two kinds of one rank the one that takes less of the tight service gets the larger share, by and by.
-func TestKindsThatTakeLessGetMore(t *testing.T) {
+// Of two kinds of one rank, the one that takes less of the bottleneck gets the larger share, gradually.
+func TestCheaperKindsGetLargerShares(t *testing.T) {
 	c := qt.New(t)
 	plan := func(cost float64) map[string]Share {
 		return PlanShares([]KindDemand{
@@ -145,15 +146,15 @@
 	c.Assert(little["assign"].Fresh > 0.999, qt.IsTrue, qt.Commentf("%v", little))
 }
 
-// A service of which nothing is known holds nobody down; what the least part took of it made it look full.
-func TestAServiceThatIsNotKnownHoldsNobodyDown(t *testing.T) {
+// A service without a known capacity limits no kind; what minimum shares took of it made it look full.
+func TestServiceOfUnknownCapacityLimitsNoKind(t *testing.T) {
 	c := qt.New(t)
 	roots := []KindDemand{{Kind: "a", Fresh: 100, Returning: 5, SlotSeconds: map[string]float64{"x": 0.1}}}
 	c.Assert(PlanShares(roots, map[string]float64{})["a"], qt.Equals, Share{1, 1})
 	c.Assert(PlanShares(roots, map[string]float64{"x": 0})["a"], qt.Equals, Share{0, 0})
 }
 
-func TestThoseWhoComeBackUncountedGoAfterFirstAttempts(t *testing.T) {
+func TestUncountedRetriesGoAfterFirstAttempts(t *testing.T) {
 	c := qt.New(t)
 	shares := PlanShares([]KindDemand{
 		{Kind: "look", Priority: 2, Fresh: 200, SlotSeconds: map[string]float64{"low": 0.1}},
--- a/pkg/overload/repeat_budget_test.go
+++ b/pkg/overload/retry_budget_test.go
@@ -9,31 +9,31 @@
 	"pgregory.net/rapid"
 )
 
-// A repeat is paid at every service that its calls reach.
-func TestRepeatsPayForTheirCalls(t *testing.T) {
+// A retry is paid for at every service that its calls reach.
+func TestRetriesPayForTheirCalls(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
 	b := RetryBudget{Ratio: 0.1, DownstreamRatio: 0.1, Burst: 2}
-	whole := map[string]float64{"top": 1, "low": 4}
-	c.Assert(b.TryWithdraw(now, whole), qt.IsFalse, qt.Commentf("two tokens don't pay four runs"))
+	runs := map[string]float64{"top": 1, "low": 4}
+	c.Assert(b.TryWithdraw(now, runs), qt.IsFalse, qt.Commentf("two tokens don't pay for four runs"))
 	for range 50 {
-		b.Deposit(now, "top", whole)
+		b.Deposit(now, "top", runs)
 	}
 	for range 5 {
-		c.Assert(b.TryWithdraw(now, whole), qt.IsTrue, qt.Commentf("twenty earned below and the burst"))
+		c.Assert(b.TryWithdraw(now, runs), qt.IsTrue, qt.Commentf("twenty deposited below and the burst"))
 	}
-	c.Assert(b.TryWithdraw(now, whole), qt.IsFalse)
-	c.Assert(b.TryWithdraw(now, map[string]float64{"top": 1}), qt.IsTrue, qt.Commentf("a refused repeat takes nothing"))
+	c.Assert(b.TryWithdraw(now, runs), qt.IsFalse)
+	c.Assert(b.TryWithdraw(now, map[string]float64{"top": 1}), qt.IsTrue, qt.Commentf("a refused withdrawal takes nothing"))
 }
 
-// A service that began to refuse half of its calls was gone around for a second only: what had been earned before was
-// lost. In no window is more spent than the bound allows.
-func TestRepeatsAreKeptForAWindow(t *testing.T) {
+// Guards against deposits that expire at once: with a service that begins to refuse half of its calls, retries to other
+// servers then last for a second only. No window may have more withdrawals than the bound allows.
+func TestDepositsLastForAWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const window, step = 10 * time.Second, 100 * time.Millisecond
 		b := RetryBudget{Ratio: 0.08, Burst: 1, Window: window}
 		now := time.Unix(0, 0)
-		var asked, spent []float64 // by step
+		var requested, withdrawn []float64 // by step
 		phase, rate, need := 0, 0, 0.0
 		for i := range 400 {
 			if phase--; phase <= 0 {
@@ -51,21 +51,21 @@
 					took++
 				}
 			}
-			asked, spent = append(asked, float64(rate)), append(spent, took)
+			requested, withdrawn = append(requested, float64(rate)), append(withdrawn, took)
 			per := int(window / step)
 			if i < 2*per {
 				continue
 			}
-			most := max(sum(asked[i-per:i]), sum(asked[i-2*per:i-per]))
-			if got := sum(spent[i-per : i]); got > 0.2*most+2 {
-				r.Fatalf("%v spent, at most %v asked in a window", got, most)
+			most := max(sum(requested[i-per:i]), sum(requested[i-2*per:i-per]))
+			if got := sum(withdrawn[i-per : i]); got > 0.2*most+2 {
+				r.Fatalf("%v withdrawn, at most %v requested in a window", got, most)
 			}
 		}
 	})
 }
 
-// What was earned in calm pays for the first seconds of a fault.
-func TestASuddenFaultCanBePaidFor(t *testing.T) {
+// Deposits from before a fault pay for retries in its first seconds.
+func TestEarlierDepositsPayForASuddenFault(t *testing.T) {
 	c := qt.New(t)
 	b := RetryBudget{Ratio: 0.08, Burst: 1, Window: 10 * time.Second}
 	now, one := time.Unix(0, 0), map[string]float64{"s": 1}
@@ -80,14 +80,14 @@
 	c.Assert(paid > 300, qt.IsTrue, qt.Commentf("%d", paid))
 }
 
-// Half of what the operator allows was never used: calls whose answers were lost weren't sent again, and their roots
-// failed. What is earned can be spent in full, and in no window is more spent than was earned in it.
-func TestAllThatIsEarnedCanBeSpent(t *testing.T) {
+// Guards against a budget of which half can never be used: calls whose answers are lost aren't retried, and their roots
+// fail. All deposits must be usable, and no window may have more withdrawals than deposits.
+func TestAllDepositsCanBeWithdrawn(t *testing.T) {
 	c := qt.New(t)
 	const step = 10 * time.Millisecond
 	b := RetryBudget{Ratio: 0.1, Window: 10 * time.Second}
 	now, one := time.Unix(0, 0), map[string]float64{"s": 1}
-	var spent []float64
+	var withdrawn []float64
 	for range 6000 {
 		now = now.Add(step)
 		for range 5 {
@@ -97,11 +97,11 @@
 		for b.TryWithdraw(now, one) {
 			took++
 		}
-		spent = append(spent, took)
+		withdrawn = append(withdrawn, took)
 	}
 	const per = 1000
-	for i := 2 * per; i < len(spent); i += 10 {
-		got := sum(spent[i-per : i])
+	for i := 2 * per; i < len(withdrawn); i += 10 {
+		got := sum(withdrawn[i-per : i])
 		c.Assert(got <= 500 && got > 440, qt.IsTrue, qt.Commentf("%v of 500 in a window", got))
 	}
 }
@@ -114,8 +114,8 @@
 	return total
 }
 
-// Windows went by the time of day: where it jumped ahead, what had been spent was forgotten and could be spent again.
-func TestWindowsGoByTheSteadyClock(t *testing.T) {
+// Guards against windows by the wall clock: a jump ahead drops past withdrawals, and their tokens could be used again.
+func TestWindowsGoByTheMonotonicClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := RetryBudget{Burst: 1, Window: 10 * time.Second}
@@ -124,8 +124,8 @@
 		c.Assert(b.TryWithdraw(begun, one), qt.IsTrue)
 		time.Sleep(time.Second)
 		c.Assert(b.TryWithdraw(time.Now(), one), qt.IsFalse)
-		parts := b.of(time.Now(), "s").part
-		c.Assert(parts, qt.Equals, int64(2), qt.Commentf("counted from the first use, not by the time of day"))
+		parts := b.windowOf(time.Now(), "s").step
+		c.Assert(parts, qt.Equals, int64(2), qt.Commentf("counted from the first use, not by the wall clock"))
 		time.Sleep(10 * time.Second)
 		c.Assert(b.TryWithdraw(time.Now(), one), qt.IsTrue)
 	})
