--- a/pkg/loads/graph_of_calls.go
+++ b/pkg/loads/call_graph.go
@@ -5,7 +5,7 @@
 // runKey names the runs of one route at the servers of one service.
 type runKey struct{ service, route string }
 
-// CallGraph returns the calls that one run makes, averaged over the servers of its service by their runs.
+// CallGraph returns the calls that one run makes by service and route, averaged over the service's servers by their runs.
 func CallGraph(reports []*Report) callgraph.Graph {
 	g := callgraph.Graph{}
 	rates := runRates(reports)
@@ -25,7 +25,7 @@
 	return g
 }
 
-// runRates returns the runs a second of all servers of a service.
+// runRates returns the runs a second of each route at all servers of a service.
 func runRates(reports []*Report) map[runKey]float64 {
 	rates := map[runKey]float64{}
 	for _, r := range reports {
--- a/pkg/loads/doc.go
+++ b/pkg/loads/doc.go
@@ -1,10 +1,10 @@
-// Package loads is what the nodes of a mesh tell each other of their load, and what is read from it.
+// Package loads holds the load reports that the nodes of a mesh send each other, and what is computed from them.
 //
-// A node tells those of its availability zone a Report (report.go): which requests begin beside its server, and what
-// runs there, for how long, with which calls. Other zones hear the sums by service (service_sum.go). From all of them
-// each node works out the same: which routes are calls of backend servers (called_routes.go), which calls a run of a
-// route makes (graph_of_calls.go), and where it runs and for how long (places_of_routes.go).
+// A node sends a Report (report.go) to the nodes of its availability zone: which requests begin beside its backend server,
+// and what runs there, for how long, with which calls. Other zones receive the sums by service (service_sum.go). From these
+// each node computes the same results: which routes are internal (internal_routes.go), which calls a run of a route makes
+// (call_graph.go), and where it runs and for how long (placements.go).
 //
-// Package mesh keeps the reports and forgets them. What they told of runs is remembered beyond that (kept_runs.go), and
-// beyond the life of all processes as what was learned of each service (learned.go).
+// Package mesh stores the reports and drops old ones. What they reported of runs is retained longer (retained_runs.go), and
+// what was learned of each service is stored beyond the life of all processes (learned.go).
 package loads
--- a/pkg/loads/called_routes_test.go
+++ b/pkg/loads/internal_routes_test.go
@@ -9,24 +9,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// madeUpSite says how many VMs of each service a zone has, and what begins beside them.
-type madeUpSite struct {
-	vms    []madeUpVMs
+// simulatedSite holds how many VMs of each service a zone has, and the requests that begin beside them.
+type simulatedSite struct {
+	vms    []simulatedVMs
 	routes Origins
 	rnd    *rand.Rand
 }
 
-// madeUpVMs are the VMs of one service in one zone.
-type madeUpVMs struct {
+// simulatedVMs are the VMs of one service in one zone.
+type simulatedVMs struct {
 	at Origin
 	n  int
 }
 
-func newMadeUpSite(seed uint64, zones int, vms ...int) *madeUpSite {
-	s := &madeUpSite{routes: Origins{}, rnd: rand.New(rand.NewPCG(seed, 1))}
+func newSimulatedSite(seed uint64, zones int, vms ...int) *simulatedSite {
+	s := &simulatedSite{routes: Origins{}, rnd: rand.New(rand.NewPCG(seed, 1))}
 	for z := range zones {
 		for i, n := range vms {
-			s.vms = append(s.vms, madeUpVMs{Origin{fmt.Sprint("zone", z), service(i)}, n})
+			s.vms = append(s.vms, simulatedVMs{Origin{fmt.Sprint("zone", z), service(i)}, n})
 		}
 	}
 	return s
@@ -34,27 +34,27 @@
 
 func service(i int) string { return fmt.Sprint("service", i) }
 
-// rateSpan is the time in seconds that a rate counts over.
+// rateSpan is the time in seconds over which a rate is counted.
 const rateSpan = 2.0
 
-// add puts requests of a route beside a server, as many as counting over a short time gives.
-func (s *madeUpSite) add(route string, at Origin, rate, alone float64) {
+// add adds requests of a route beside a server, with the noise of counting over a short time.
+func (s *simulatedSite) add(route string, at Origin, rate, noCaller float64) {
 	noisy := max(rate+s.rnd.NormFloat64()*math.Sqrt(rate/rateSpan), 0)
 	s.routes.AddReport(at.Zone, &Report{
 		Service: at.Service,
-		Entries: map[string]Entry{route: {Fresh: noisy, WithoutCaller: noisy * alone}},
+		Entries: map[string]Entry{route: {Fresh: noisy, WithoutCaller: noisy * noCaller}},
 	})
 }
 
-// clients send a route to all VMs alike.
-func (s *madeUpSite) clients(route string, perVM, alone float64) {
+// clients adds clients' requests of a route, equally at all VMs.
+func (s *simulatedSite) clients(route string, perVM, noCaller float64) {
 	for _, v := range s.vms {
-		s.add(route, v.at, perVM*float64(v.n), alone)
+		s.add(route, v.at, perVM*float64(v.n), noCaller)
 	}
 }
 
-// calls have the servers of some services call a route.
-func (s *madeUpSite) calls(route string, perVM float64, services ...int) {
+// calls adds calls of a route by the servers of some services.
+func (s *simulatedSite) calls(route string, perVM float64, services ...int) {
 	for _, v := range s.vms {
 		for _, i := range services {
 			if v.at.Service == service(i) {
@@ -66,16 +66,16 @@
 
 func never(string) bool { return false }
 
-func (s *madeUpSite) check(c *qt.C, want map[string]bool) {
+func (s *simulatedSite) check(c *qt.C, want map[string]bool) {
 	c.Check(s.routes.InternalRoutes(never), qt.DeepEquals, want, qt.Commentf("%v", s.routes))
 }
 
-// A callee of two services was taken for a client's request: the calls below it weren't counted, its root requests
-// seemed to cost a twentieth of what they do, and the service below was swamped to the end of the day.
-func TestCallOfTwoServicesIsOne(t *testing.T) {
+// Guards against taking a callee of two services for a client route: the calls below it aren't counted, its root requests
+// seem to cost a twentieth of what they do, and the service below is overloaded for good.
+func TestCalleeOfTwoServicesIsInternal(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
-		s := newMadeUpSite(seed, 3, 2, 1, 1, 1)
+		s := newSimulatedSite(seed, 3, 2, 1, 1, 1)
 		s.clients("read", 14, 0.9)
 		s.clients("correct", 5, 0.9)
 		s.clients("release", 3, 0.6)
@@ -89,11 +89,11 @@
 	}
 }
 
-// Clients whose requests never come alone still bring them to all servers.
-func TestClientsOfShortRequestsAreNotTakenForServers(t *testing.T) {
+// Clients whose requests always arrive while a run is in progress still send them to all servers.
+func TestClientRoutesWithoutLoneRequestsAreNotInternal(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
-		s := newMadeUpSite(seed, 3, 12, 9, 2, 1)
+		s := newSimulatedSite(seed, 3, 12, 9, 2, 1)
 		s.clients("long", 14, 0.9)
 		s.clients("short", 2, 0)
 		s.calls("called", 30, 0, 1, 2)
@@ -101,11 +101,11 @@
 	}
 }
 
-// A callee that all services call is known by where its calls begin.
-func TestCallOfAllServicesIsOne(t *testing.T) {
+// A callee of all services is recognized by the origins of its calls.
+func TestCalleeOfAllServicesIsInternal(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
-		s := newMadeUpSite(seed, 2, 3, 2, 2)
+		s := newSimulatedSite(seed, 2, 3, 2, 2)
 		s.clients("root", 20, 0.9)
 		s.calls("all", 70, 0)
 		s.calls("all", 10, 1, 2)
@@ -113,10 +113,10 @@
 	}
 }
 
-// Clients may be at some VMs only; what they send comes while nothing is in progress, too.
-func TestClientsAtSomeServersOnly(t *testing.T) {
+// Clients may be at some VMs only; their requests also arrive while nothing is in progress.
+func TestClientsAtSomeServersOnlyAreNotCalls(t *testing.T) {
 	c := qt.New(t)
-	s := newMadeUpSite(1, 3, 2, 2, 2)
+	s := newSimulatedSite(1, 3, 2, 2, 2)
 	s.clients("root", 20, 0.9)
 	for _, v := range s.vms {
 		if v.at.Service == service(1) {
@@ -126,21 +126,21 @@
 	s.check(c, map[string]bool{"root": false, "desk": false})
 }
 
-// Of a route that is hardly used what was known holds.
-func TestRareRoutesStayWhatTheyWere(t *testing.T) {
+// A rarely used route keeps its earlier classification.
+func TestRareRoutesKeepTheirClassification(t *testing.T) {
 	c := qt.New(t)
-	s := newMadeUpSite(1, 1, 2, 2)
+	s := newSimulatedSite(1, 1, 2, 2)
 	s.clients("root", 20, 0.9)
 	s.add("called", Origin{"zone0", service(0)}, 0.5, 0)
 	c.Check(s.routes.InternalRoutes(func(route string) bool { return route == "called" })["called"], qt.IsTrue)
 	c.Check(s.routes.InternalRoutes(never)["called"], qt.IsFalse)
 }
 
-// When hardly anything is asked for, as just before and after a loss of all nodes, calls begin at no clearly other servers than
-// clients' requests do; what was known before holds then.
-func TestWhatWasKnownHoldsWhileLittleIsAskedFor(t *testing.T) {
+// Under very low load, as just before and after a loss of all nodes, calls don't begin clearly elsewhere than clients'
+// requests do; the earlier classification holds then.
+func TestClassificationIsKeptUnderLowLoad(t *testing.T) {
 	c := qt.New(t)
-	site := newMadeUpSite(1, 3, 2, 1, 1, 1)
+	site := newSimulatedSite(1, 3, 2, 1, 1, 1)
 	site.clients("root", 0.5, 0.5)
 	site.calls("called", 0.6, 0)
 	known := func(route string) bool { return route == "called" }
--- a/pkg/loads/kind_of_request.go
+++ b/pkg/loads/kind_of_request.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// kindSeparator stands in no name.
+// kindSeparator occurs in no name.
 const kindSeparator = "\x1f"
 
-// Kind names the requests of one route whose teams have one priority, in reports and in the plan. That of teams of the most urgent priority,
-// and of requests that no team sends, is the route's name alone. There are as many kinds as routes and priorities, and not as teams:
-// reports cross availability zones.
+// Kind names the requests of one route by teams of one priority, in reports and in the plan. The kind of the most urgent
+// teams, and of requests that no team sends, is the route's name alone. Kinds go by priority and not by team to keep
+// reports small, as they cross availability zones.
 func Kind(route string, teamPriority int) string {
 	if teamPriority == 0 {
 		return route
@@ -18,7 +18,7 @@
 	return route + kindSeparator + strconv.Itoa(teamPriority)
 }
 
-// SplitKind returns what a kind is made of.
+// SplitKind returns the route and the team priority of a kind.
 func SplitKind(kind string) (route string, teamPriority int) {
 	route, text, found := strings.Cut(kind, kindSeparator)
 	if !found {
@@ -31,5 +31,5 @@
 	return route, p
 }
 
-// KindLabel returns the name of a kind for logs and metrics.
+// KindLabel returns the label of a kind in logs and metrics.
 func KindLabel(kind string) string { return strings.Replace(kind, kindSeparator, " team-priority ", 1) }
--- a/pkg/loads/kind_of_request_test.go
+++ b/pkg/loads/kind_of_request_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestKindsAreSplitAsTheyWereMade(t *testing.T) {
+func TestSplitKindInvertsKind(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
 		route    string
--- a/pkg/loads/learned.go
+++ b/pkg/loads/learned.go
@@ -2,29 +2,29 @@
 
 import "github.com/rockspoke/rockspoke/pkg/callgraph"
 
-// Learned is what is known of the runs at the servers of one service. It outlasts the loss of all processes: after one,
-// in the middle of an overload, there is no calm to learn in, and a plan that lacks a part of it lets in several times
-// too much.
+// Learned is what was learned of the runs at the servers of one service. It is stored to survive the loss of all processes:
+// a start during an overload has no calm period to learn in, and a plan that lacks a part of it admits several times too
+// much.
 type Learned struct {
 	Service string `json:"service"`
-	// CallsPerRun are how many calls of each route one run of each route makes.
+	// CallsPerRun is how many calls of each route one run of each route makes.
 	CallsPerRun map[string]callgraph.Rates `json:"calls"`
-	// Times are how often each route runs at all servers of the service, and for how long.
+	// Times is how often each route runs at all servers of the service, and for how long.
 	Times map[string]RunTiming `json:"times,omitempty"`
-	// InternalRoutes are those of the routes that only backend servers call. Until that is known, calls can't be counted, and runs
-	// seem to make none.
+	// InternalRoutes are the routes that only backend servers call. Until they are known, calls can't be counted, and runs seem
+	// to make none.
 	InternalRoutes []string `json:"inner,omitempty"`
-	// Demand are how many first attempts a second clients make in all of each of the routes.
+	// Demand is the clients' first attempts a second of each kind.
 	Demand map[string]float64 `json:"asked,omitempty"`
 }
 
-// RunTiming are how often a route runs a second, and for how long one run holds a slot, in seconds.
+// RunTiming is how many runs of a route start a second, and for how many seconds one holds a slot.
 type RunTiming struct {
 	Rate        float64 `json:"rate"`
 	HoldSeconds float64 `json:"hold"`
 }
 
-// Runs returns the runs of each route of which all is known.
+// Runs returns the runs of each route that has timings.
 func (l *Learned) Runs() map[string]RunStats {
 	runs := make(map[string]RunStats, len(l.Times))
 	for route, t := range l.Times {
--- a/pkg/loads/learned_costs_test.go
+++ b/pkg/loads/learned_costs_test.go
@@ -11,12 +11,12 @@
 	"github.com/rockspoke/rockspoke/pkg/callgraph"
 )
 
-// prices is the further customer's shape: two services share a callee, one kind is split over two services.
-func prices() madeUpGraph {
+// sharedCalleeGraph has two services that share a callee, and one kind that is split over two services.
+func sharedCalleeGraph() simulatedGraph {
 	const ms = time.Millisecond
-	return madeUpGraph{
+	return simulatedGraph{
 		services: []string{"quotes", "corrections", "releases", "archive"},
-		routes: map[string]madeUpRoute{
+		routes: map[string]simulatedRoute{
 			"read":    {rate: 90, at: []string{"quotes"}, work: 120 * ms, limit: 800 * ms, calls: map[string]int{"check": 1}},
 			"correct": {rate: 35, at: []string{"corrections", "quotes"}, work: 160 * ms, limit: 1000 * ms, calls: map[string]int{"fixing": 2}},
 			"release": {rate: 25, at: []string{"releases"}, work: 84 * ms, limit: 900 * ms},
@@ -28,10 +28,10 @@
 	}
 }
 
-// deep is a chain of calls through many services, with a kind of its own at each second one.
-func deep(services int) madeUpGraph {
+// deepChainGraph is a chain of calls through many services, with a root kind of its own at every second one.
+func deepChainGraph(services int) simulatedGraph {
 	const ms = time.Millisecond
-	g := madeUpGraph{routes: map[string]madeUpRoute{}}
+	g := simulatedGraph{routes: map[string]simulatedRoute{}}
 	for i := range services {
 		name := fmt.Sprintf("s%02d", i)
 		g.services = append(g.services, name)
@@ -39,9 +39,9 @@
 		if i+1 < services {
 			calls[fmt.Sprintf("call%02d", i+1)] = 1
 		}
-		g.routes[fmt.Sprintf("call%02d", i)] = madeUpRoute{at: []string{name}, work: 10 * ms, limit: 3000 * ms, calls: calls}
+		g.routes[fmt.Sprintf("call%02d", i)] = simulatedRoute{at: []string{name}, work: 10 * ms, limit: 3000 * ms, calls: calls}
 		if i%2 == 1 {
-			g.routes[fmt.Sprintf("own%02d", i)] = madeUpRoute{rate: 20, at: []string{name}, work: 40 * ms, limit: 3500 * ms}
+			g.routes[fmt.Sprintf("own%02d", i)] = simulatedRoute{rate: 20, at: []string{name}, work: 40 * ms, limit: 3500 * ms}
 		}
 	}
 	top := g.routes["call00"]
@@ -50,8 +50,8 @@
 	return g
 }
 
-// trueRuns returns the runs by service of one request of a route.
-func (g madeUpGraph) trueRuns(route string) map[string]float64 {
+// trueRuns returns the runs by service that one request of a route causes.
+func (g simulatedGraph) trueRuns(route string) map[string]float64 {
 	r := g.routes[route]
 	runs := map[string]float64{}
 	for _, s := range r.at {
@@ -65,10 +65,10 @@
 	return runs
 }
 
-// checkRoots holds the runs that root requests seem to cause against the true ones; error is a share of the latter, and
-// stray the runs that a root may seem to cause where it has none, as a share of what others cause there.
-func (g madeUpGraph) checkRoots(c *qt.C, seed uint64, span time.Duration, most, stray float64) {
-	reports := g.play(seed, span)
+// checkRoots compares the learned runs of root requests with the true ones. The error may be a share most of the latter;
+// where a root truly has no runs, it may seem to cause up to stray of them.
+func (g simulatedGraph) checkRoots(c *qt.C, seed uint64, span time.Duration, most, stray float64) {
+	reports := g.simulate(seed, span)
 	costs := callgraph.Costs(CallGraph(reports), Placements(reports))
 	for route, r := range g.routes {
 		if r.rate == 0 {
@@ -88,30 +88,30 @@
 func TestCostsOfSharedCalleesAndSplitsAreLearned(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(4) {
-		prices().checkRoots(c, seed, 8*time.Second, 0.3, 0.4)
+		sharedCalleeGraph().checkRoots(c, seed, 8*time.Second, 0.3, 0.4)
 	}
 }
 
 func TestCostsOfCallsSeenLateAreLearned(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(3) {
-		g := prices()
+		g := sharedCalleeGraph()
 		g.late = 8 * time.Millisecond
 		g.checkRoots(c, seed, 8*time.Second, 0.35, 0.5)
 	}
 }
 
-// While calls are shed or fail, a kind that makes none may be taken for a caller: the time limits of some calls tell
-// nothing, and the rates of the true caller and of a kind beside it explain them alike.
-func TestCostsStayRightThroughFailures(t *testing.T) {
+// Guards against naming a wrong caller while calls are shed or fail: the time limits of some calls then tell nothing, and
+// the rates of the true caller and of a kind that runs beside it explain the calls equally well.
+func TestFailuresDontNameAWrongCaller(t *testing.T) {
 	c := qt.New(t)
-	for name, change := range map[string]func(g *madeUpGraph){
-		"failed": func(g *madeUpGraph) { g.failed = 0.05 },
-		"shed":   func(g *madeUpGraph) { g.shed = 0.1 },
+	for name, change := range map[string]func(g *simulatedGraph){
+		"failed": func(g *simulatedGraph) { g.failed = 0.05 },
+		"shed":   func(g *simulatedGraph) { g.shed = 0.1 },
 	} {
 		c.Run(name, func(c *qt.C) {
 			for seed := range uint64(3) {
-				g := prices()
+				g := sharedCalleeGraph()
 				change(&g)
 				g.checkRoots(c, seed, 8*time.Second, 0.35, 0.5)
 			}
@@ -122,6 +122,6 @@
 func TestCostsOfDeepChainsAreLearned(t *testing.T) {
 	c := qt.New(t)
 	for _, services := range []int{3, 8, 28} {
-		deep(services).checkRoots(c, 1, 8*time.Second, 0.3, 0.3)
+		deepChainGraph(services).checkRoots(c, 1, 8*time.Second, 0.3, 0.3)
 	}
 }
--- a/pkg/loads/places_of_routes.go
+++ b/pkg/loads/placements.go
@@ -6,37 +6,37 @@
 	"github.com/rockspoke/rockspoke/pkg/callgraph"
 )
 
-// routeRuns are the runs of one route over all servers, for Places.
-type routeRuns struct {
-	rate, held float64            // runs a second, and the slots that they hold
-	services   map[string]float64 // runs a second
+// routeTotals are the runs of one route over all servers, for Placements.
+type routeTotals struct {
+	rate, slotsHeld float64            // runs a second, and slots held on average
+	services        map[string]float64 // runs a second by service
 }
 
-// Placements says where each route runs and for how long, by the reports.
+// Placements returns where each route runs and for how long, by the reports.
 func Placements(reports []*Report) map[string]callgraph.Placement {
-	all := map[string]*routeRuns{}
+	all := map[string]*routeTotals{}
 	for _, r := range reports {
 		for route, x := range r.Runs {
 			s := all[route]
 			if s == nil {
-				s = &routeRuns{services: map[string]float64{}}
+				s = &routeTotals{services: map[string]float64{}}
 				all[route] = s
 			}
 			s.rate += x.Rate
-			s.held += x.Rate * x.HoldSeconds
+			s.slotsHeld += x.Rate * x.HoldSeconds
 			s.services[r.Service] += x.Rate
 		}
 	}
 	places := make(map[string]callgraph.Placement, len(all))
 	for route, s := range all {
-		places[route] = s.place()
+		places[route] = s.placement()
 	}
 	return places
 }
 
-// place returns the shares of the services and the average hold.
-func (s *routeRuns) place() callgraph.Placement {
-	p := callgraph.Placement{Shares: map[string]float64{}, HoldSeconds: s.held / s.rate}
+// placement returns the services' shares of the runs, and the average slot hold time.
+func (s *routeTotals) placement() callgraph.Placement {
+	p := callgraph.Placement{Shares: map[string]float64{}, HoldSeconds: s.slotsHeld / s.rate}
 	for service, rate := range s.services {
 		p.Shares[service] = rate / s.rate
 	}
--- a/pkg/loads/kept_test.go
+++ b/pkg/loads/retained_test.go
@@ -13,7 +13,7 @@
 	return &Report{Service: service, Runs: runs}
 }
 
-func TestRunsThatNobodyTellsOfAreRemembered(t *testing.T) {
+func TestRunsThatNobodyReportsAreRetained(t *testing.T) {
 	c := qt.New(t)
 	var k RetainedRuns
 	now := time.Unix(100, 0)
@@ -30,7 +30,7 @@
 	c.Assert(k.ByService(), qt.HasLen, 0)
 }
 
-func TestWhatIsToldGoesBeforeWhatIsRecalled(t *testing.T) {
+func TestReportedRunsGoBeforeRestoredOnes(t *testing.T) {
 	c := qt.New(t)
 	var k RetainedRuns
 	now := time.Unix(100, 0)
@@ -45,18 +45,18 @@
 	c.Assert(k.Restore(now, l.Service, l.Runs()), qt.Equals, 0)
 }
 
-// What is counted after a start grows while what was asked before fades, so that the sum is about right all the time.
-func TestDemandFromBeforeGivesWayToWhatIsCounted(t *testing.T) {
+// What is counted after a start grows while the earlier demand fades, so that their sum is about right at any time.
+func TestRestoredDemandFadesAsRequestsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	var k RetainedDemand
 	now := time.Unix(100, 0)
 	c.Assert(k.Uncounted(now), qt.HasLen, 0)
 	k.Restore(map[string]float64{"r": 50, "q": 10})
 	k.Restore(map[string]float64{"r": 100})
-	c.Assert(k.Uncounted(now.Add(time.Hour)), qt.DeepEquals, map[string]float64{"r": 100, "q": 10}, qt.Commentf("nobody has asked yet"))
+	c.Assert(k.Uncounted(now.Add(time.Hour)), qt.DeepEquals, map[string]float64{"r": 100, "q": 10}, qt.Commentf("no requests are reported yet"))
 	k.MarkReported(now)
 	k.MarkReported(now.Add(time.Second))
-	c.Assert(k.Uncounted(now.Add(countedFrom))["r"], qt.Equals, 100.0)
-	c.Assert(k.Uncounted(now.Add(countedFrom + countedSpan/2))["r"], qt.Equals, 50.0)
-	c.Assert(k.Uncounted(now.Add(countedFrom+countedSpan)), qt.HasLen, 0)
+	c.Assert(k.Uncounted(now.Add(countingDelay))["r"], qt.Equals, 100.0)
+	c.Assert(k.Uncounted(now.Add(countingDelay + fadeTime/2))["r"], qt.Equals, 50.0)
+	c.Assert(k.Uncounted(now.Add(countingDelay+fadeTime)), qt.HasLen, 0)
 }
--- a/pkg/loads/service_sum.go
+++ b/pkg/loads/service_sum.go
@@ -4,13 +4,13 @@
 	"github.com/rockspoke/rockspoke/pkg/callgraph"
 )
 
-// ServiceSum is the sum over the nodes beside one service's servers.
+// ServiceSum is the sum of the reports from the nodes beside one service's servers.
 type ServiceSum struct {
-	Nodes int    `json:"n"` // that reported
+	Nodes int    `json:"n"` // number of nodes that reported
 	Load  Report `json:"l"` // without host, epoch and sequence
 }
 
-// SumByService returns the sums of reports by service.
+// SumByService returns the sums of the reports by service.
 func SumByService(reports []*Report) []ServiceSum {
 	by := map[string]*ServiceSum{}
 	for _, r := range reports {
@@ -28,7 +28,7 @@
 	return all
 }
 
-// add puts one node's report on top.
+// add adds one node's report.
 func (s *ServiceSum) add(r *Report) {
 	s.Nodes++
 	s.Load.UsableSlots += r.UsableSlots
@@ -40,7 +40,7 @@
 	}
 }
 
-// with returns the runs of both, with times and calls averaged by how often each runs.
+// with returns the sum of both, with hold times and calls averaged by the runs of each.
 func (r RunStats) with(o RunStats) RunStats {
 	sum := RunStats{Rate: r.Rate + o.Rate, CallsPerRun: callgraph.Rates{}}
 	if sum.Rate <= 0 {
--- a/pkg/loads/service_sum_test.go
+++ b/pkg/loads/service_sum_test.go
@@ -9,8 +9,8 @@
 	"github.com/rockspoke/rockspoke/pkg/callgraph"
 )
 
-// What is learned from sums by zone and service is what the single reports tell.
-func TestSumsOfAZoneTellTheSameCosts(t *testing.T) {
+// Costs computed from the sums by zone and service equal those from the single reports.
+func TestSumsOfAZoneGiveTheSameCosts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var reports []*Report
 		for i := range rapid.IntRange(1, 9).Draw(r, "nodes") {
--- a/pkg/loads/made_up_graph_test.go
+++ b/pkg/loads/simulated_graph_test.go
@@ -9,8 +9,8 @@
 	"github.com/rockspoke/rockspoke/pkg/callgraph"
 )
 
-// madeUpRoute is a route of a made-up graph: roots have a rate.
-type madeUpRoute struct {
+// simulatedRoute is a route of a simulated graph; roots have a rate.
+type simulatedRoute struct {
 	rate  float64 // first attempts a second in the whole system
 	at    []string
 	work  time.Duration
@@ -18,50 +18,50 @@
 	calls map[string]int
 }
 
-// madeUpGraph is what is asked of some services, and how it goes wrong.
-type madeUpGraph struct {
+// simulatedGraph is a call graph with its demand and its failures.
+type simulatedGraph struct {
 	services []string
-	routes   map[string]madeUpRoute
-	failed   float64       // share of runs that fail after their work, so that the run that called them fails as well
+	routes   map[string]simulatedRoute
+	failed   float64       // share of runs that fail after their work, which also fails the calling run
 	shed     float64       // share of calls that the server refuses
-	late     time.Duration // after which a node sees a call at the latest
+	late     time.Duration // longest delay after which a node sees a call
 }
 
-// madeUpNode is a node beside a server of the graph.
-type madeUpNode struct {
+// simulatedNode is a node beside a server of the graph.
+type simulatedNode struct {
 	learner callgraph.Learner
 	entries map[string]Entry
-	runs    map[string]RunStats // Rate counts, Hold adds up
+	runs    map[string]RunStats // Rate is a count, HoldSeconds a sum
 }
 
-// player plays a graph in made-up time, on one node for each service.
-type player struct {
-	graph  madeUpGraph
-	rnd    *rand.Rand
-	nodes  map[string]*madeUpNode
-	events []playerEvent
-	inner  map[string]bool
+// simulation runs a graph in simulated time, with one node for each service.
+type simulation struct {
+	graph          simulatedGraph
+	rnd            *rand.Rand
+	nodes          map[string]*simulatedNode
+	events         []simulationEvent
+	internalRoutes map[string]bool
 }
 
-type playerEvent struct {
-	at   time.Duration
-	what func(now time.Time)
+type simulationEvent struct {
+	at time.Duration
+	do func(now time.Time)
 }
 
 const (
-	// judgedAt is when routes are told apart; calls are learned from then on.
-	judgedAt = 2 * time.Second
-	// looked is the time between looks of the learners.
-	looked = 100 * time.Millisecond
+	// classifiedAt is when routes are classified; calls are learned from then on.
+	classifiedAt = 2 * time.Second
+	// learnerInterval is the time between the learners' updates.
+	learnerInterval = 100 * time.Millisecond
 )
 
-var playStart = time.Unix(5000, 0)
+var simulationStart = time.Unix(5000, 0)
 
-// play returns the reports after a time.
-func (g madeUpGraph) play(seed uint64, span time.Duration) []*Report {
-	p := &player{graph: g, rnd: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*madeUpNode{}}
+// simulate returns the reports after a time.
+func (g simulatedGraph) simulate(seed uint64, span time.Duration) []*Report {
+	p := &simulation{graph: g, rnd: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*simulatedNode{}}
 	for _, s := range g.services {
-		p.nodes[s] = &madeUpNode{entries: map[string]Entry{}, runs: map[string]RunStats{}}
+		p.nodes[s] = &simulatedNode{entries: map[string]Entry{}, runs: map[string]RunStats{}}
 	}
 	for _, name := range sortedRoutes(g.routes) {
 		r := g.routes[name]
@@ -69,20 +69,20 @@
 			p.request(name, g.services[p.rnd.IntN(len(g.services))], at, r.limit, 0)
 		}
 	}
-	for at := looked; at < span; at += looked {
-		p.add(at, p.look)
+	for at := learnerInterval; at < span; at += learnerInterval {
+		p.add(at, p.updateLearners)
 	}
-	p.add(judgedAt, p.judge)
-	slices.SortStableFunc(p.events, func(a, b playerEvent) int { return cmp.Compare(a.at, b.at) })
+	p.add(classifiedAt, p.classifyRoutes)
+	slices.SortStableFunc(p.events, func(a, b simulationEvent) int { return cmp.Compare(a.at, b.at) })
 	for _, e := range p.events {
 		if e.at < span {
-			e.what(playStart.Add(e.at))
+			e.do(simulationStart.Add(e.at))
 		}
 	}
 	return p.reports(span)
 }
 
-func sortedRoutes(routes map[string]madeUpRoute) []string {
+func sortedRoutes(routes map[string]simulatedRoute) []string {
 	names := make([]string, 0, len(routes))
 	for name := range routes {
 		names = append(names, name)
@@ -91,13 +91,13 @@
 	return names
 }
 
-func (p *player) add(at time.Duration, what func(now time.Time)) {
-	p.events = append(p.events, playerEvent{at, what})
+func (p *simulation) add(at time.Duration, do func(now time.Time)) {
+	p.events = append(p.events, simulationEvent{at, do})
 }
 
-// request puts in a request that begins beside a service's server, and all that it causes; it returns when it ends
-// and whether it ended well.
-func (p *player) request(route, beside string, at, left, late time.Duration) (end time.Duration, good bool) {
+// request adds a request that begins beside a service's server, and all its effects; it returns when it ends and whether it
+// succeeds.
+func (p *simulation) request(route, beside string, at, left, late time.Duration) (end time.Duration, good bool) {
 	r := p.graph.routes[route]
 	left = min(left, r.limit).Truncate(time.Millisecond)
 	n := p.nodes[beside]
@@ -108,7 +108,7 @@
 			e.WithoutCaller++
 		}
 		n.entries[route] = e
-		if p.inner[route] {
+		if p.internalRoutes[route] {
 			n.learner.ObserveCall(now, route, now.Add(left))
 		}
 	})
@@ -118,12 +118,12 @@
 	return p.run(route, r.at[p.rnd.IntN(len(r.at))], at+late, left)
 }
 
-// run puts in one run at a service.
-func (p *player) run(route, service string, at, left time.Duration) (end time.Duration, good bool) {
+// run adds one run at a service; it returns when it ends and whether it succeeds.
+func (p *simulation) run(route, service string, at, left time.Duration) (end time.Duration, good bool) {
 	r, n := p.graph.routes[route], p.nodes[service]
 	var run *callgraph.Run
 	p.add(at, func(now time.Time) { run = n.learner.BeginRun(now, route, now.Add(left)) })
-	end, good = at+p.around(r.work), true
+	end, good = at+p.jitter(r.work), true
 	for _, called := range sortedCalls(r.calls) {
 		for range r.calls[called] {
 			if !good || end >= at+left {
@@ -154,27 +154,27 @@
 	return names
 }
 
-func (p *player) around(d time.Duration) time.Duration {
+func (p *simulation) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + p.rnd.Float64()) * float64(d))
 }
 
-func (p *player) look(now time.Time) {
+func (p *simulation) updateLearners(now time.Time) {
 	for _, n := range p.nodes {
 		n.learner.Update(now)
 	}
 }
 
-// judge tells calls from clients' requests, by what was seen until now.
-func (p *player) judge(time.Time) {
+// classifyRoutes separates internal routes from clients' ones by the requests seen so far.
+func (p *simulation) classifyRoutes(time.Time) {
 	all := Origins{}
-	for _, r := range p.reports(judgedAt) {
+	for _, r := range p.reports(classifiedAt) {
 		all.AddReport("z", r)
 	}
-	p.inner = all.InternalRoutes(func(string) bool { return false })
+	p.internalRoutes = all.InternalRoutes(func(string) bool { return false })
 }
 
-// reports returns what the nodes tell after a time.
-func (p *player) reports(span time.Duration) []*Report {
+// reports returns the nodes' reports after a time.
+func (p *simulation) reports(span time.Duration) []*Report {
 	var all []*Report
 	for _, s := range p.graph.services {
 		n := p.nodes[s]
