--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -7,11 +7,11 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// Decision is what the Gate decides about a ticket.
+// Decision is the Gate's decision about a ticket: started, queued or rejected.
 type Decision struct {
 	Start  bool
-	Queued bool        // Notify tells how it ends
-	Reason wire.Reason // why it was refused
+	Queued bool        // Notify receives the final decision
+	Reason wire.Reason // why it was rejected
 }
 
 // Ticket is a request that wants to start.
@@ -19,59 +19,59 @@
 	Internal    bool // a call of a request in progress
 	Priority    int  // 0 is the most urgent
 	Deadline    time.Time
-	Age         time.Duration  // of a call: how long before it the work began that it belongs to, at least
-	TypicalHold time.Duration  // for which requests of its kind hold a slot at any server; 0: not known
+	Age         time.Duration  // of a call: lower bound of the time since its root's work began
+	TypicalHold time.Duration  // slot hold time of its kind over all servers; 0 if unknown
 	Notify      func(Decision) // called once if the ticket was queued
 
 	arrived time.Time
-	order   int64
-	plain   bool // due when it arrived
+	seq     int64
+	fifo    bool // counts as arrived when it did, without lead or lag
 	queued  bool
 }
 
-// State is a Gate's state.
+// State is a snapshot of a Gate.
 type State struct {
 	Limit        float64       `json:"limit"`
 	Running      int           `json:"running"`
 	Queued       int           `json:"queued"`
 	HoldTime     time.Duration `json:"hold_ns"`
-	Slowdown     float64       `json:"pace"`    // time that requests hold a slot, as a multiple of what their kinds do at any server
-	SuccessShare float64       `json:"success"` // share of good answers among those of requests that ran
+	Slowdown     float64       `json:"pace"`    // slot hold time as a multiple of what the requests' kinds take over all servers
+	SuccessShare float64       `json:"success"` // share of successful answers among requests that ran
 	ShedShare    float64       `json:"shed"`    // share of requests that the server itself refused
 }
 
-// limitShare of the slots are used: servers slow down when they are nearly full.
-const limitShare = 0.92
+// limitFraction is the fraction of the slots that is used: servers slow down when they are nearly full.
+const limitFraction = 0.92
 
 // Gate decides for one backend server; it isn't safe for concurrent use.
 type Gate struct {
-	// FIFO tells that the queue is in the order of arrival, without a lead of calls or of urgent roots.
+	// FIFO keeps the queue in the order of arrival, without a lead for calls or a lag for less urgent roots.
 	FIFO bool
 
-	slots   int
-	limit   float64
-	running int
-	queue   []*Ticket // the next to start is first
-	order   int64
-	hold    time.Duration
-	pace    float64
-	success float64
-	shed    float64
-	open    bool
+	slots        int
+	limit        float64
+	running      int
+	queue        []*Ticket // the next to start is first
+	seq          int64
+	holdTime     time.Duration
+	slowdown     float64
+	successShare float64
+	shedShare    float64
+	open         bool
 }
 
-// Open sets the server's slots and lets requests in; a server that was replaced starts afresh.
+// Open sets the server's slots and admits requests; a fresh server, which has replaced another, starts with new statistics.
 func (g *Gate) Open(slots int, fresh bool) {
 	slots = max(slots, 1)
 	if slots != g.slots || fresh {
 		g.slots = slots
-		g.limit = float64(slots) * limitShare
-		g.pace, g.success, g.shed = 1, 1, 0
+		g.limit = float64(slots) * limitFraction
+		g.slowdown, g.successShare, g.shedShare = 1, 1, 0
 	}
 	g.open = true
 }
 
-// Close refuses what waits and what comes; what runs goes on.
+// Close rejects queued and new tickets; running requests continue.
 func (g *Gate) Close() {
 	g.open = false
 	waiting := g.queue
@@ -82,7 +82,7 @@
 	}
 }
 
-// Submit decides about a new ticket.
+// Submit starts, queues or rejects a new ticket.
 func (g *Gate) Submit(now time.Time, t *Ticket) Decision {
 	if !g.open {
 		return Decision{Reason: wire.ReasonLeaving}
@@ -91,28 +91,28 @@
 	if g.tooLate(t, now) {
 		return Decision{Reason: wire.ReasonDeadline}
 	}
-	t.arrived, t.plain = now, g.FIFO
-	g.order++
-	t.order = g.order
-	if len(g.queue) == 0 && g.room() {
+	t.arrived, t.fifo = now, g.FIFO
+	g.seq++
+	t.seq = g.seq
+	if len(g.queue) == 0 && g.hasFreeSlot() {
 		g.running++
 		return Decision{Start: true}
 	}
-	place, _ := slices.BinarySearchFunc(g.queue, t, compare)
-	if g.wait(place) > g.longestWait(t, left) {
+	index, _ := slices.BinarySearchFunc(g.queue, t, compareTickets)
+	if g.expectedWait(index) > g.maxWait(t, left) {
 		return Decision{Reason: wire.ReasonQueue}
 	}
-	g.queue = slices.Insert(g.queue, place, t)
+	g.queue = slices.Insert(g.queue, index, t)
 	t.queued = true
-	g.evict(now)
+	g.evictLast(now)
 	return Decision{Queued: true}
 }
 
-func (g *Gate) room() bool { return float64(g.running) < max(g.limit, 1) }
+func (g *Gate) hasFreeSlot() bool { return float64(g.running) < max(g.limit, 1) }
 
-// drain starts queued tickets while there is room.
-func (g *Gate) drain(now time.Time) {
-	for len(g.queue) > 0 && g.room() {
+// startQueued starts queued tickets while there are free slots.
+func (g *Gate) startQueued(now time.Time) {
+	for len(g.queue) > 0 && g.hasFreeSlot() {
 		t := g.queue[0]
 		g.queue = g.queue[1:]
 		t.queued = false
@@ -138,5 +138,5 @@
 
 // Snapshot returns the Gate's state.
 func (g *Gate) Snapshot() State {
-	return State{Limit: g.limit, Running: g.running, Queued: len(g.queue), HoldTime: g.hold, Slowdown: g.pace, SuccessShare: g.success, ShedShare: g.shed}
+	return State{Limit: g.limit, Running: g.running, Queued: len(g.queue), HoldTime: g.holdTime, Slowdown: g.slowdown, SuccessShare: g.successShare, ShedShare: g.shedShare}
 }
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -12,30 +12,30 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-func ticket(inner bool, priority int, left time.Duration, got *[]Decision) *Ticket {
-	return &Ticket{Internal: inner, Priority: priority, Deadline: begin.Add(left), Notify: func(v Decision) { *got = append(*got, v) }}
+func ticket(internal bool, priority int, left time.Duration, got *[]Decision) *Ticket {
+	return &Ticket{Internal: internal, Priority: priority, Deadline: begin.Add(left), Notify: func(v Decision) { *got = append(*got, v) }}
 }
 
-// warm returns an open gate whose requests hold a slot for the given time.
-func warm(slots int, hold time.Duration) *Gate {
+// openGate returns an open gate with a known slot hold time.
+func openGate(slots int, holdTime time.Duration) *Gate {
 	g := &Gate{}
 	g.Open(slots, true)
-	g.hold = hold
+	g.holdTime = holdTime
 	return g
 }
 
-// fill starts requests until the limit is reached.
-func fill(c *qt.C, g *Gate) {
-	for g.room() {
+// fillSlots starts requests until the limit is reached.
+func fillSlots(c *qt.C, g *Gate) {
+	for g.hasFreeSlot() {
 		v := g.Submit(begin, ticket(false, 0, time.Second, new([]Decision)))
 		c.Assert(v.Start, qt.IsTrue)
 	}
 }
 
-func TestClosedGateStartsNothingAndRefusesWhatWaits(t *testing.T) {
+func TestClosedGateRejectsQueuedAndNewTickets(t *testing.T) {
 	c := qt.New(t)
-	g := warm(10, 20*time.Millisecond)
-	fill(c, g)
+	g := openGate(10, 20*time.Millisecond)
+	fillSlots(c, g)
 	var got []Decision
 	c.Assert(g.Submit(begin, ticket(true, 0, time.Second, &got)).Queued, qt.IsTrue)
 	g.Close()
@@ -47,22 +47,22 @@
 
 func TestCallsOfRunningRequestsGoFirst(t *testing.T) {
 	c := qt.New(t)
-	g := warm(10, 20*time.Millisecond)
-	fill(c, g)
-	var low, high, inner []Decision
+	g := openGate(10, 20*time.Millisecond)
+	fillSlots(c, g)
+	var low, high, internal []Decision
 	c.Assert(g.Submit(begin, ticket(false, 2, time.Second, &low)).Queued, qt.IsTrue)
 	c.Assert(g.Submit(begin, ticket(false, 0, time.Second, &high)).Queued, qt.IsTrue)
-	c.Assert(g.Submit(begin, ticket(true, 5, time.Second, &inner)).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin, ticket(true, 5, time.Second, &internal)).Queued, qt.IsTrue)
 	g.Finish(begin, 20*time.Millisecond, 0, Answered)
-	c.Assert([]int{len(inner), len(high), len(low)}, qt.DeepEquals, []int{1, 0, 0})
+	c.Assert([]int{len(internal), len(high), len(low)}, qt.DeepEquals, []int{1, 0, 0})
 	g.Finish(begin, 20*time.Millisecond, 0, Answered)
-	c.Assert([]int{len(inner), len(high), len(low)}, qt.DeepEquals, []int{1, 1, 0})
+	c.Assert([]int{len(internal), len(high), len(low)}, qt.DeepEquals, []int{1, 1, 0})
 }
 
-func TestRootsDontWaitLong(t *testing.T) {
+func TestRootsWaitOnlyShortly(t *testing.T) {
 	c := qt.New(t)
-	g := warm(10, 100*time.Millisecond)
-	fill(c, g)
+	g := openGate(10, 100*time.Millisecond)
+	fillSlots(c, g)
 	var got []Decision
 	queued, refused := 0, 0
 	for range 100 {
@@ -77,21 +77,21 @@
 	c.Assert(refused > 0, qt.IsTrue)
 }
 
-func TestWhatCannotEndInTimeIsNotStarted(t *testing.T) {
+func TestRequestsThatCantEndInTimeAreNotStarted(t *testing.T) {
 	c := qt.New(t)
-	g := warm(10, 100*time.Millisecond)
+	g := openGate(10, 100*time.Millisecond)
 	c.Assert(g.Submit(begin, ticket(true, 0, 40*time.Millisecond, new([]Decision))).Reason, qt.Equals, wire.ReasonDeadline)
-	fill(c, g)
+	fillSlots(c, g)
 	var got []Decision
 	c.Assert(g.Submit(begin, ticket(true, 0, 200*time.Millisecond, &got)).Queued, qt.IsTrue)
 	g.Expire(begin.Add(170 * time.Millisecond))
 	c.Assert(got, qt.DeepEquals, []Decision{{Reason: wire.ReasonDeadline}})
 }
 
-// A server that refuses half of its work whatever its load keeps its limit: cutting it only lost throughput.
+// Guards against lowering the limit of a server that refuses half of its work whatever its load: that only lost throughput.
 func TestLimitStaysWhenTheServerRefuses(t *testing.T) {
 	c := qt.New(t)
-	g := warm(20, 20*time.Millisecond)
+	g := openGate(20, 20*time.Millisecond)
 	before := g.Snapshot().Limit
 	for range 200 {
 		c.Assert(g.Submit(begin, ticket(true, 0, time.Second, new([]Decision))).Start, qt.IsTrue)
@@ -102,11 +102,11 @@
 	c.Assert(g.Snapshot().HoldTime, qt.Equals, 20*time.Millisecond)
 }
 
-// Whatever happens, no more run than the limit, and every queued ticket hears its end once.
-func TestCountsHoldInAnyOrder(t *testing.T) {
+// In any order of events, no more requests run than the limit allows, and every queued ticket gets one final decision.
+func TestLimitAndDecisionsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		g := warm(rapid.IntRange(1, 8).Draw(r, "slots"), 20*time.Millisecond)
-		heard := map[int]int{}
+		g := openGate(rapid.IntRange(1, 8).Draw(r, "slots"), 20*time.Millisecond)
+		decided := map[int]int{}
 		var queued []int
 		tickets := map[int]*Ticket{}
 		now, running := begin, 0
@@ -116,7 +116,7 @@
 			case 0, 1:
 				tk := &Ticket{Internal: i%2 == 0, Priority: i % 3, Deadline: now.Add(150 * time.Millisecond)}
 				tk.Notify = func(v Decision) {
-					heard[i]++
+					decided[i]++
 					if v.Start {
 						running++
 					}
@@ -138,44 +138,44 @@
 			case 4:
 				for k, tk := range tickets {
 					if g.Cancel(tk) {
-						heard[k]++
+						decided[k]++
 						break
 					}
 				}
 			}
 			if float64(running) > max(g.limit, 1)+1 || running != g.running {
-				r.Fatalf("%d run, gate counts %d, limit %v", running, g.running, g.limit)
+				r.Fatalf("%d are running, gate counts %d, limit %v", running, g.running, g.limit)
 			}
 		}
 		g.Close()
 		for _, i := range queued {
-			if heard[i] != 1 {
-				r.Fatalf("ticket %d heard %d verdicts", i, heard[i])
+			if decided[i] != 1 {
+				r.Fatalf("ticket %d got %d decisions", i, decided[i])
 			}
 		}
 	})
 }
 
-// Roots of the smallest service, let in by the plan, were served at a tenth: as long as calls kept coming, they
-// were always behind them.
-func TestALongWaitingRootGoesBeforeLaterCalls(t *testing.T) {
+// Guards against starving roots: if calls always go first, roots that the plan admitted to the smallest service are served
+// at a tenth as long as calls keep arriving.
+func TestCallsDontStarveRoots(t *testing.T) {
 	c := qt.New(t)
-	g := warm(10, 40*time.Millisecond)
-	fill(c, g)
+	g := openGate(10, 40*time.Millisecond)
+	fillSlots(c, g)
 	var root, soon, late []Decision
 	c.Assert(g.Submit(begin, ticket(false, 0, time.Second, &root)).Queued, qt.IsTrue)
-	c.Assert(g.Submit(begin.Add(innerLead/2), ticket(true, 0, time.Second, &soon)).Queued, qt.IsTrue)
-	c.Assert(g.Submit(begin.Add(innerLead+time.Millisecond), ticket(true, 0, time.Second, &late)).Queued, qt.IsTrue)
-	now := begin.Add(innerLead + 2*time.Millisecond)
+	c.Assert(g.Submit(begin.Add(internalLead/2), ticket(true, 0, time.Second, &soon)).Queued, qt.IsTrue)
+	c.Assert(g.Submit(begin.Add(internalLead+time.Millisecond), ticket(true, 0, time.Second, &late)).Queued, qt.IsTrue)
+	now := begin.Add(internalLead + 2*time.Millisecond)
 	g.Finish(now, 20*time.Millisecond, 0, Answered)
 	c.Assert([]int{len(soon), len(root), len(late)}, qt.DeepEquals, []int{1, 0, 0})
 	g.Finish(now, 20*time.Millisecond, 0, Answered)
 	c.Assert([]int{len(soon), len(root), len(late)}, qt.DeepEquals, []int{1, 1, 0})
 }
 
-// A server that runs long reads refused short calls that had many times as long left as they take: it went by the
-// average of both.
-func TestShortRequestsAreNotTooLateForLongOnes(t *testing.T) {
+// Guards against one average hold time for all kinds: a server that runs long reads then rejects short calls that have many
+// times the time they need.
+func TestHoldTimeOfLongKindsDoesntRejectShortOnes(t *testing.T) {
 	c := qt.New(t)
 	var g Gate
 	g.Open(10, true)
@@ -188,11 +188,11 @@
 	long := &Ticket{Deadline: begin.Add(200 * time.Millisecond), TypicalHold: 800 * time.Millisecond}
 	c.Assert(g.Submit(begin, long).Reason, qt.Equals, wire.ReasonDeadline)
 	unknown := &Ticket{Deadline: begin.Add(200 * time.Millisecond)}
-	c.Assert(g.Submit(begin, unknown).Reason, qt.Equals, wire.ReasonDeadline, qt.Commentf("by all that ran here"))
+	c.Assert(g.Submit(begin, unknown).Reason, qt.Equals, wire.ReasonDeadline, qt.Commentf("by the average of all that ran here"))
 }
 
-// Where a part of the calls was turned away at random, hardly a request of eight calls ended well: those of requests that
-// have made most of theirs go first, and a root waits no longer than the bound.
+// Under rejections at random, hardly any request of eight calls succeeds. Calls of requests that have made most of theirs
+// go first, and a root waits no longer than the bound.
 func TestCallsOfOldRequestsGoFirst(t *testing.T) {
 	c := qt.New(t)
 	var g Gate
@@ -212,7 +212,7 @@
 	c.Assert(g.Submit(begin, ticket("first call", &Ticket{Internal: true})).Queued, qt.IsTrue)
 	c.Assert(g.Submit(later, ticket("root", &Ticket{})).Queued, qt.IsTrue)
 	c.Assert(g.Submit(later, ticket("fifth call", &Ticket{Internal: true, Age: 150 * time.Millisecond})).Queued, qt.IsTrue)
-	muchLater := later.Add(innerLead + mostAgeLead)
+	muchLater := later.Add(internalLead + maxAgeLead)
 	c.Assert(g.Submit(muchLater, ticket("last call", &Ticket{Internal: true, Age: time.Hour})).Queued, qt.IsTrue)
 	for range 5 {
 		g.Finish(muchLater, 0, 0, Abandoned)
--- a/pkg/gate/run_outcome.go
+++ b/pkg/gate/run_outcome.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// The weights of one run in what is known of the server.
+// The weights of one run in the smoothed statistics of the server.
 const (
-	// holdGain is the weight of one request in the smoothed time for which a slot is held.
-	holdGain = 0.05
-	// paceGain is the weight of one request in the smoothed pace.
-	paceGain = 0.03
-	// mostPace bounds what one request says of the pace: the work of some takes many times as long as usual.
-	mostPace = 20.0
-	// successGain is the weight of one answer in the smoothed share of good answers.
-	successGain = 0.05
+	// holdTimeWeight is the weight of one request in the smoothed slot hold time.
+	holdTimeWeight = 0.05
+	// slowdownWeight is the weight of one request in the smoothed slowdown factor.
+	slowdownWeight = 0.03
+	// maxSlowdown bounds the slowdown of one request: the work of some takes many times as long as is typical.
+	maxSlowdown = 20.0
+	// outcomeWeight is the weight of one run in the smoothed shares of successful and of refused runs.
+	outcomeWeight = 0.05
 )
 
 // Outcome is how a started request ended at the server.
@@ -19,13 +19,13 @@
 
 // The outcomes.
 const (
-	Answered  Outcome = iota + 1 // with an answer of its work
-	Failed                       // with an error, or without a whole answer
+	Answered  Outcome = iota + 1 // with a successful answer
+	Failed                       // with an error or an incomplete answer
 	Shed                         // the server refused it
 	Abandoned                    // the caller gave up
 )
 
-// String names the outcome.
+// String returns the outcome's name in metrics.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -40,34 +40,34 @@
 	return "unknown"
 }
 
-// Finish notes that a started request has ended after it held its slot; usual is how long requests of its kind hold one
-// at any server of the service, or 0.
-func (g *Gate) Finish(now time.Time, held, usual time.Duration, o Outcome) {
+// Finish records that a started request ended with an outcome after it held its slot, and starts queued tickets. typical is
+// the slot hold time of its kind over all servers of the service, or 0 if unknown.
+func (g *Gate) Finish(now time.Time, held, typical time.Duration, o Outcome) {
 	g.running--
 	if o != Abandoned {
-		g.shed -= successGain * g.shed
+		g.shedShare -= outcomeWeight * g.shedShare
 	}
 	switch o {
 	case Answered:
-		g.observe(held, usual)
-		g.success += successGain * (1 - g.success)
+		g.observeHold(held, typical)
+		g.successShare += outcomeWeight * (1 - g.successShare)
 	case Failed:
-		g.success -= successGain * g.success
+		g.successShare -= outcomeWeight * g.successShare
 	case Shed:
-		g.shed += successGain
-		// The limit stays: a server that is never filled by us refuses for a fault of its own, whatever its load.
+		g.shedShare += outcomeWeight
+		// The limit stays: the gate never fills the server, so it refuses for a fault of its own, whatever its load.
 	case Abandoned:
 	}
-	g.drain(now)
+	g.startQueued(now)
 }
 
-// observe counts the time for which a run held its slot.
-func (g *Gate) observe(held, usual time.Duration) {
-	if g.hold == 0 {
-		g.hold = held
+// observeHold adds one run's slot hold time to the smoothed hold time and slowdown.
+func (g *Gate) observeHold(held, typical time.Duration) {
+	if g.holdTime == 0 {
+		g.holdTime = held
 	}
-	g.hold += time.Duration(holdGain * float64(held-g.hold))
-	if usual > 0 {
-		g.pace += paceGain * (min(float64(held)/float64(usual), mostPace) - g.pace)
+	g.holdTime += time.Duration(holdTimeWeight * float64(held-g.holdTime))
+	if typical > 0 {
+		g.slowdown += slowdownWeight * (min(float64(held)/float64(typical), maxSlowdown) - g.slowdown)
 	}
 }
--- a/pkg/gate/ticket_order.go
+++ b/pkg/gate/ticket_order.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// The lead and the lag in the order of tickets. A root was admitted for this server, so it isn't left behind
-// for as long as calls, or more urgent roots, keep coming.
+// The lead and lag of tickets in the queue. They are bounded: a root was admitted for this server, so it must not wait
+// for as long as calls, or more urgent roots, keep arriving.
 const (
-	// innerLead is how much earlier a call of a running request counts as come: the work above it waits.
-	innerLead = 40 * time.Millisecond
-	// mostAgeLead bounds how much earlier still a call counts as come by its age. Where not all calls can be served it
-	// is better that those of requests that have made most of theirs are: one that fails takes all the work before it
-	// along. The bound keeps roots from waiting for ever.
-	mostAgeLead = 600 * time.Millisecond
-	// priorityLag is how much later a root counts as come for each step of urgency that it lacks.
-	priorityLag = 20 * time.Millisecond
+	// internalLead is how much earlier a call counts as arrived: a running request waits for it.
+	internalLead = 40 * time.Millisecond
+	// maxAgeLead bounds the further lead of a call by its age. If not all calls can be served, those of requests that have made
+	// most of theirs should be: a failed call wastes all the work before it. The bound keeps roots from waiting forever.
+	maxAgeLead = 600 * time.Millisecond
+	// lagPerPriority is how much later a root counts as arrived for each priority step below the most urgent.
+	lagPerPriority = 20 * time.Millisecond
 )
 
-// compare orders tickets by when they are due.
-func compare(a, b *Ticket) int {
-	return cmp.Or(a.due().Compare(b.due()), cmp.Compare(a.order, b.order))
+// compareTickets orders tickets by effective arrival, then by arrival.
+func compareTickets(a, b *Ticket) int {
+	return cmp.Or(a.effectiveArrival().Compare(b.effectiveArrival()), cmp.Compare(a.seq, b.seq))
 }
 
-// due is the time as of which a ticket counts as come.
-func (t *Ticket) due() time.Time {
+// effectiveArrival returns the time at which a ticket counts as arrived.
+func (t *Ticket) effectiveArrival() time.Time {
 	switch {
-	case t.plain:
+	case t.fifo:
 		return t.arrived
 	case t.Internal:
-		return t.arrived.Add(-innerLead - min(t.Age, mostAgeLead))
+		return t.arrived.Add(-internalLead - min(t.Age, maxAgeLead))
 	}
-	return t.arrived.Add(time.Duration(t.Priority) * priorityLag)
+	return t.arrived.Add(time.Duration(t.Priority) * lagPerPriority)
 }
--- a/pkg/gate/ticket_wait.go
+++ b/pkg/gate/ticket_wait.go
@@ -6,51 +6,53 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The waits of tickets.
+// Limits of the time in the queue.
 const (
-	// rootWaitLeast is the longest wait of a root request where the holding time isn't known.
-	rootWaitLeast = 60 * time.Millisecond
-	// rootWaitHolds is the longest wait of a root request in holding times: longer queues only add delay.
-	rootWaitHolds = 1.5
-	// innerWaitLeast and innerWaitHolds are the same for calls of running requests, which lose more: with
-	// longer waits at each of several calls the whole request is late.
-	innerWaitLeast = 100 * time.Millisecond
-	innerWaitHolds = 4
+	// minRootWaitLimit is the limit of a root request's wait while the slot hold time is unknown or short.
+	minRootWaitLimit = 60 * time.Millisecond
+	// rootWaitHoldTimes is the limit of a root request's wait in slot hold times: longer queues only add delay.
+	rootWaitHoldTimes = 1.5
+	// minInternalWaitLimit and internalWaitHoldTimes are the same for calls, whose rejection wastes more work: with longer
+	// waits at each of several calls the whole request is late.
+	minInternalWaitLimit  = 100 * time.Millisecond
+	internalWaitHoldTimes = 4
 )
 
-// wait is the time after which a ticket at the place would start.
-func (g *Gate) wait(place int) time.Duration {
-	return time.Duration(float64(place+1) * float64(g.hold) / max(g.limit, 1))
+// expectedWait returns the time after which a ticket at an index of the queue, counted from 0, would start.
+func (g *Gate) expectedWait(index int) time.Duration {
+	return time.Duration(float64(index+1) * float64(g.holdTime) / max(g.limit, 1))
 }
 
-// holds is how long the ticket's request is taken to hold a slot: by its kind, since one server may run kinds of which
-// one takes many times as long as another.
-func (g *Gate) holds(t *Ticket) time.Duration {
+// expectedHold returns the expected slot hold time of the ticket's request: by its kind, since one server may run kinds of
+// which one takes many times as long as another.
+func (g *Gate) expectedHold(t *Ticket) time.Duration {
 	if t.TypicalHold == 0 {
-		return g.hold
+		return g.holdTime
 	}
-	return time.Duration(float64(t.TypicalHold) * g.pace)
+	return time.Duration(float64(t.TypicalHold) * g.slowdown)
 }
 
-// tooLate tells whether the ticket's request has no chance to end in time.
-func (g *Gate) tooLate(t *Ticket, now time.Time) bool { return t.Deadline.Sub(now) <= g.holds(t)/2 }
+// tooLate reports whether the ticket's request can't end in time.
+func (g *Gate) tooLate(t *Ticket, now time.Time) bool {
+	return t.Deadline.Sub(now) <= g.expectedHold(t)/2
+}
 
-// longestWait is how long the ticket may wait: a root for a short time, a call longer, and neither so long
-// that it couldn't end in time.
-func (g *Gate) longestWait(t *Ticket, left time.Duration) time.Duration {
-	least, holds := rootWaitLeast, rootWaitHolds
+// maxWait returns how long the ticket may wait: a root for a short time, a call longer, and neither so long that it
+// couldn't end in time.
+func (g *Gate) maxWait(t *Ticket, left time.Duration) time.Duration {
+	minimum, holdTimes := minRootWaitLimit, rootWaitHoldTimes
 	if t.Internal {
-		least, holds = innerWaitLeast, innerWaitHolds
+		minimum, holdTimes = minInternalWaitLimit, internalWaitHoldTimes
 	}
-	return min(left-g.holds(t), max(least, time.Duration(holds*float64(g.hold))))
+	return min(left-g.expectedHold(t), max(minimum, time.Duration(holdTimes*float64(g.holdTime))))
 }
 
-// evict refuses the last ones, whose wait has become too long by those that went before them.
-func (g *Gate) evict(now time.Time) {
+// evictLast rejects tickets at the end of the queue whose wait has become too long because others went before them.
+func (g *Gate) evictLast(now time.Time) {
 	for n := len(g.queue); n > 1; n = len(g.queue) {
 		last := g.queue[n-1]
 		waited := now.Sub(last.arrived)
-		if g.wait(n-1)+waited <= 2*g.longestWait(last, last.Deadline.Sub(last.arrived)) {
+		if g.expectedWait(n-1)+waited <= 2*g.maxWait(last, last.Deadline.Sub(last.arrived)) {
 			return
 		}
 		g.queue = g.queue[:n-1]
@@ -59,18 +61,18 @@
 	}
 }
 
-// Expire refuses queued tickets that can't end in time any more.
+// Expire rejects queued tickets that can't end in time any more.
 func (g *Gate) Expire(now time.Time) {
-	kept := g.queue[:0]
+	remaining := g.queue[:0]
 	var late []*Ticket
 	for _, t := range g.queue {
 		if g.tooLate(t, now) {
 			late = append(late, t)
 		} else {
-			kept = append(kept, t)
+			remaining = append(remaining, t)
 		}
 	}
-	g.queue = kept
+	g.queue = remaining
 	for _, t := range late {
 		t.queued = false
 		t.Notify(Decision{Reason: wire.ReasonDeadline})
