--- a/pkg/callgraph/share_out_call_test.go
+++ b/pkg/callgraph/attribute_call_test.go
@@ -18,14 +18,14 @@
 	}
 }
 
-// A node that was restarted beside a living server hears calls of runs that began before it: there was no map
-// for them yet, and the call was lost in a panic.
-func TestACallBeforeAnyRunIsAStrayOne(t *testing.T) {
+// Guards against a panic on a call before any run: a node restarted beside a running server sees calls of runs that began
+// before its start, when the map of runs didn't exist yet.
+func TestCallBeforeAnyRunIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
 	l.ObserveCall(start, "x", start.Add(second))
 	l.Update(start.Add(second))
 	c.Assert(l.CallsPerRun("a"), qt.HasLen, 0)
-	play(&l, start.Add(second), 5*second, 1, list)
+	simulate(&l, start.Add(second), 5*second, 1, list)
 	c.Assert(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 }
--- a/pkg/callgraph/forget_old_evidence.go
+++ b/pkg/callgraph/forget_old_evidence.go
@@ -5,60 +5,59 @@
 	"time"
 )
 
-// The constants of forgetting.
+// Parameters of the decay of evidence.
 const (
-	// halfLife is the time in which half of the evidence is forgotten: long enough to learn rare kinds, short
-	// enough to follow a new version of a service.
+	// halfLife is the half-life of evidence: long enough to learn rare kinds, short enough to follow a new version of a service.
 	halfLife = 30 * time.Second
-	// firstHalfLife is what halfLife is at the start, and agedHalfLife of the time since then later, so that first
-	// guesses are soon forgotten.
-	firstHalfLife = 500 * time.Millisecond
-	agedHalfLife  = 0.2
-	// latenessHalfLife is the time in which half of what was seen of late calls is forgotten: it follows the load.
+	// initialHalfLife is the half-life at the start. It then grows as halfLifeAgeFraction of the time since the start, up to
+	// halfLife, so that first guesses decay soon.
+	initialHalfLife     = 500 * time.Millisecond
+	halfLifeAgeFraction = 0.2
+	// latenessHalfLife is the half-life of the lateness of calls, which follows the load.
 	latenessHalfLife = 2 * time.Second
-	// forgottenRuns is the count of runs below which a route is forgotten.
-	forgottenRuns = 1e-3
+	// minRememberedRuns is the number of runs below which a route without runs in progress is dropped.
+	minRememberedRuns = 1e-3
 )
 
-// fade forgets a part of all evidence, by the time since it was last called.
-func (l *Learner) fade(now time.Time) {
-	if l.faded.IsZero() {
-		l.faded, l.first = now, now
+// decay decays all evidence by the time since the last decay, and drops routes without evidence.
+func (l *Learner) decay(now time.Time) {
+	if l.lastDecay.IsZero() {
+		l.lastDecay, l.firstUpdate = now, now
 	}
-	life := min(max(firstHalfLife.Seconds(), agedHalfLife*now.Sub(l.first).Seconds()), halfLife.Seconds())
-	keep := math.Exp2(-now.Sub(l.faded).Seconds() / life)
-	slowly := math.Exp2(-now.Sub(l.faded).Seconds() / halfLife.Seconds())
-	l.lateness.fade(math.Exp2(-now.Sub(l.faded).Seconds() / latenessHalfLife.Seconds()))
-	l.faded = now
+	life := min(max(initialHalfLife.Seconds(), halfLifeAgeFraction*now.Sub(l.firstUpdate).Seconds()), halfLife.Seconds())
+	keep := math.Exp2(-now.Sub(l.lastDecay).Seconds() / life)
+	slowly := math.Exp2(-now.Sub(l.lastDecay).Seconds() / halfLife.Seconds())
+	l.lateness.scale(math.Exp2(-now.Sub(l.lastDecay).Seconds() / latenessHalfLife.Seconds()))
+	l.lastDecay = now
 	for route, s := range l.routes {
-		s.good.fade(keep)
-		s.all.fade(keep)
-		s.recalledRuns *= slowly
-		if s.all.runs < forgottenRuns && len(s.running) == 0 {
+		s.succeeded.scale(keep)
+		s.all.scale(keep)
+		s.restoredRuns *= slowly
+		if s.all.runs < minRememberedRuns && len(s.running) == 0 {
 			l.forget(route, s)
 		}
 	}
 }
 
-// fade forgets all but a part of the runs.
-func (s *runSums) fade(keep float64) {
+// scale multiplies the counts by keep.
+func (s *runSums) scale(keep float64) {
 	s.runs *= keep
 	for c := range s.calls {
 		s.calls[c] *= keep
 	}
 }
 
-// forget drops a route with all that refers to it.
+// forget drops a route and all references to it.
 func (l *Learner) forget(route string, s *routeStats) {
 	delete(l.routes, route)
-	for _, seen := range l.seen {
-		delete(seen.inTime, s)
+	for _, seen := range l.intervals {
+		delete(seen.runSeconds, s)
 	}
 	for name, c := range l.calls {
 		for _, r := range c.recent {
-			delete(r.runs, s)
+			delete(r.possibleCallers, s)
 		}
-		if delete(c.by, s); len(c.by) == 0 {
+		if delete(c.callers, s); len(c.callers) == 0 {
 			delete(l.calls, name)
 		}
 	}
--- a/pkg/callgraph/learner.go
+++ b/pkg/callgraph/learner.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// Rates are numbers by route: calls of one run, or counts a second.
+// Rates holds numbers by route: calls per run, or calls a second.
 type Rates map[string]float64
 
-// Learner learns which calls the runs of each route make at one server. Nothing tells which run made a call, so
-// each call is shared out over the runs in progress: one whose time limit is earlier can't have made it; a call with
-// less time left than its route gives ends with its run; beyond that it goes by the calls a second of the runs of
-// each route, which are those under which the calls of the last seconds are the most likely (expectation and
-// maximization in turn). What counts in the end is the calls of whole runs that ended well, so that neither slow
-// services below nor failed calls change it. Its zero value knows nothing; it isn't safe for concurrent use.
+// Learner learns which calls the runs of each route make at one server. Calls don't say which run made them, so each call
+// is attributed in shares to the runs in progress. A run whose time limit is earlier can't have made it; a call with less
+// time left than its route's calls get ends with its run; otherwise shares go by the calls a second of the runs of each
+// route, which are the rates that make the calls of the last seconds most likely (expectation maximization). The result
+// is the calls of whole succeeded runs, so neither slow services below nor failed calls change it. Its zero value has no
+// knowledge; it isn't safe for concurrent use.
 type Learner struct {
-	// NoLateCalls tells that no call is seen late: one that seems to end after a run isn't the run's.
+	// NoLateCalls assumes that no call is seen late: a run whose time limit is before the call's didn't make it.
 	NoLateCalls bool
 
-	routes   map[string]*routeStats
-	calls    map[string]*callStats
-	recall   map[string]Rates // of routes that haven't run yet
-	seen     []stretch        // of the last seconds
-	lateness lateness
-	passed   time.Time // until when the time in progress is added up
-	faded    time.Time // when evidence was last forgotten
-	first    time.Time // look
+	routes       map[string]*routeStats
+	calls        map[string]*callStats
+	restored     map[string]Rates // of routes that haven't run since the start
+	intervals    []interval       // of the last seconds
+	lateness     lateness
+	accruedUntil time.Time // until when run time is added up
+	lastDecay    time.Time // when evidence last decayed
+	firstUpdate  time.Time
 }
 
-// Update works out the calls a second of each route's runs from what was seen since the last look and before, and
-// forgets what is old. It is to be called some times a second.
+// Update recomputes the calls a second of each route's runs and decays old evidence. It is to be called some times a second.
 func (l *Learner) Update(now time.Time) {
-	l.pass(now)
-	l.endStretch(now)
-	inTime := l.timeInProgress()
+	l.accrueRunTime(now)
+	l.endInterval(now)
+	runSeconds := l.runSecondsInWindow()
 	for _, c := range l.calls {
-		c.forgetBefore(now.Add(-window))
-		c.improve(inTime)
+		c.dropBefore(now.Add(-window))
+		c.updateRates(runSeconds)
 	}
-	l.fade(now)
+	l.decay(now)
 }
--- a/pkg/callgraph/learner_test.go
+++ b/pkg/callgraph/learner_test.go
@@ -7,141 +7,142 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestCallersAreFoundWhereDemandStandsStill(t *testing.T) {
+func TestCallersAreFoundUnderConstantDemand(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		var l Learner
-		play(&l, start, 10*second, seed, pull, list)
+		simulate(&l, start, 10*second, seed, pull, list)
 		c.Check(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 		c.Check(l.CallsPerRun("pull")["roster"], qt.Equals, 0.0)
 	}
 }
 
-// With hundreds of runs in progress there is more that may look like a caller by chance.
+// With hundreds of runs in progress, more of them look like a caller by chance.
 func TestCallersAreFoundAmongManyRuns(t *testing.T) {
 	c := qt.New(t)
 	many, busy := pull, list
 	many.rate, busy.rate = 45, 530
 	for seed := range uint64(5) {
 		var l Learner
-		play(&l, start, 6*second, seed, many, busy)
+		simulate(&l, start, 6*second, seed, many, busy)
 		c.Check(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 		c.Check(l.CallsPerRun("pull")["roster"], qt.Equals, 0.0)
 	}
 }
 
-// Two seconds of a day must do: then the overload begins.
-func TestCallsThatEndWithTheirRunsAreFoundAtOnce(t *testing.T) {
+// Callers must be found within two seconds, before an overload begins.
+func TestCallersAreFoundWithinTwoSeconds(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		var l Learner
-		play(&l, start, 2*second, seed, bill, check)
+		simulate(&l, start, 2*second, seed, bill, check)
 		c.Check(near(l.CallsPerRun("bill")["list"], 2, 0.3), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("bill")))
 		c.Check(near(l.CallsPerRun("check")["list"], 1, 0.2), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("check")))
 	}
 }
 
-func TestCallsOfEachRouteAreToldApart(t *testing.T) {
+func TestCallsOfTwoRoutesAreSeparated(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
-	a := kind{route: "a", rate: 30, work: 50 * time.Millisecond, limit: 5 * second, called: "x", calls: 2, each: 50 * time.Millisecond, bound: second}
-	b := kind{route: "b", rate: 40, work: 10 * time.Millisecond, limit: 5 * second, called: "y", calls: 3, each: 40 * time.Millisecond, bound: second}
-	play(&l, start, 20*second, 1, a, b)
+	a := simulatedKind{route: "a", rate: 30, work: 50 * time.Millisecond, limit: 5 * second, called: "x", calls: 2, callTime: 50 * time.Millisecond, callLimit: second}
+	b := simulatedKind{route: "b", rate: 40, work: 10 * time.Millisecond, limit: 5 * second, called: "y", calls: 3, callTime: 40 * time.Millisecond, callLimit: second}
+	simulate(&l, start, 20*second, 1, a, b)
 	c.Assert(near(l.CallsPerRun("a")["x"], 2, 0.6), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("a")))
 	c.Assert(near(l.CallsPerRun("b")["y"], 3, 0.6), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("b")))
 	c.Assert(l.CallsPerRun("a")["y"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("a")))
 	c.Assert(l.CallsPerRun("b")["x"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("b")))
 }
 
-// Where nothing tells two routes apart, together they still make the calls that there are.
-func TestAllCallsAreShared(t *testing.T) {
+// Where nothing distinguishes two routes, their calls must still sum up to all calls.
+func TestAllCallsAreAttributed(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
-	a := kind{route: "a", rate: 10, work: 50 * time.Millisecond, limit: second, called: "x", calls: 2, each: 20 * time.Millisecond, bound: 100 * time.Millisecond}
+	a := simulatedKind{route: "a", rate: 10, work: 50 * time.Millisecond, limit: second, called: "x", calls: 2, callTime: 20 * time.Millisecond, callLimit: 100 * time.Millisecond}
 	b := a
 	b.route, b.rate = "b", 30
-	play(&l, start, 20*second, 1, a, b)
+	simulate(&l, start, 20*second, 1, a, b)
 	got := 10*l.CallsPerRun("a")["x"] + 30*l.CallsPerRun("b")["x"]
 	c.Assert(near(got, 80, 8), qt.IsTrue, qt.Commentf("%v %v", l.CallsPerRun("a"), l.CallsPerRun("b")))
 }
 
-// A run ends with its first failed call. Where many fail, as after a restart in the middle of an overload, each
-// run seemed to make half of its calls, twice as many roots were taken in as could be served, and it stayed so.
+// Guards against counting failed runs: a run ends with its first failed call. If many fail, as after a restart during an
+// overload, each run seems to make half of its calls, twice as many roots are admitted as can be served, and that lasts.
 func TestFailedCallsDontHideThoseAfterThem(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
 	failing := list
 	failing.failed = 0.3
-	play(&l, start, 10*second, 1, failing)
+	simulate(&l, start, 10*second, 1, failing)
 	c.Assert(near(l.CallsPerRun("list")["roster"], 4, 0.5), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 }
 
-// What was learned in calm isn't pushed out by runs that fail.
-func TestFailingRunsDontPushOutWhatIsKnown(t *testing.T) {
+// What was learned without failures isn't displaced by failing runs.
+func TestFailingRunsDontDisplaceKnownCalls(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
-	play(&l, start, 10*second, 1, list, pull)
+	simulate(&l, start, 10*second, 1, list, pull)
 	failing := list
 	failing.failed = 0.9
-	play(&l, start.Add(10*second), 20*second, 2, failing, pull)
+	simulate(&l, start.Add(10*second), 20*second, 2, failing, pull)
 	c.Assert(l.CallsPerRun("list")["roster"] > 3.4, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 	c.Assert(l.CallsPerRun("pull")["roster"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("pull")))
 }
 
-// Where no run ends well, the failing ones say more than nothing.
+// Where no run succeeds, the failing ones count.
 func TestFailingRunsCountWhereThereAreNoOthers(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
 	failing := list
 	failing.failed = 1
-	play(&l, start, 3*second, 1, failing)
+	simulate(&l, start, 3*second, 1, failing)
 	c.Assert(near(l.CallsPerRun("list")["roster"], 1, 0.1), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 }
 
-// In the first moments hardly any run has ended. Going by those alone, each run seemed to make hundreds of
-// calls, and first attempts of all kinds were refused for a second after every start.
-func TestTheFirstMomentsDontMakeRunsLookDear(t *testing.T) {
+// Guards against overestimated costs just after a start: hardly any run has ended then. By those alone, each run seemed to
+// make hundreds of calls, and first attempts of all kinds were rejected for a second after every start.
+func TestFirstMomentsDontOverestimateCosts(t *testing.T) {
 	c := qt.New(t)
 	for span := 50 * time.Millisecond; span < second; span += 50 * time.Millisecond {
 		var l Learner
-		playUntil(&l, start, span, span, 1, list, bill)
+		simulateUntil(&l, start, span, span, 1, list, bill)
 		c.Check(l.CallsPerRun("list")["roster"] < 4.5, qt.IsTrue, qt.Commentf("%v after %v", l.CallsPerRun("list"), span))
 	}
 }
 
-// A service below that slows down makes runs longer and their calls rarer, but not fewer.
+// A slow service below makes runs longer and their calls rarer, but not fewer per run.
 func TestSlowCallsDontChangeTheirNumber(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
-	play(&l, start, 5*second, 1, list, pull)
+	simulate(&l, start, 5*second, 1, list, pull)
 	slow := list
-	slow.each *= 5
+	slow.callTime *= 5
 	for i := range 5 {
-		play(&l, start.Add(time.Duration(5+i)*second), second, uint64(i), slow, pull)
+		simulate(&l, start.Add(time.Duration(5+i)*second), second, uint64(i), slow, pull)
 		c.Check(near(l.CallsPerRun("list")["roster"], 4, 0.8), qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("list")))
 		c.Check(l.CallsPerRun("pull")["roster"] < 0.8, qt.IsTrue, qt.Commentf("%v", l.CallsPerRun("pull")))
 	}
 }
 
-// Where a node is busy it sees calls some milliseconds late, so that they seem to end after the runs that made them.
-// They were then shared out to runs that make none: an urgent kind seemed to cost the bottom service as much as one
-// that calls it.
-func TestCallsSeenLateAreTheirRunsStill(t *testing.T) {
+// Guards against attributing late calls to the wrong runs: a busy node sees calls some milliseconds late, so that they seem
+// to end after the runs that made them. They were attributed to runs that make none, and an urgent kind seemed to cost the
+// bottom service as much as one that calls it.
+func TestLateCallsAreAttributedToTheirRuns(t *testing.T) {
 	c := qt.New(t)
 	for _, late := range []time.Duration{0, 2, 5, 10, 20} {
 		for seed := range uint64(3) {
 			var l Learner
 			busy := fixing
 			busy.late = late * time.Millisecond
-			play(&l, start, 5*second, seed, busy, release)
+			simulate(&l, start, 5*second, seed, busy, release)
 			c.Check(near(l.CallsPerRun("fixing")["index"], 4, 0.4), qt.IsTrue, qt.Commentf("%v ms late: %v", int64(late), l.CallsPerRun("fixing")))
 			c.Check(l.CallsPerRun("release")["index"] < 0.4, qt.IsTrue, qt.Commentf("%v ms late: %v", int64(late), l.CallsPerRun("release")))
 		}
 	}
 }
 
-// A few calls that were seen late were taken for those of a route that hardly ever ran, eight in each of its runs. The one call
-// that each read makes was dropped as a trace beside them: reads seemed to cost the services below nothing.
+// Guards against a rare route as main caller: a few late calls were attributed to a route that hardly ever ran, eight to
+// each of its runs. Beside these, the one call that each read makes was dropped as noise, and reads seemed to cost the
+// services below nothing.
 func TestARareRouteDoesntHideTheCallsOfOthers(t *testing.T) {
 	c := qt.New(t)
 	var l Learner
--- a/pkg/callgraph/request_cost_test.go
+++ b/pkg/callgraph/request_cost_test.go
@@ -24,15 +24,15 @@
 	c.Assert(near(slots["top"], 0.1, 1e-9), qt.IsTrue)
 }
 
-func TestACycleEnds(t *testing.T) {
+func TestCostsOfACycleEnd(t *testing.T) {
 	c := qt.New(t)
 	graph := Graph{"s": {"r": {"r": 0.9}}}
 	runs := Costs(graph, map[string]Placement{"r": {Shares: map[string]float64{"s": 1}, HoldSeconds: 1}})["r"].Runs
 	c.Assert(runs["s"], qt.Equals, 1.0)
 }
 
-// Stray calls of everything by everything once made the walk take exponential time.
-func TestAGraphInWhichAllCallAllEnds(t *testing.T) {
+// Guards against exponential time: stray calls make every route seem to call every other one.
+func TestCostsOfACompleteGraphEnd(t *testing.T) {
 	c := qt.New(t)
 	graph, places := Graph{"s": {}}, map[string]Placement{}
 	all := Rates{}
--- a/pkg/callgraph/runs_in_progress.go
+++ b/pkg/callgraph/runs_in_progress.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// window is the time over which the calls a second of the runs of each route are worked out: short, since they
-// change with the speed of the services below.
+// window is the time over which the calls a second of the runs of each route are computed: short, since they change with
+// the speed of the services below.
 const window = 3 * time.Second
 
 // Run is one run in progress.
 type Run struct {
 	stats    *routeStats
-	place    int // among those of its route
-	begun    time.Time
+	index    int // in its route's running
+	start    time.Time
 	deadline time.Time
-	calls    []callShare
+	calls    []attributedCalls
 }
 
-// callShare is the part of a route's calls that is taken to be a run's.
-type callShare struct {
+// attributedCalls is the number of calls of a route attributed to a run, in shares.
+type attributedCalls struct {
 	route string
-	made  float64
+	count float64
 }
 
-// add counts a share of a call.
+// add attributes a share of a call to the run.
 func (r *Run) add(route string, share float64) {
 	for i := range r.calls {
 		if r.calls[i].route == route {
-			r.calls[i].made += share
+			r.calls[i].count += share
 			return
 		}
 	}
-	r.calls = append(r.calls, callShare{route, share})
+	r.calls = append(r.calls, attributedCalls{route, share})
 }
 
-// stretch is a short time, with the seconds in progress of each route.
-type stretch struct {
-	end    time.Time
-	inTime map[*routeStats]float64
+// interval is the time between two updates, with the seconds in progress of each route's runs.
+type interval struct {
+	end        time.Time
+	runSeconds map[*routeStats]float64
 }
 
-// BeginRun notes that a run begins, with the time limit that the server was given.
+// BeginRun notes that a run begins, with the time limit given to the server.
 func (l *Learner) BeginRun(now time.Time, route string, deadline time.Time) *Run {
 	if l.routes == nil {
 		l.routes = map[string]*routeStats{}
@@ -50,66 +50,66 @@
 	if s == nil {
 		s = &routeStats{}
 		l.routes[route] = s
-		s.remember(l.recall[route])
-		delete(l.recall, route)
+		s.restore(l.restored[route])
+		delete(l.restored, route)
 	}
-	l.pass(now)
-	r := &Run{stats: s, place: len(s.running), begun: now, deadline: deadline}
+	l.accrueRunTime(now)
+	r := &Run{stats: s, index: len(s.running), start: now, deadline: deadline}
 	s.running = append(s.running, r)
 	return r
 }
 
-// EndRun notes that a run has ended; a good one has made all of its calls.
+// EndRun notes that a run has ended; a good one succeeded, and so has made all of its calls.
 func (l *Learner) EndRun(now time.Time, r *Run, good bool) {
-	l.leave(now, r)
+	l.removeRun(now, r)
 	r.stats.all.add(r.calls)
 	if good {
-		r.stats.good.add(r.calls)
+		r.stats.succeeded.add(r.calls)
 	}
 }
 
-// DiscardRun notes that the server refused what was taken for a run.
+// DiscardRun removes a run that the server refused.
 func (l *Learner) DiscardRun(now time.Time, r *Run) {
-	l.leave(now, r)
+	l.removeRun(now, r)
 }
 
-// leave takes a run out of those in progress.
-func (l *Learner) leave(now time.Time, r *Run) {
-	l.pass(now)
+// removeRun removes a run from those in progress.
+func (l *Learner) removeRun(now time.Time, r *Run) {
+	l.accrueRunTime(now)
 	all := r.stats.running
 	last := all[len(all)-1]
-	all[r.place], last.place = last, r.place
+	all[r.index], last.index = last, r.index
 	r.stats.running = all[:len(all)-1]
 }
 
-// pass adds up the time in progress.
-func (l *Learner) pass(now time.Time) {
-	d := now.Sub(l.passed).Seconds()
-	if l.passed.IsZero() || d < 0 {
+// accrueRunTime adds up the time in progress of all runs until now.
+func (l *Learner) accrueRunTime(now time.Time) {
+	d := now.Sub(l.accruedUntil).Seconds()
+	if l.accruedUntil.IsZero() || d < 0 {
 		d = 0
 	}
-	l.passed = now
+	l.accruedUntil = now
 	for _, s := range l.routes {
-		s.inTime += float64(len(s.running)) * d
+		s.runSeconds += float64(len(s.running)) * d
 	}
 }
 
-// endStretch begins a new stretch, and drops those that are older than the window.
-func (l *Learner) endStretch(now time.Time) {
-	s := stretch{end: now, inTime: map[*routeStats]float64{}}
+// endInterval begins a new interval, and drops those older than the window.
+func (l *Learner) endInterval(now time.Time) {
+	s := interval{end: now, runSeconds: map[*routeStats]float64{}}
 	for _, r := range l.routes {
-		s.inTime[r], r.inTime = r.inTime, 0
+		s.runSeconds[r], r.runSeconds = r.runSeconds, 0
 	}
-	l.seen = append(l.seen, s)
+	l.intervals = append(l.intervals, s)
 	old := now.Add(-window)
-	l.seen = slices.DeleteFunc(l.seen, func(s stretch) bool { return s.end.Before(old) })
+	l.intervals = slices.DeleteFunc(l.intervals, func(s interval) bool { return s.end.Before(old) })
 }
 
-// timeInProgress returns the seconds in progress of each route within the window.
-func (l *Learner) timeInProgress() map[*routeStats]float64 {
+// runSecondsInWindow returns the seconds in progress of each route's runs within the window.
+func (l *Learner) runSecondsInWindow() map[*routeStats]float64 {
 	inTime := map[*routeStats]float64{}
-	for _, s := range l.seen {
-		for r, t := range s.inTime {
+	for _, s := range l.intervals {
+		for r, t := range s.runSeconds {
 			inTime[r] += t
 		}
 	}
