--- a/pkg/loads/kind_of_request_test.go
+++ b/pkg/loads/kind_of_request_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestKindsAreSplitAsTheyWereMade(t *testing.T) {
+func TestSplitKindInvertsKind(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
 		route    string
@@ -19,5 +19,5 @@
 	route, priority := SplitKind("r" + kindSeparator + "x")
 	c.Check(route, qt.Equals, "r"+kindSeparator+"x")
 	c.Check(priority, qt.Equals, 0)
-	c.Check(ShowKind(Kind("r", 2)), qt.Equals, "r team-priority 2")
+	c.Check(KindLabel(Kind("r", 2)), qt.Equals, "r team-priority 2")
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -27,14 +27,14 @@
 	reports             map[string]*heldReport // newest report of each node of this zone, by host
 	expiredReports      map[string]*heldReport // last valid report of nodes that stopped sending, without its content
 	zoneLoads           map[string]*zoneLoad   // newest aggregate load of each other zone
-	retainedRuns        loads.KeptRuns
-	retainedDemand      loads.KeptDemand
+	retainedRuns        loads.RetainedRuns
+	retainedDemand      loads.RetainedDemand
 	attemptRates        map[string]float64 // first attempts a second by kind, as last counted
 	internalRoutes      judgedRoutes
 	localZoneLoad       zoneLoad // aggregate load of this zone, as last sent
 	zoneHosts           []string // known VMs of this zone
 	reportSeq           int64
-	usableFraction      overload.RoomControl
+	usableFraction      overload.UsableFractionController
 	suspects            suspectNews
 	gateUtilization     float64 // utilization of the local gate's slots, smoothed
 	nextStatsUpdate     time.Time
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -59,7 +59,7 @@
 	stats              trafficStats
 	plan               atomic.Pointer[admissionPlan]
 	retryBudgetMu      sync.Mutex
-	retryBudget        overload.RepeatBudget
+	retryBudget        overload.RetryBudget
 	poison             poison.Table
 	timeLimits         clock.Limits       // of requests in flight
 	peerRequests       awaited.InProgress // requests of other nodes in flight here
@@ -108,8 +108,8 @@
 	n.control.logged = loggedLines{calls: make(map[string]callgraph.Rates), shares: make(map[string]bool)}
 	n.records.init()
 	n.stats.init()
-	n.stats.learner.CallsAreOnTime = n.off[settings.LateCalls]
-	n.gate.ByArrival = n.off[settings.GateOrder]
+	n.stats.learner.NoLateCalls = n.off[settings.LateCalls]
+	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
 	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
 	n.watch.mayBegin = make(chan struct{})
--- a/pkg/mesh/recall_learned.go
+++ b/pkg/mesh/recall_learned.go
@@ -75,12 +75,12 @@
 	routes := 0
 	for _, l := range all {
 		if l.Service == n.cfg.Service {
-			n.stats.recall(l.Calls)
+			n.stats.recall(l.CallsPerRun)
 		}
-		taken := n.control.retainedRuns.Recall(now, l.Service, l.Runs())
+		taken := n.control.retainedRuns.Restore(now, l.Service, l.Runs())
 		n.control.internalRoutes.recall(now, l)
 		if taken > 0 {
-			n.control.retainedDemand.Recall(l.Asked)
+			n.control.retainedDemand.Restore(l.Demand)
 		}
 		routes += taken
 	}
--- a/pkg/mesh/repeats.go
+++ b/pkg/mesh/repeats.go
@@ -25,7 +25,7 @@
 	}
 	runs := n.runsOf(q)
 	n.retryBudgetMu.Lock()
-	ok := n.retryBudget.Take(n.clock.Now(), runs)
+	ok := n.retryBudget.TryWithdraw(n.clock.Now(), runs)
 	n.retryBudgetMu.Unlock()
 	if ok {
 		n.metrics.count("repeats_total", "service", q.Service)
@@ -40,7 +40,7 @@
 	runs := n.runsOf(q)
 	n.retryBudgetMu.Lock()
 	defer n.retryBudgetMu.Unlock()
-	n.retryBudget.Earn(n.clock.Now(), q.Service, runs)
+	n.retryBudget.Deposit(n.clock.Now(), q.Service, runs)
 }
 
 // runsOf returns the runs by service that a request causes, as far as they are known.
@@ -71,7 +71,7 @@
 	n.retryBudgetMu.Lock()
 	defer n.retryBudgetMu.Unlock()
 	n.retryBudget.Ratio = n.cfg.Mesh.RetryRatio * repeatRatioShare
-	n.retryBudget.Below = n.cfg.Mesh.RetryRatio * repeatBelowShare
+	n.retryBudget.DownstreamRatio = n.cfg.Mesh.RetryRatio * repeatBelowShare
 	n.retryBudget.Window = n.cfg.Mesh.RetryWindow
 	n.retryBudget.Burst = max(n.cfg.Mesh.RetrySlack*repeatBurstShare/float64(nodes), 1)
 }
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -29,12 +29,12 @@
 		loads.Kind("pay", 0): {Fresh: 10}, loads.Kind("read", 0): {Fresh: 10},
 		loads.Kind("pay", 1): {Fresh: 10}, loads.Kind("read", 1): {Fresh: 10},
 	}}
-	costs := map[string]callgraph.Cost{"pay": {Slots: map[string]float64{"a": 0.1}}, "read": {Slots: map[string]float64{"a": 0.1}}}
+	costs := map[string]callgraph.Cost{"pay": {SlotSeconds: map[string]float64{"a": 0.1}}, "read": {SlotSeconds: map[string]float64{"a": 0.1}}}
 	plan := &admissionPlan{}
 	shares := make(chan map[string]overload.Share, 1)
 	n.enqueue(func() {
 		roots := n.roots(time.Now(), []*loads.Report{report}, plan, costs)
-		shares <- overload.Options{NoLeastPart: true}.Plan(roots, map[string]float64{"a": 2 / overload.Target})
+		shares <- overload.Options{NoMinimumShare: true}.PlanShares(roots, map[string]float64{"a": 2 / overload.TargetUtilization})
 	})
 	got := <-shares
 	c.Check(got[loads.Kind("pay", 0)].Fresh > 0.99, qt.IsTrue, qt.Commentf("%v", got))
