--- a/pkg/cli/held_back_test.go
+++ b/pkg/cli/held_back_test.go
@@ -25,7 +25,7 @@
 			Fingerprint: poison.Asked{URI: "/bills/7"}.Identity().Widest(),
 			Ends:        []poison.Lifetime{{Host: "10.1.0.8", Instance: "i-1/4"}, {Host: "10.1.0.9", Instance: "i-2/7"}},
 		},
-		Treatment: "held back", For: 21 * time.Second,
+		Treatment: "held back", TimeLeft: 21 * time.Second,
 	}
 	var called string
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 	status, out = run("--lift", held.Request)
 	c.Assert(status, qt.Equals, ExitOK)
 	c.Assert(out, qt.Equals, "lifted 680674fc7cfe4b36\n")
-	c.Assert(called, qt.Equals, "DELETE "+mesh.HeldBackPath+held.Request)
+	c.Assert(called, qt.Equals, "DELETE "+mesh.QuarantinePath+held.Request)
 	status, out = run("--lift", "other")
 	c.Assert(status, qt.Equals, ExitFailed)
 	c.Assert(out, qt.Contains, "no such request is under suspicion")
--- a/pkg/cli/query_held_back.go
+++ b/pkg/cli/query_held_back.go
@@ -71,7 +71,7 @@
 func (w *heldBackWork) call(ctx context.Context, method string) ([]mesh.Suspect, error) {
 	ctx, cancel := context.WithTimeout(ctx, nodeTime)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.node+mesh.HeldBackPath+url.PathEscape(w.lift), nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.node+mesh.QuarantinePath+url.PathEscape(w.lift), nil)
 	if err != nil {
 		return nil, usagef("--node %q: %v", w.node, err)
 	}
@@ -98,6 +98,6 @@
 		for _, l := range s.Ends {
 			ended = append(ended, l.Host+" "+l.Instance)
 		}
-		row(t, s.Request, s.Service, s.Route, s.Treatment, s.For.Round(time.Second), s.Sound, strings.Join(ended, ", "), s.Fingerprint)
+		row(t, s.Request, s.Service, s.Route, s.Treatment, s.TimeLeft.Round(time.Second), s.Sound, strings.Join(ended, ", "), s.Fingerprint)
 	}
 }
--- a/pkg/mesh/admission.go
+++ b/pkg/mesh/admission.go
@@ -24,21 +24,21 @@
 	return ok
 }
 
-// comeBackShare of the time that a client has left is the longest after which it comes back as told.
-const comeBackShare = 1.0 / 3
+// retryDeadlineShare of the time that a client has left is the longest after which it comes back as told.
+const retryDeadlineShare = 1.0 / 3
 
-// comeBackSpread spreads those who are told the same time over a part of it.
-const comeBackSpread = 4
+// retrySpreadDivisor spreads those who are told the same time over a part of it.
+const retrySpreadDivisor = 4
 
-// comeBack returns when a refused client should try again: an overload takes its time to pass, so as late
+// retryDelay returns when a refused client should try again: an overload takes its time to pass, so as late
 // as the client will still come, spread out so that not all come at once.
-func (n *Node) comeBack(q *request, a *answer) time.Duration {
-	if a.comeBack > 0 {
-		return a.comeBack + rand.N(max(a.comeBack/comeBackSpread, 1))
+func (n *Node) retryDelay(q *request, a *answer) time.Duration {
+	if a.retryAfter > 0 {
+		return a.retryAfter + rand.N(max(a.retryAfter/retrySpreadDivisor, 1))
 	}
-	most := time.Duration(float64(q.clientDeadline.Sub(n.clock.Now())) * comeBackShare)
+	most := time.Duration(float64(q.clientDeadline.Sub(n.clock.Now())) * retryDeadlineShare)
 	if !a.overloaded {
-		most = min(most, 2*retryBase)
+		most = min(most, 2*minRetryDelay)
 	}
 	return max(most/2+rand.N(max(most/2, 1)), time.Millisecond)
 }
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -44,9 +44,9 @@
 	n.control.kept.Note(now, reports)
 	all := n.control.kept.Complete(reports)
 	places := loads.Places(all)
-	n.judgeRoutes(now)
+	n.updateInternalRoutes(now)
 	plan := &admissionPlan{
-		inner: maps.Clone(n.control.judged.called), runs: make(map[string]map[string]float64), holds: loads.Holds(places),
+		inner: maps.Clone(n.control.judged.internal), runs: make(map[string]map[string]float64), holds: loads.Holds(places),
 	}
 	costs := callgraph.Costs(loads.Graph(all), places)
 	for route, c := range costs {
--- a/pkg/mesh/answer.go
+++ b/pkg/mesh/answer.go
@@ -19,12 +19,12 @@
 	canceled bool // the caller has gone, or its time is up
 	broken   bool // the connection to the backend server broke before its answer was whole
 	// gone tells that it hasn't run since nobody is there beside the node that was asked.
-	gone bool
+	notListening bool
 	// unreachable tells that the backend server's address refused a connection: where no older run goes on, nobody is there.
-	unreachable bool
-	ended       string // the life of the backend server that ended under it; empty: none did
-	// comeBack is when the caller should try again; 0: as usual.
-	comeBack time.Duration
+	connRefused     bool
+	crashedLifetime string // the life of the backend server that ended under it; empty: none did
+	// retryAfter is when the caller should try again; 0: as usual.
+	retryAfter time.Duration
 	// overloaded tells that admission refused the request, which may take a while to pass.
 	overloaded bool
 	status     int
@@ -35,21 +35,21 @@
 }
 
 // failed tells whether a server ran the request and answered with a failure that another one may not give.
-func (a *answer) failed() bool {
+func (a *answer) serverFailed() bool {
 	return a.outcome == wire.Ran && a.status == http.StatusInternalServerError && a.stream == nil
 }
 
 // refused is the answer to a request that certainly didn't run.
-func refused(reason wire.Reason) *answer { return &answer{outcome: wire.NotRun, reason: reason} }
+func notRunAnswer(reason wire.Reason) *answer { return &answer{outcome: wire.NotRun, reason: reason} }
 
 // lost is the answer to a request that may have run.
-func lost(reason wire.Reason) *answer {
+func unknownAnswer(reason wire.Reason) *answer {
 	return &answer{outcome: wire.Unknown, reason: reason, arrived: true}
 }
 
 // readWhole takes the body of an answer into memory if it is short, so that one that breaks off is found
 // before any of it is passed on. The error is an *httpconn.Error.
-func (a *answer) readWhole(res *httpconn.Response) error {
+func (a *answer) bufferBody(res *httpconn.Response) error {
 	a.length = res.Length
 	head, err := io.ReadAll(io.LimitReader(res.Body, bufferedBody+1))
 	if err != nil {
@@ -96,19 +96,19 @@
 }
 
 // ended tells whether an exchange failed because its caller left or its time was up.
-func ended(err error) bool {
+func isCanceled(err error) bool {
 	var e *httpconn.Error
 	return errors.As(err, &e) && e.Kind == httpconn.Canceled
 }
 
 // unsent tells whether an exchange failed before anything was sent.
-func unsent(err error) bool {
+func isUnsent(err error) bool {
 	var e *httpconn.Error
 	return errors.As(err, &e) && e.Kind == httpconn.NotConnected
 }
 
-// retryAfter writes a time in seconds, with fractions.
-func retryAfter(d time.Duration) string {
+// formatRetryAfter writes a time in seconds, with fractions.
+func formatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
--- a/pkg/mesh/ask_node.go
+++ b/pkg/mesh/ask_node.go
@@ -42,7 +42,7 @@
 	res, err := p.post(ctx, since, path, body)
 	if err != nil {
 		// Only what can't be reached at all is set aside: a node that is busy for a moment can serve requests all the same.
-		if unsent(err) && ctx.Err() == nil && p.failed(n.clock.Now()) {
+		if isUnsent(err) && ctx.Err() == nil && p.failed(n.clock.Now()) {
 			n.controlLog.Warn("peer doesn't answer", "peer", host, "path", path, "err", err)
 		}
 		return err
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -17,11 +17,11 @@
 
 // backend is the way to the backend server on this VM.
 type backend struct {
-	n     *Node
-	pool  *httpconn.Pool
-	runs  serverRuns
-	trial trial
-	good  poison.GoodRuns
+	n              *Node
+	pool           *httpconn.Pool
+	runs           serverRuns
+	trial          suspectTrial
+	recentGoodRuns poison.GoodRuns
 }
 
 func newBackend(n *Node) *backend {
@@ -32,48 +32,48 @@
 
 // serve puts a request through the gate and hands it to the backend server.
 func (b *backend) serve(ctx context.Context, q *request) *answer {
-	a := b.run(ctx, q)
+	a := b.admitAndRun(ctx, q)
 	b.n.metrics.count("arrivals_total", "service", q.Service, "outcome", string(a.outcome), "reason", string(a.reason))
 	return a
 }
 
 // run lets a request pass, or tells why it may not.
-func (b *backend) run(ctx context.Context, q *request) *answer {
+func (b *backend) admitAndRun(ctx context.Context, q *request) *answer {
 	own := b.n.view.Load().own
 	if own.Service != q.Service || own.Instance == "" {
-		return refused(wire.ReasonNoServer)
+		return notRunAnswer(wire.ReasonNoServer)
 	}
-	done, refusal := b.tryAtServer(ctx, q)
+	done, refusal := b.awaitTrialTurn(ctx, q)
 	defer done()
 	if refusal != nil {
 		return refusal
 	}
-	reason := b.enter(ctx, q)
-	if !q.TurnedAway {
-		b.n.stats.atGate(b.n.clock.Now(), q.Inner, reason == wire.ReasonQueue)
+	reason := b.waitAtGate(ctx, q)
+	if !q.RejectedElsewhere {
+		b.n.stats.atGate(b.n.clock.Now(), q.Internal, reason == wire.ReasonQueue)
 	}
 	if reason != wire.ReasonNone {
-		return refused(reason)
+		return notRunAnswer(reason)
 	}
-	a := b.runHere(ctx, q, own)
-	b.noteSurvived(q, a)
+	a := b.runAtServer(ctx, q, own)
+	b.recordGoodRun(q, a)
 	return a
 }
 
 // runHere hands a request that holds a slot to the server, and counts what became of it.
-func (b *backend) runHere(ctx context.Context, q *request, own directory.Record) *answer {
+func (b *backend) runAtServer(ctx context.Context, q *request, own directory.Record) *answer {
 	begun := b.n.clock.Now()
 	run := b.n.stats.begin(begun, q.Route, q.deadline.Add(-answerMargin))
-	at := &serverRun{q: q, life: own.LifeName(), begun: begun}
+	at := &serverRun{q: q, lifetime: own.LifeName(), begun: begun}
 	b.runs.begin(at)
 	a, outcome := b.send(ctx, q, own.Instance)
 	if a.broken {
-		a = b.brokeOff(at, a)
+		a = b.resolveBrokenRun(at, a)
 	} else {
 		b.runs.end(at)
 	}
-	if a.unreachable && !b.runs.goesOn(begun) {
-		b.n.noteAway(true)
+	if a.connRefused && !b.runs.hasRunFromBefore(begun) {
+		b.n.setNotListening(true)
 	}
 	now := b.n.clock.Now()
 	held := min(now.Sub(begun), max(q.deadline.Sub(begun), 0)) // while the VM was suspended the run held nothing
@@ -82,7 +82,7 @@
 	b.n.gateMu.Unlock()
 	if a.outcome == wire.NotRun {
 		b.n.stats.drop(now, run)
-		a.gone = b.n.away.Load()
+		a.notListening = b.n.away.Load()
 		return a
 	}
 	b.n.stats.end(now, q.Route, run, held, outcome)
@@ -92,10 +92,10 @@
 }
 
 // enter waits for the gate; it returns why the request was refused, or ReasonNone once it may start.
-func (b *backend) enter(ctx context.Context, q *request) wire.Reason {
+func (b *backend) waitAtGate(ctx context.Context, q *request) wire.Reason {
 	verdicts := make(chan gate.Verdict, 1)
 	t := &gate.Ticket{
-		Inner: q.Inner, Priority: q.Priority, Deadline: q.deadline, Usual: b.n.usualHold(q.Route), Age: b.n.ageOf(q),
+		Inner: q.Internal, Priority: q.Priority, Deadline: q.deadline, Usual: b.n.usualHold(q.Route), Age: b.n.minWorkAge(q),
 		Notify: func(v gate.Verdict) { verdicts <- v },
 	}
 	b.n.gateMu.Lock()
@@ -105,7 +105,7 @@
 		select {
 		case v = <-verdicts:
 		case <-ctx.Done():
-			return b.withdraw(t, verdicts)
+			return b.withdrawTicket(t, verdicts)
 		}
 	}
 	if v.Start {
@@ -116,8 +116,8 @@
 
 // ageOf returns how long ago the work began that a call belongs to, at least: calls of its route that are made at once
 // have so much more time left.
-func (n *Node) ageOf(q *request) time.Duration {
-	if !q.Inner {
+func (n *Node) minWorkAge(q *request) time.Duration {
+	if !q.Internal {
 		return 0
 	}
 	now := n.clock.Now()
@@ -125,7 +125,7 @@
 }
 
 // withdraw takes back a ticket whose caller has gone.
-func (b *backend) withdraw(t *gate.Ticket, verdicts <-chan gate.Verdict) wire.Reason {
+func (b *backend) withdrawTicket(t *gate.Ticket, verdicts <-chan gate.Verdict) wire.Reason {
 	b.n.gateMu.Lock()
 	queued := b.n.gate.Cancel(t)
 	b.n.gateMu.Unlock()
@@ -150,7 +150,7 @@
 func (b *backend) send(ctx context.Context, q *request, instance string) (*answer, gate.Outcome) {
 	left := q.deadline.Sub(b.n.clock.Now()) - answerMargin
 	if left < time.Millisecond {
-		return refused(wire.ReasonDeadline), gate.Left
+		return notRunAnswer(wire.ReasonDeadline), gate.Left
 	}
 	h := q.header.Clone()
 	h.Set(b.n.names.Instance, instance)
@@ -158,25 +158,25 @@
 	h.Set(b.n.names.TimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
 	res, err := b.pool.Do(ctx, &httpconn.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Header: h,
-		Body: q.body, Stream: q.stream, StreamLen: q.length, Patience: b.patience(q),
+		Body: q.body, Stream: q.stream, StreamLen: q.streamLength, Patience: b.answerPatience(q),
 	})
 	if err != nil {
-		return b.failed(err)
+		return b.failedAnswer(err)
 	}
 	if res.Header.Get(b.n.names.AttemptID) != q.id {
 		_ = res.Body.Close() // it belongs to another request, and so does what follows on the connection
 		if notExecuted(res, b.n.names) && res.Header.Get(b.n.names.AttemptID) == "" {
-			return b.shed(res), gate.Shed
+			return b.shedAnswer(res), gate.Shed
 		}
-		return lost(wire.ReasonLost), gate.Failed
+		return unknownAnswer(wire.ReasonLost), gate.Failed
 	}
 	if notExecuted(res, b.n.names) {
 		_ = drainBody(res) // the refusal itself is known; its text isn't used
-		return b.shed(res), gate.Shed
+		return b.shedAnswer(res), gate.Shed
 	}
-	a := &answer{outcome: wire.Ran, arrived: true, status: res.Status, header: endToEnd(res.Header)}
-	if err := a.readWhole(res); err != nil {
-		return b.failed(err)
+	a := &answer{outcome: wire.Ran, arrived: true, status: res.Status, header: endToEndHeaders(res.Header)}
+	if err := a.bufferBody(res); err != nil {
+		return b.failedAnswer(err)
 	}
 	if a.status >= http.StatusInternalServerError {
 		return a, gate.Failed
@@ -185,7 +185,7 @@
 }
 
 // patience returns in which time the server's answer can be expected.
-func (b *backend) patience(q *request) time.Duration {
+func (b *backend) answerPatience(q *request) time.Duration {
 	b.n.gateMu.Lock()
 	pace := b.n.gate.Read().Pace
 	b.n.gateMu.Unlock()
@@ -197,28 +197,28 @@
 	return res.Header.Get(names.NotRun) != "" || res.Status == http.StatusMisdirectedRequest
 }
 
-func (b *backend) shed(res *httpconn.Response) *answer {
+func (b *backend) shedAnswer(res *httpconn.Response) *answer {
 	reason := wire.ReasonRefused
 	if res.Status == http.StatusMisdirectedRequest {
 		reason = wire.ReasonNoServer
 	}
-	a := refused(reason)
+	a := notRunAnswer(reason)
 	a.arrived = res.Status != http.StatusMisdirectedRequest
 	return a
 }
 
-func (b *backend) failed(err error) (*answer, gate.Outcome) {
+func (b *backend) failedAnswer(err error) (*answer, gate.Outcome) {
 	switch {
-	case unsent(err):
-		a := refused(wire.ReasonNoServer)
-		a.unreachable = errors.Is(err, syscall.ECONNREFUSED)
+	case isUnsent(err):
+		a := notRunAnswer(wire.ReasonNoServer)
+		a.connRefused = errors.Is(err, syscall.ECONNREFUSED)
 		return a, gate.Failed
-	case ended(err):
-		a := lost(wire.ReasonDeadline)
+	case isCanceled(err):
+		a := unknownAnswer(wire.ReasonDeadline)
 		a.canceled = true
 		return a, gate.Left
 	default:
-		a := lost(wire.ReasonLost)
+		a := unknownAnswer(wire.ReasonLost)
 		a.broken = true
 		return a, gate.Failed
 	}
--- a/pkg/mesh/choose_server_test.go
+++ b/pkg/mesh/choose_server_test.go
@@ -10,19 +10,19 @@
 
 var chooseTime = time.Unix(1_000_000, 0)
 
-func server(host string, near bool, running int, pace, success int) *peer {
+func testPeer(host string, near bool, running int, pace, success int) *peer {
 	p := &peer{host: host}
 	p.near.Store(near)
 	p.slots.Store(20)
-	p.heard(chooseTime, reply{Running: running, Limit: 20, Pace: pace, Success: success})
+	p.heard(chooseTime, peerReply{Running: running, Limit: 20, Slowdown: pace, Success: success})
 	return p
 }
 
 // share returns how many of 1000 choices fall on the peer.
-func share(p *peer, list ...*peer) int {
+func choicesOf(p *peer, list ...*peer) int {
 	n := 0
 	for range 1000 {
-		if choose(chooseTime, list, nil, comparison{}) == p {
+		if chooseServer(chooseTime, list, nil, comparisonOptions{}) == p {
 			n++
 		}
 	}
@@ -31,51 +31,51 @@
 
 func TestNearServersAreTakenWhileTheyArentCrowded(t *testing.T) {
 	c := qt.New(t)
-	near, far := server("n", true, 10, 100, 100), server("f", false, 0, 100, 100)
-	c.Assert(share(near, near, far), qt.Equals, 1000)
-	full := server("n", true, 20, 100, 100)
-	c.Assert(share(far, full, far), qt.Equals, 1000)
+	near, far := testPeer("n", true, 10, 100, 100), testPeer("f", false, 0, 100, 100)
+	c.Assert(choicesOf(near, near, far), qt.Equals, 1000)
+	full := testPeer("n", true, 20, 100, 100)
+	c.Assert(choicesOf(far, full, far), qt.Equals, 1000)
 }
 
 // A near server that is many times slower holds the slots of all who call it; it used to get every request
 // until it was three quarters full.
 func TestASlowNearServerIsLeft(t *testing.T) {
 	c := qt.New(t)
-	slow, far := server("n", true, 5, 1200, 100), server("f", false, 5, 100, 100)
-	c.Assert(share(far, slow, far), qt.Equals, 1000)
-	usual := server("n", true, 5, 240, 100)
-	c.Assert(share(usual, usual, far), qt.Equals, 1000)
+	slow, far := testPeer("n", true, 5, 1200, 100), testPeer("f", false, 5, 100, 100)
+	c.Assert(choicesOf(far, slow, far), qt.Equals, 1000)
+	usual := testPeer("n", true, 5, 240, 100)
+	c.Assert(choicesOf(usual, usual, far), qt.Equals, 1000)
 }
 
 // A server that fails fast looks idle.
 func TestAFailingServerIsntTakenForAnIdleOne(t *testing.T) {
 	c := qt.New(t)
-	grey, far := server("n", true, 2, 25, 30), server("f", false, 10, 100, 100)
-	c.Assert(share(far, grey, far), qt.Equals, 1000)
-	allGrey := server("f", false, 2, 25, 30)
-	c.Assert(share(grey, grey, allGrey), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
+	grey, far := testPeer("n", true, 2, 25, 30), testPeer("f", false, 10, 100, 100)
+	c.Assert(choicesOf(far, grey, far), qt.Equals, 1000)
+	allGrey := testPeer("f", false, 2, 25, 30)
+	c.Assert(choicesOf(grey, grey, allGrey), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
 }
 
 func TestSetAsideServersAreTheLastResort(t *testing.T) {
 	c := qt.New(t)
-	a, b := server("a", true, 0, 100, 100), server("b", true, 15, 100, 100)
+	a, b := testPeer("a", true, 0, 100, 100), testPeer("b", true, 15, 100, 100)
 	a.failed(chooseTime)
-	c.Assert(share(b, a, b), qt.Equals, 1000)
+	c.Assert(choicesOf(b, a, b), qt.Equals, 1000)
 	b.alive(chooseTime, true)
-	c.Assert(choose(chooseTime, []*peer{a}, nil, comparison{}), qt.Equals, a)
-	c.Assert(choose(chooseTime, []*peer{a}, []*peer{a}, comparison{}), qt.IsNil)
-	c.Assert(choose(chooseTime, nil, nil, comparison{}), qt.IsNil)
+	c.Assert(chooseServer(chooseTime, []*peer{a}, nil, comparisonOptions{}), qt.Equals, a)
+	c.Assert(chooseServer(chooseTime, []*peer{a}, []*peer{a}, comparisonOptions{}), qt.IsNil)
+	c.Assert(chooseServer(chooseTime, nil, nil, comparisonOptions{}), qt.IsNil)
 	c.Assert(a.usable(chooseTime.Add(asideFirst)), qt.IsTrue)
 }
 
 func BenchmarkChoose(b *testing.B) {
 	var list []*peer
 	for i := range 12 {
-		list = append(list, server("x", i < 4, i, 100, 100))
+		list = append(list, testPeer("x", i < 4, i, 100, 100))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		choose(chooseTime, list, nil, comparison{})
+		chooseServer(chooseTime, list, nil, comparisonOptions{})
 	}
 }
 
@@ -83,19 +83,19 @@
 // had refused for two seconds.
 func TestANodeThatHasBeenStoppingForLongGetsNothing(t *testing.T) {
 	c := qt.New(t)
-	p := server("n", true, 0, 100, 100)
+	p := testPeer("n", true, 0, 100, 100)
 	p.alive(chooseTime, true)
 	list := []*peer{p}
-	c.Assert(choose(chooseTime.Add(servingPeers-time.Millisecond), list, nil, comparison{}), qt.Equals, p, qt.Commentf("it still serves, and there is no other"))
+	c.Assert(chooseServer(chooseTime.Add(servingPeers-time.Millisecond), list, nil, comparisonOptions{}), qt.Equals, p, qt.Commentf("it still serves, and there is no other"))
 	p.alive(chooseTime.Add(time.Second), true)
-	c.Assert(choose(chooseTime.Add(servingPeers), list, nil, comparison{}), qt.IsNil)
+	c.Assert(chooseServer(chooseTime.Add(servingPeers), list, nil, comparisonOptions{}), qt.IsNil)
 	p.alive(chooseTime.Add(3*time.Second), false)
-	c.Assert(choose(chooseTime.Add(3*time.Second), list, nil, comparison{}), qt.Equals, p, qt.Commentf("it has started again"))
+	c.Assert(chooseServer(chooseTime.Add(3*time.Second), list, nil, comparisonOptions{}), qt.Equals, p, qt.Commentf("it has started again"))
 }
 
 // evenly holds the choices of many requests against each server's part of them: at most half as much again, in a zone of
 // twenty servers that are all as busy.
-func evenly(c *qt.C, list []*peer, taken func(*peer) bool) {
+func checkEvenChoices(c *qt.C, list []*peer, taken func(*peer) bool) {
 	const perServer = 400
 	chosen := map[*peer]int{}
 	open := 0
@@ -105,7 +105,7 @@
 		}
 	}
 	for range open * perServer {
-		chosen[choose(chooseTime, list, nil, comparison{})]++
+		chosen[chooseServer(chooseTime, list, nil, comparisonOptions{})]++
 	}
 	c.Assert(chosen, qt.HasLen, open)
 	for p, n := range chosen {
@@ -114,11 +114,11 @@
 }
 
 // zonesOf returns servers in the order of their hosts, as the directory has them: those of one zone stand together.
-func zonesOf(zones, perZone int, near func(zone int) bool, running func(zone int) int) []*peer {
+func peersInZones(zones, perZone int, near func(zone int) bool, running func(zone int) int) []*peer {
 	var list []*peer
 	for zone := range zones {
 		for i := range perZone {
-			list = append(list, server(fmt.Sprintf("10.0.%d.%02d", zone, i), near(zone), running(zone), 100, 100))
+			list = append(list, testPeer(fmt.Sprintf("10.0.%d.%02d", zone, i), near(zone), running(zone), 100, 100))
 		}
 	}
 	return list
@@ -126,30 +126,30 @@
 
 // Of five zones with twenty servers each the first server of the own zone got 6,447 of 8,000 calls while all were as busy.
 func TestCallsGoEvenlyToTheServersOfAZone(t *testing.T) {
-	list := zonesOf(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
-	evenly(qt.New(t), list, func(p *peer) bool { return p.near.Load() })
+	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
+	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.near.Load() })
 }
 
 func TestCallsGoEvenlyToTheServersOfOtherZones(t *testing.T) {
 	inZone2 := func(zone int) bool { return zone == 2 }
-	list := zonesOf(5, 20, inZone2, func(zone int) int { return map[bool]int{true: 40, false: 5}[inZone2(zone)] })
-	evenly(qt.New(t), list, func(p *peer) bool { return !p.near.Load() })
+	list := peersInZones(5, 20, inZone2, func(zone int) int { return map[bool]int{true: 40, false: 5}[inZone2(zone)] })
+	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return !p.near.Load() })
 }
 
 // Those that are set aside don't leave their part to their neighbours.
 func TestCallsGoEvenlyToTheServersThatAreLeft(t *testing.T) {
-	list := zonesOf(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
+	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	for i := 44; i < 52; i++ {
 		list[i].failed(chooseTime)
 	}
-	evenly(qt.New(t), list, func(p *peer) bool { return p.near.Load() && p.usable(chooseTime) })
+	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.near.Load() && p.usable(chooseTime) })
 }
 
 // BenchmarkChooseOfMany is a choice in a service of 95 servers in five zones.
 func BenchmarkChooseOfMany(b *testing.B) {
-	list := zonesOf(5, 19, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
+	list := peersInZones(5, 19, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	b.ReportAllocs()
 	for b.Loop() {
-		choose(chooseTime, list, nil, comparison{})
+		chooseServer(chooseTime, list, nil, comparisonOptions{})
 	}
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -30,12 +30,12 @@
 	kept        loads.KeptRuns
 	demand      loads.KeptDemand
 	asked       map[string]float64 // first attempts a second by kind, as last counted
-	judged      judgedRoutes
+	judged      internalRoutes
 	ownZone     zoneLoad // sum of this zone, as last told to others
 	zoneHosts   []string // VMs of this zone that are known
 	reportSeq   int64
 	room        overload.RoomControl
-	suspects    suspectNews
+	suspects    suspectUpdates
 	gateUse     float64 // of the own gate's slots, smoothed
 	nextLook    time.Time
 	members     zoneMembers
@@ -113,9 +113,9 @@
 	n.gate.Expire(now)
 	n.gateMu.Unlock()
 	n.leaveSilentPeers(now)
-	n.askForAwaited(ctx, now)
+	n.queryOverdueRequests(ctx, now)
 	n.fetchNewer(now)
-	n.tellCleared(now)
+	n.sendCleared(now)
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
 		n.eachPool((*httpconn.Pool).Sweep)
@@ -171,7 +171,7 @@
 	}
 	n.view.Store(v)
 	n.nodes.Store(int64(len(all)))
-	n.tuneBudget()
+	n.updateRetryBudget()
 }
 
 // ownChanged follows a change of this VM's backend server: the gate first, then the others.
@@ -239,7 +239,7 @@
 			n.ownChanged(before.Since != n.control.own.Record().Since)
 		}
 		if n.control.own.Record().Lifetime() == r.Lifetime() {
-			n.noteAway(false)
+			n.setNotListening(false)
 		}
 		generation = n.control.own.Record().Generation
 	})
--- a/pkg/mesh/gone_server_test.go
+++ b/pkg/mesh/dead_server_test.go
@@ -53,9 +53,9 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, gone := oneOfTwoGone(t)
+		s, gone := siteWithDeadServer(t)
 		for i := range 60 {
-			s.askRead(i)
+			s.sendRead(i)
 			time.Sleep(50 * time.Millisecond)
 		}
 		c.Check(s.nodes[gone].stats.report(time.Now()).Runs, qt.HasLen, 0)
@@ -67,9 +67,9 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, gone := oneOfTwoGone(t)
+		s, gone := siteWithDeadServer(t)
 		for range 20 {
-			s.askRead(gone)
+			s.sendRead(gone)
 		}
 		c.Check(s.nodes[gone].away.Load(), qt.IsTrue)
 		s.beat(gone, false)
@@ -82,13 +82,13 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, gone := oneOfTwoGone(t)
+		s, gone := siteWithDeadServer(t)
 		s.servers[0].work = 100 * time.Millisecond
 		time.Sleep(learnedWait) // what comes before waits, and goes on at once
 		const reads = 600
 		var asking sync.WaitGroup
 		for i := range reads {
-			asking.Go(func() { s.askRead(i) })
+			asking.Go(func() { s.sendRead(i) })
 			time.Sleep(5 * time.Millisecond)
 		}
 		asking.Wait()
@@ -96,12 +96,12 @@
 		tries := metrics.GetOrRegisterCounter(key, s.nodes[gone].metrics.registry).Count()
 		c.Check(tries < reads/20, qt.IsTrue, qt.Commentf("%d of %d reads went to it", tries, reads))
 		s.servers[0].srv.Close()
-		c.Check(s.askRead(0), qt.Equals, http.StatusServiceUnavailable)
+		c.Check(s.sendRead(0), qt.Equals, http.StatusServiceUnavailable)
 	})
 }
 
 // oneOfTwoGone is a site of two servers of which one isn't there, though its record says that it serves.
-func oneOfTwoGone(t *testing.T) (s *site, gone int) {
+func siteWithDeadServer(t *testing.T) (s *site, gone int) {
 	s = newMemorySite(t)
 	s.network.slowDown(100 * time.Microsecond)
 	s.seeds = []string{s.at(s.base+"1", 2)}
@@ -115,7 +115,7 @@
 }
 
 // askRead sends a read to a node.
-func (s *site) askRead(i int) int {
+func (s *site) sendRead(i int) int {
 	status, _, _ := s.ask(i%len(s.nodes), http.MethodGet, "/read/x", fmt.Sprint("r", time.Now().UnixNano()), time.Second)
 	return status
 }
--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -83,7 +83,7 @@
 	_, f := s.add(service, zone, slots)
 	s.t.Cleanup(f.ways.CloseIdleConnections)
 	f.handle = func(w http.ResponseWriter, r *http.Request) {
-		deadline := time.Now().Add(millis(r.Header.Get(testNames.TimeLeft)))
+		deadline := time.Now().Add(parseMillis(r.Header.Get(testNames.TimeLeft)))
 		for _, x := range deepRoutes {
 			if r.URL.Path != "/"+x.name+"/x" {
 				continue
--- a/pkg/mesh/many_servers_test.go
+++ b/pkg/mesh/even_use_test.go
@@ -20,12 +20,12 @@
 
 // The site of this test has many servers with few slots each in several zones.
 const (
-	manyZones    = 5
-	manyPerZone  = 8
-	manySlots    = 8
-	manyWork     = 100 * time.Millisecond
-	manyUse      = 0.5 // of the slots that gates use
-	manyDuration = 6 * time.Second
+	manyZones       = 5
+	manyPerZone     = 8
+	manySlots       = 8
+	manyWork        = 100 * time.Millisecond
+	manyUtilization = 0.5 // of the slots that gates use
+	manyDuration    = 6 * time.Second
 )
 
 // manySite is that site in made-up time.
@@ -46,11 +46,11 @@
 }
 
 // askMany sends requests to all nodes alike, as many as fill the slots to the use, and returns how many weren't served.
-func askMany(s *site) int {
+func sendMany(s *site) int {
 	var failed atomic.Int64
 	ctx, cancel := context.WithTimeout(s.t.Context(), manyDuration)
 	defer cancel()
-	gap := float64(manyWork) / (manySlots * limitOfSlots * manyUse)
+	gap := float64(manyWork) / (manySlots * limitOfSlots * manyUtilization)
 	var asking sync.WaitGroup
 	for i := range s.nodes {
 		asking.Go(func() {
@@ -78,7 +78,7 @@
 		c := qt.New(t)
 		s := manySite(t)
 		time.Sleep(time.Second) // what waits for a node that has just started comes at once
-		failed := askMany(s)
+		failed := sendMany(s)
 		runs := make([]int, 0, len(s.servers))
 		sum := 0
 		for _, f := range s.servers {
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -147,7 +147,7 @@
 		n.merge(m.From, m.Records)
 		n.takeReports(now, m.From, m.Reports)
 		n.takeZones(now, m.From, m.Zones)
-		n.takeSuspects(now, m.Ends, m.Cases)
+		n.applySuspectUpdates(now, m.Ends, m.Cases)
 		p := n.peer(m.From)
 		p.digest, p.unlearned = m.Digest, m.Unlearned
 	})
--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -83,7 +83,7 @@
 	m := message{
 		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Stopping: n.stop.leaving(), Zones: n.ownZone(now),
 		Digest: n.control.directory.Digest(), Records: n.control.news.recent(now),
-		Unlearned: n.unlearned(now), Held: n.heldDigest(now), Era: n.era.now(),
+		Unlearned: n.unlearned(now), Held: n.quarantineDigest(now), Era: n.era.now(),
 	}
 	n.watch.with(func(w *follow.Watch) { m.Age, m.Sure = w.Age(now) })
 	if zone == n.cfg.Zone {
@@ -101,7 +101,7 @@
 // newAnswer answers a message with what its sender lacks.
 func (n *Node) newAnswer(to *message) message {
 	if to.Brief {
-		return n.newBrief(nil, nil)
+		return n.newSuspectMessage(nil, nil)
 	}
 	m := n.newMessage(to.Zone)
 	if m.Digest != to.Digest {
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -36,7 +36,7 @@
 }
 
 // story returns what the logs tell of a request.
-func (l *logBuffer) story(c *qt.C, id string) []trace.Line {
+func (l *logBuffer) linesOf(c *qt.C, id string) []trace.Line {
 	return trace.Story(l.lines(c), id)
 }
 
@@ -59,7 +59,7 @@
 }
 
 // said tells whether the story has a line with the message and the field's value.
-func said(story []trace.Line, msg, field, value string) bool {
+func hasLine(story []trace.Line, msg, field, value string) bool {
 	for _, l := range story {
 		if l.Msg == msg && fmt.Sprint(l.Fields[field]) == value {
 			return true
@@ -90,15 +90,15 @@
 		status, _, _ := s.ask(0, http.MethodGet, "/read/x", "over", time.Second)
 		return status == http.StatusServiceUnavailable
 	})
-	c.Assert(said(log.story(c, "over"), "call: not admitted", "fresh_share", "0"), qt.IsTrue)
+	c.Assert(hasLine(log.linesOf(c, "over"), "call: not admitted", "fresh_share", "0"), qt.IsTrue)
 	c.Assert(metricsText(n), qt.Contains, `rockspoke_requests_total{route="read",service="a",outcome="not-run",reason="level"}`)
 
 	// Lost answer of once-only work.
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { cutOff(w) })
 	s.ask(0, http.MethodPost, "/pay/x", "lost", time.Second)
-	story := log.story(c, "lost")
-	c.Assert(said(story, "call: not served", "outcome", "unknown"), qt.IsTrue)
-	c.Assert(said(story, "call: not served", "arrivals", "1"), qt.IsTrue)
+	story := log.linesOf(c, "lost")
+	c.Assert(hasLine(story, "call: not served", "outcome", "unknown"), qt.IsTrue)
+	c.Assert(hasLine(story, "call: not served", "arrivals", "1"), qt.IsTrue)
 	c.Assert(metricsText(n), qt.Contains, `rockspoke_requests_total{route="pay",service="a",outcome="unknown",reason="lost"}`)
 
 	// All servers leave: the request is tried at each, and refused there.
@@ -108,9 +108,9 @@
 		s.nodes[i].gateMu.Unlock()
 	}
 	s.ask(0, http.MethodPost, "/pay/x", "gone", time.Second)
-	story = log.story(c, "gone")
-	c.Assert(said(story, "call: sent again", "reason", "leaving"), qt.IsTrue)
-	c.Assert(said(story, "call: not served", "tried", "3"), qt.IsTrue)
+	story = log.linesOf(c, "gone")
+	c.Assert(hasLine(story, "call: sent again", "reason", "leaving"), qt.IsTrue)
+	c.Assert(hasLine(story, "call: not served", "tried", "3"), qt.IsTrue)
 }
 
 func metricsText(n *Node) string {
--- a/pkg/mesh/fake_server_test.go
+++ b/pkg/mesh/fake_server_test.go
@@ -40,7 +40,7 @@
 
 func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(testNames.AttemptID)
-	deadline := time.Now().Add(millis(r.Header.Get(testNames.TimeLeft)))
+	deadline := time.Now().Add(parseMillis(r.Header.Get(testNames.TimeLeft)))
 	f.mu.Lock()
 	f.seen = append(f.seen, id)
 	handle := f.handle
--- a/pkg/mesh/fake_store_test.go
+++ b/pkg/mesh/fake_store_test.go
@@ -25,7 +25,7 @@
 	changed chan struct{}
 	records map[string]directory.Record
 	learned map[string]loads.Learned
-	held    map[string]HeldBack
+	held    map[string]Quarantined
 	written int
 	down    bool
 	away    map[string]bool   // VMs that are turned away
@@ -34,7 +34,7 @@
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{calls: map[storeCall]int{}, era: 1, changed: make(chan struct{}), records: map[string]directory.Record{}, learned: map[string]loads.Learned{}, held: map[string]HeldBack{}}
+	return &fakeStore{calls: map[storeCall]int{}, era: 1, changed: make(chan struct{}), records: map[string]directory.Record{}, learned: map[string]loads.Learned{}, held: map[string]Quarantined{}}
 }
 
 type storeDownError struct{}
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (s *fakeStore) writeHeld(_ context.Context, h HeldBack) error {
+func (s *fakeStore) writeHeld(_ context.Context, h Quarantined) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[writeHeldCall]++
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -15,52 +15,52 @@
 
 // delivery is the story of one request at the node where it began.
 type delivery struct {
-	n          *Node
-	q          *request
-	route      *desired.Route
-	tried      []*peer
-	arrivals   int       // backend servers that it reached, or may have reached
-	failure    *answer   // a server's own failure, which is the answer if no other server does better
-	lost       *answer   // an attempt that may have run: from then on no refusal is certain
-	heardSince time.Time // its connection has to have been heard since then, once an attempt was lost; zero: any will do
-	reason     wire.Reason
-	comeBack   time.Duration // what the last refusal says of when to come back; 0: nothing
+	n             *Node
+	q             *request
+	route         *desired.Route
+	tried         []*peer
+	arrivals      int       // backend servers that it reached, or may have reached
+	serverFailure *answer   // a server's own failure, which is the answer if no other server does better
+	lostAttempt   *answer   // an attempt that may have run: from then on no refusal is certain
+	receivedSince time.Time // its connection has to have been heard since then, once an attempt was lost; zero: any will do
+	lastReason    wire.Reason
+	retryAfter    time.Duration // what the last refusal says of when to come back; 0: nothing
 }
 
 // run sends the request until it is answered or given up.
 func (d *delivery) run(ctx context.Context) *answer {
-	d.reason = wire.ReasonNoServer
+	d.lastReason = wire.ReasonNoServer
 	for {
 		if ctx.Err() != nil {
-			d.reason = wire.ReasonDeadline
-			return d.giveUp()
+			d.lastReason = wire.ReasonDeadline
+			return d.finalAnswer()
 		}
 		now, servers := d.n.clock.Now(), d.n.view.Load().services[d.q.Service]
-		p, held := d.next(now, servers)
+		p, held := d.nextServer(now, servers)
 		if held != nil {
-			d.note(held)
-			return d.giveUp()
+			d.recordAttempt(held)
+			return d.finalAnswer()
 		}
 		if p == nil && len(servers) == 0 && d.n.awaitNews(ctx) {
 			continue
 		}
 		if p == nil {
 			if anyStopping(now, servers) && len(d.tried) == 0 {
-				d.reason = wire.ReasonLeaving
+				d.lastReason = wire.ReasonLeaving
 			}
-			return d.giveUp()
+			return d.finalAnswer()
 		}
 		d.tried = append(d.tried, p)
 		a := d.send(ctx, p)
 		if a.arrived {
 			d.arrivals++
 		}
-		d.note(a)
-		if a.outcome == wire.Ran && !a.failed() || a.canceled {
+		d.recordAttempt(a)
+		if a.outcome == wire.Ran && !a.serverFailed() || a.canceled {
 			return a
 		}
-		if !d.again(a) {
-			return d.giveUp()
+		if !d.mayRetry(a) {
+			return d.finalAnswer()
 		}
 		d.n.callLog.Info("sent again", "request", d.q.id, "route", d.route.Name, "peer", p.host,
 			"outcome", a.outcome, "reason", a.reason, "arrivals", d.arrivals)
@@ -68,22 +68,22 @@
 }
 
 // note keeps what an attempt says of the request as a whole.
-func (d *delivery) note(a *answer) {
-	d.reason = a.reason
+func (d *delivery) recordAttempt(a *answer) {
+	d.lastReason = a.reason
 	if a.reason == wire.ReasonQueue {
-		d.q.TurnedAway = true
+		d.q.RejectedElsewhere = true
 	}
 	switch {
-	case a.failed():
-		d.failure = a
+	case a.serverFailed():
+		d.serverFailure = a
 	case a.outcome == wire.Unknown:
-		d.lost, d.heardSince = a, d.n.clock.Now().Add(-heardLately)
+		d.lostAttempt, d.receivedSince = a, d.n.clock.Now().Add(-lostAttemptWindow)
 	}
-	d.comeBack = a.comeBack
+	d.retryAfter = a.retryAfter
 }
 
 // again tells whether a request that wasn't answered may be sent to another server.
-func (d *delivery) again(a *answer) bool {
+func (d *delivery) mayRetry(a *answer) bool {
 	if d.q.stream != nil {
 		return false // part of the body may be gone
 	}
@@ -96,26 +96,26 @@
 	if d.q.Stages.Any() && a.reason == wire.ReasonQueue {
 		return false // as above: its copies stay at one server
 	}
-	if a.failed() && !d.n.worthAnother(d.q) {
+	if a.serverFailed() && !d.n.anotherServerMayHelp(d.q) {
 		return false // its calls failed, most likely; another run would only add to the load
 	}
 	if !a.arrived {
 		return true // the gate's refusal is no arrival: going on costs nothing
 	}
-	return d.arrivals < max(d.route.MaxAttempts, 1) && d.n.mayRepeat(d.q)
+	return d.arrivals < max(d.route.MaxAttempts, 1) && d.n.spendRetryBudget(d.q)
 }
 
 // giveUp returns the final answer of a request that no server answered. It says that the request hasn't
 // run only if that is certain.
-func (d *delivery) giveUp() *answer {
+func (d *delivery) finalAnswer() *answer {
 	switch {
-	case d.failure != nil:
-		return d.failure
-	case d.lost != nil:
-		return d.lost
+	case d.serverFailure != nil:
+		return d.serverFailure
+	case d.lostAttempt != nil:
+		return d.lostAttempt
 	default:
-		a := refused(d.reason)
-		a.comeBack = d.comeBack
+		a := notRunAnswer(d.lastReason)
+		a.retryAfter = d.retryAfter
 		return a
 	}
 }
@@ -132,36 +132,36 @@
 	}
 	left := d.q.deadline.Sub(d.n.clock.Now())
 	if left <= 0 {
-		return refused(wire.ReasonDeadline)
+		return notRunAnswer(wire.ReasonDeadline)
 	}
 	h := d.q.header.Clone()
 	h.Set(headerCall, d.q.encode())
 	h.Set(d.n.names.TimeLeft, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	res, err := d.exchange(ctx, p, usual, &httpconn.Request{
+	res, err := d.roundTrip(ctx, p, usual, &httpconn.Request{
 		Method: d.q.method, URI: d.q.uri, Host: d.q.host, Header: h, Packed: !p.near.Load() && !d.n.off[settings.PackedHeaders],
-		Body: d.q.body, Stream: d.q.stream, StreamLen: d.q.length, HeardSince: d.heardSince, Patience: d.n.connPatience(usual),
+		Body: d.q.body, Stream: d.q.stream, StreamLen: d.q.streamLength, HeardSince: d.receivedSince, Patience: d.n.connPatience(usual),
 	})
 	if err != nil {
-		return d.peerFailed(p, err)
+		return d.handlePeerError(p, err)
 	}
 	r, err := parseReply(res.Header.Get(headerReply))
 	if err != nil {
 		_ = res.Body.Close() // what is there isn't a node's answer
 		d.n.callLog.Warn("peer answer refused", "request", d.q.id, "peer", p.host, "err", err)
-		return lost(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonLost)
 	}
 	p.heard(d.n.clock.Now(), r)
-	if r.Gone {
+	if r.NotListening {
 		p.serverEnded(d.n.clock.Now(), life)
 	}
 	d.n.noticeVersion(p.host, r.Version)
-	return d.read(p, res, r)
+	return d.readAnswer(p, res, r)
 }
 
 // read takes the rest of a node's answer.
-func (d *delivery) read(p *peer, res *httpconn.Response, r reply) *answer {
-	a := &answer{outcome: r.Outcome, reason: r.Reason, arrived: r.ByServer, status: res.Status, comeBack: r.ComeBack}
-	d.noteEnded(p, r)
+func (d *delivery) readAnswer(p *peer, res *httpconn.Response, r peerReply) *answer {
+	a := &answer{outcome: r.Outcome, reason: r.Reason, arrived: r.RefusedByServer, status: res.Status, retryAfter: r.RetryAfter}
+	d.recordCrash(p, r)
 	if r.Outcome != wire.Ran {
 		if err := drainBody(res); err != nil {
 			d.n.callLog.Debug("rest of a refusal lost", "peer", p.host, "err", err)
@@ -169,21 +169,21 @@
 		return a
 	}
 	a.arrived = true
-	a.header = endToEnd(res.Header)
+	a.header = endToEndHeaders(res.Header)
 	a.header.Set(d.n.names.AttemptID, d.q.id) // the node beside the server has compared it
-	if err := a.readWhole(res); err != nil {
-		return d.peerFailed(p, err)
+	if err := a.bufferBody(res); err != nil {
+		return d.handlePeerError(p, err)
 	}
 	return a
 }
 
 // peerFailed judges an exchange with a node that gave no whole answer.
-func (d *delivery) peerFailed(p *peer, err error) *answer {
-	if errors.Is(err, errNotThere) {
-		return lost(wire.ReasonLost)
+func (d *delivery) handlePeerError(p *peer, err error) *answer {
+	if errors.Is(err, errRequestMissing) {
+		return unknownAnswer(wire.ReasonLost)
 	}
-	if ended(err) {
-		a := lost(wire.ReasonDeadline)
+	if isCanceled(err) {
+		a := unknownAnswer(wire.ReasonDeadline)
 		a.canceled = true
 		return a
 	}
@@ -191,14 +191,14 @@
 		d.n.metrics.count("peers_aside_total")
 		d.n.callLog.Warn("peer set aside", "peer", p.host, "request", d.q.id, "err", err)
 	}
-	if unsent(err) {
-		return refused(wire.ReasonNoServer)
+	if isUnsent(err) {
+		return notRunAnswer(wire.ReasonNoServer)
 	}
-	return lost(wire.ReasonLost)
+	return unknownAnswer(wire.ReasonLost)
 }
 
-// retryBase is the least time after which a refused client is told to come back.
-const retryBase = 200 * time.Millisecond
+// minRetryDelay is the least time after which a refused client is told to come back.
+const minRetryDelay = 200 * time.Millisecond
 
 // writeFinal answers a client.
 func (n *Node) writeFinal(w http.ResponseWriter, q *request, a *answer) {
@@ -217,7 +217,7 @@
 		if a.reason == wire.ReasonQuota {
 			status = http.StatusTooManyRequests
 		}
-		w.Header().Set("Retry-After", retryAfter(n.comeBack(q, a)))
+		w.Header().Set("Retry-After", formatRetryAfter(n.retryDelay(q, a)))
 	case a.canceled:
 		status = http.StatusGatewayTimeout
 	}
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -43,19 +43,19 @@
 	defer n.present.Begin(r.Header.Get(n.names.AttemptID))()
 	n.noticeVersion(r.RemoteAddr, c.Version)
 	if n.stop.refusesPeers() {
-		n.reply(w, refused(wire.ReasonLeaving))
+		n.writeReply(w, notRunAnswer(wire.ReasonLeaving))
 		return
 	}
 	q, err := n.newRequest(r, c, 0)
 	var a *answer
 	if err != nil {
-		a = refused(wire.ReasonBadRequest)
+		a = notRunAnswer(wire.ReasonBadRequest)
 	} else {
 		ctx, cancel := n.limits.Context(r.Context(), n.clock, q.deadline.Add(inboundGrace))
 		defer cancel()
 		a = n.backend.serve(ctx, q)
 	}
-	n.reply(w, a)
+	n.writeReply(w, a)
 }
 
 // inboundGrace is how long past a request's deadline the answer is still awaited: the sender's own clock
@@ -63,7 +63,7 @@
 const inboundGrace = 100 * time.Millisecond
 
 // reply answers the node that sent a request.
-func (n *Node) reply(w http.ResponseWriter, a *answer) {
+func (n *Node) writeReply(w http.ResponseWriter, a *answer) {
 	w.Header().Set(headerReply, n.replyHeader(a).encode())
 	if n.stop.leaving() {
 		w.Header().Set("Connection", "close")
@@ -79,25 +79,25 @@
 }
 
 // replyHeader puts the load of this VM's server beside what became of a request.
-func (n *Node) replyHeader(a *answer) reply {
+func (n *Node) replyHeader(a *answer) peerReply {
 	n.gateMu.Lock()
 	g := n.gate.Read()
 	n.gateMu.Unlock()
-	return reply{
-		Outcome: a.outcome, Reason: a.reason, ByServer: a.arrived,
-		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Pace: int(g.Pace*100 + 0.5),
-		Success: int(g.Success*(1-g.Shed)*100 + 0.5), Stopping: n.stop.leaving(), Gone: a.gone, Version: n.version(),
-		Ended: a.ended, ComeBack: a.comeBack,
+	return peerReply{
+		Outcome: a.outcome, Reason: a.reason, RefusedByServer: a.arrived,
+		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Slowdown: int(g.Pace*100 + 0.5),
+		Success: int(g.Success*(1-g.Shed)*100 + 0.5), Stopping: n.stop.leaving(), NotListening: a.notListening, Version: n.version(),
+		CrashedLifetime: a.crashedLifetime, RetryAfter: a.retryAfter,
 	}
 }
 
 // newRequest reads a request; most bounds its body, 0 for no bound.
-func (n *Node) newRequest(r *http.Request, c call, most int64) (*request, error) {
+func (n *Node) newRequest(r *http.Request, c peerCall, most int64) (*request, error) {
 	q := &request{
-		call: c, id: r.Header.Get(n.names.AttemptID), method: r.Method, uri: r.RequestURI, host: r.Host,
-		header: endToEnd(r.Header),
+		peerCall: c, id: r.Header.Get(n.names.AttemptID), method: r.Method, uri: r.RequestURI, host: r.Host,
+		header: endToEndHeaders(r.Header),
 	}
-	left := millis(r.Header.Get(n.names.TimeLeft))
+	left := parseMillis(r.Header.Get(n.names.TimeLeft))
 	if left == 0 {
 		left = defaultTimeLeft
 	}
--- a/pkg/mesh/keep_learned.go
+++ b/pkg/mesh/keep_learned.go
@@ -73,7 +73,7 @@
 		if run, known := runs[route]; known {
 			l.Times[route] = loads.RunTimes{Rate: run.Rate, Hold: run.Hold}
 		}
-		if n.control.judged.called[route] {
+		if n.control.judged.internal[route] {
 			l.Inner = append(l.Inner, route)
 		}
 	}
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/keep_learned_test.go
@@ -115,7 +115,7 @@
 	low.halt()
 	s.start(1)
 	low = s.nodes[1]
-	s.until("the restarted node knows the calls", func() bool { return low.isInner("called") })
+	s.until("the restarted node knows the calls", func() bool { return low.isInternalRoute("called") })
 	c.Assert(low.knowledge.complete.Load(), qt.IsTrue)
 	low.stats.drop(time.Now(), low.stats.begin(time.Now(), "called", time.Now()))
 	low.stats.mu.Lock()
@@ -179,14 +179,14 @@
 	judged := make(chan [2]bool)
 	n.do(func() {
 		now := time.Now()
-		n.control.judged.recall(now, loads.Learned{Calls: map[string]callgraph.Rates{"called": {}, "root": {}}, Inner: []string{"called"}})
+		n.control.judged.restore(now, loads.Learned{Calls: map[string]callgraph.Rates{"called": {}, "root": {}}, Inner: []string{"called"}})
 		n.control.reports = map[string]*heldReport{"x": {heard: now, Report: loads.Report{
 			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, Alone: 90}, "root": {Fresh: 100, Alone: 90}},
 		}}}
-		n.judgeRoutes(now)
-		soon := n.control.judged.called["called"] && !n.control.judged.called["root"]
-		n.judgeRoutes(now.Add(judgedBefore))
-		judged <- [2]bool{soon, n.control.judged.called["called"]}
+		n.updateInternalRoutes(now)
+		soon := n.control.judged.internal["called"] && !n.control.judged.internal["root"]
+		n.updateInternalRoutes(now.Add(restoredDecisionTime))
+		judged <- [2]bool{soon, n.control.judged.internal["called"]}
 	})
 	c.Assert(<-judged, qt.Equals, [2]bool{true, false})
 }
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -15,7 +15,7 @@
 // newServers returns a server for each address that the settings name.
 func (n *Node) newServers(l settings.Listen, control http.Handler) []*http.Server {
 	servers := []*http.Server{
-		n.peerServer(l.Peers),
+		n.newPeerServer(l.Peers),
 		n.clientServer(l.Outbound),
 		n.newServer(l.Control, control),
 	}
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -17,67 +17,67 @@
 const (
 	// heardLately is how long ago a connection may have been heard at the most to carry a request of which an attempt was lost: the others may
 	// have gone silent together with that attempt's.
-	heardLately = 100 * time.Millisecond
+	lostAttemptWindow = 100 * time.Millisecond
 	// inProgressTime bounds such a question.
-	inProgressTime = 250 * time.Millisecond
+	inProgressTimeout = 250 * time.Millisecond
 	// maxInProgress bounds it in bytes: MostAsked ids, each of which may be as long as a header line usually may.
-	maxInProgress = awaited.MostAsked * (8 << 10)
+	maxInProgressBytes = awaited.MostAsked * (8 << 10)
 )
 
 // inProgressQuestion asks which of some requests, by their attempt ids, a node doesn't have.
-type inProgressQuestion struct {
+type inProgressQuery struct {
 	IDs []string `codec:"i"`
 }
 
 // inProgressAnswer names those that it doesn't have.
-type inProgressAnswer struct {
+type inProgressReply struct {
 	Missing []string `codec:"m"`
 }
 
 // errNotThere ends the wait for the answer of a node that doesn't have the request.
-var errNotThere = errors.New("the peer doesn't have the request")
+var errRequestMissing = errors.New("the peer doesn't have the request")
 
 // exchange sends the request to a peer, which usually takes so long, and reads the header of its answer. The wait ends with errNotThere
 // when the peer is found not to have the request. Once-only work is never given up so: whether it ran wouldn't be known any better.
-func (d *delivery) exchange(ctx context.Context, p *peer, usual time.Duration, req *httpconn.Request) (*httpconn.Response, error) {
+func (d *delivery) roundTrip(ctx context.Context, p *peer, usual time.Duration, req *httpconn.Request) (*httpconn.Response, error) {
 	if d.q.Once || d.q.stream != nil || d.n.off[settings.Silence] {
 		return p.pool.Do(ctx, req)
 	}
 	waiting, giveUp := context.WithCancelCause(ctx)
 	r := &awaited.Request{
-		ID: d.q.id, Sent: d.n.clock.Now(), Patience: silentLeast + silentHolds*usual, GiveUp: func() { giveUp(errNotThere) },
+		ID: d.q.id, Sent: d.n.clock.Now(), Patience: silentLeast + silentHolds*usual, GiveUp: func() { giveUp(errRequestMissing) },
 	}
 	p.awaited.Add(r)
 	res, err := p.pool.Do(waiting, req)
 	p.awaited.Remove(r) // it isn't given up after that
-	if !errors.Is(context.Cause(waiting), errNotThere) {
+	if !errors.Is(context.Cause(waiting), errRequestMissing) {
 		return res, err
 	}
 	if err == nil {
 		_ = res.Body.Close() // its rest can't be read any more
 	}
-	return nil, errNotThere
+	return nil, errRequestMissing
 }
 
 // askForAwaited asks peers for the requests that take much longer than usual.
-func (n *Node) askForAwaited(ctx context.Context, now time.Time) {
+func (n *Node) queryOverdueRequests(ctx context.Context, now time.Time) {
 	n.peersMu.Lock()
 	defer n.peersMu.Unlock()
 	for _, p := range n.peers {
 		if asked := p.awaited.Ask(now); len(asked) > 0 {
-			n.running.Go(func() { n.askFor(ctx, p, asked) })
+			n.running.Go(func() { n.queryInProgress(ctx, p, asked) })
 		}
 	}
 }
 
 // askFor asks a peer for requests, on a connection that was heard after the first of them was sent, or a new one.
-func (n *Node) askFor(ctx context.Context, p *peer, asked []*awaited.Request) {
-	var q inProgressQuestion
+func (n *Node) queryInProgress(ctx context.Context, p *peer, asked []*awaited.Request) {
+	var q inProgressQuery
 	for _, r := range asked {
 		q.IDs = append(q.IDs, r.ID)
 	}
-	var a inProgressAnswer
-	if err := n.askNodeSince(ctx, asked[0].Sent, p.host, inProgressPath, inProgressTime, &q, &a); err != nil {
+	var a inProgressReply
+	if err := n.askNodeSince(ctx, asked[0].Sent, p.host, inProgressPath, inProgressTimeout, &q, &a); err != nil {
 		n.controlLog.Debug("requests in progress not told", "peer", p.host, "err", err)
 		a.Missing = nil // nothing is known: they wait on
 	}
@@ -90,8 +90,8 @@
 
 // serveInProgress tells another node which of its requests aren't here.
 func (n *Node) serveInProgress(w http.ResponseWriter, r *http.Request) {
-	var q inProgressQuestion
-	if n.readQuestion(w, r, maxInProgress, &q, func() bool { return len(q.IDs) <= awaited.MostAsked }) {
-		n.answerNode(w, inProgressAnswer{Missing: n.present.Missing(q.IDs)})
+	var q inProgressQuery
+	if n.readQuestion(w, r, maxInProgressBytes, &q, func() bool { return len(q.IDs) <= awaited.MostAsked }) {
+		n.answerNode(w, inProgressReply{Missing: n.present.Missing(q.IDs)})
 	}
 }
--- a/pkg/mesh/mesh_options.go
+++ b/pkg/mesh/mesh_options.go
@@ -45,7 +45,7 @@
 	// WriteLearned stores what was learned of the runs of one service; any of its nodes may write it.
 	WriteLearned func(ctx context.Context, l loads.Learned) error
 	// WriteHeld stores what is held back of the requests for one service, in place of what was stored before.
-	WriteHeld func(ctx context.Context, h HeldBack) error
+	WriteHeld func(ctx context.Context, h Quarantined) error
 }
 
 // Cursor is a place in the store's history. Versions of different eras say nothing of each other: a store that came back from a
@@ -59,7 +59,7 @@
 type Stored struct {
 	Records []directory.Record
 	Learned []loads.Learned
-	Held    []HeldBack
+	Held    []Quarantined
 	// Unread tells which rows aren't a node's, or can't be read; the others hold.
 	Unread []error
 }
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -119,7 +119,7 @@
 	n.roles.Store(&teamRoles{})
 	n.knowledge.told = o.Settings.Mesh.FirstStart // nobody knows anything yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
-	n.tuneBudget()
+	n.updateRetryBudget()
 	n.view.Store(&view{})
 	n.servers = n.newServers(o.Settings.Listen, o.Control(n))
 	return n, nil
@@ -147,7 +147,7 @@
 	n.run(func() { n.syncRecords(ctx) })
 	n.run(func() { n.writeRecords(ctx) })
 	n.run(func() { n.keepLearned(ctx) })
-	n.run(func() { n.keepHeld(ctx) })
+	n.run(func() { n.storeQuarantined(ctx) })
 	n.run(func() { n.proveState(ctx) })
 	n.controlLog.Info("started", "host", n.ip, "zone", n.cfg.Zone, "service", n.cfg.Service, "epoch", n.epoch, "off", n.cfg.Mesh.Off)
 	return nil
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -97,7 +97,7 @@
 // operatorsHandler serves those who look after the system: the metrics, at any path but that of what is held back.
 func (n *Node) operatorsHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(HeldBackPath, n.heldBackHandler())
+	mux.Handle(QuarantinePath, n.quarantineHandler())
 	mux.Handle("/", n.metricsHandler())
 	return mux
 }
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -29,7 +29,7 @@
 	n.awaitLearned(r.Context())
 	route := state.Match(r.Host, r.RequestURI)
 	if route == nil {
-		n.noRoute(w, r)
+		n.refuseNoRoute(w, r)
 		return
 	}
 	if r.Header.Get(n.names.AttemptID) == "" {
@@ -38,7 +38,7 @@
 	}
 	state, route = n.awaitProof(r, state, route)
 	if route == nil {
-		n.noRoute(w, r)
+		n.refuseNoRoute(w, r)
 		return
 	}
 	team, refusal := n.identify(r, state, route)
@@ -46,7 +46,7 @@
 		n.refuseKey(w, r, route, refusal)
 		return
 	}
-	q, err := n.newRequest(r, n.callOf(state, route), state.Limits.BodyBytes)
+	q, err := n.newRequest(r, n.newPeerCall(state, route), state.Limits.BodyBytes)
 	if err != nil {
 		n.refuseBody(w, r, err)
 		return
@@ -57,10 +57,10 @@
 		return
 	}
 	n.stats.begins(n.clock.Now(), q.kind(), q.clientDeadline)
-	if q.Inner {
+	if q.Internal {
 		n.stats.called(n.clock.Now(), route.Name, q.clientDeadline)
 	}
-	if a := n.refuseEntry(q); a != nil {
+	if a := n.entryRefusal(q); a != nil {
 		n.giveBackQuota(q)
 		n.writeFinal(w, q, a)
 		return
@@ -68,25 +68,25 @@
 	n.serveRouted(w, r, q, route)
 }
 
-// callOf returns what the chosen server's node is told of a request of the route.
-func (n *Node) callOf(state *desired.State, route *desired.Route) call {
-	return call{
+// newPeerCall returns what the chosen server's node is told of a request of the route.
+func (n *Node) newPeerCall(state *desired.State, route *desired.Route) peerCall {
+	return peerCall{
 		Service: pickTarget(route), Route: route.Name, Caller: n.cfg.Service, Priority: route.Priority,
-		Inner: n.isInner(route.Name), Once: route.Kind == desired.Once, Version: state.Version,
+		Internal: n.isInternalRoute(route.Name), Once: route.Kind == desired.Once, Version: state.Version,
 	}
 }
 
-// refuseEntry returns the answer to a request that isn't taken in, or nil: new ones are turned away late in
+// entryRefusal returns the answer to a request that isn't taken in, or nil: new ones are turned away late in
 // a planned stop, and by admission.
-func (n *Node) refuseEntry(q *request) *answer {
-	if n.stop.refuses() && !q.Inner {
-		return refused(wire.ReasonLeaving)
+func (n *Node) entryRefusal(q *request) *answer {
+	if n.stop.refuses() && !q.Internal {
+		return notRunAnswer(wire.ReasonLeaving)
 	}
-	if j := n.judge(q); j.Treatment == poison.HeldBack {
-		return n.heldBack(q, j)
+	if j := n.suspectDecision(q); j.Treatment == poison.HeldBack {
+		return n.quarantineRefusal(q, j)
 	}
 	if !n.admit(q, q.deadline.Sub(n.clock.Now())) {
-		a := refused(wire.ReasonLevel)
+		a := notRunAnswer(wire.ReasonLevel)
 		a.overloaded = true
 		return a
 	}
@@ -102,7 +102,7 @@
 	}
 	ctx, cancel := n.limits.Context(r.Context(), n.clock, q.deadline)
 	defer cancel()
-	n.earnRepeats(q)
+	n.earnRetryBudget(q)
 	begun := n.clock.Now()
 	d := &delivery{n: n, q: q, route: route}
 	a := d.run(ctx)
@@ -111,13 +111,13 @@
 	}
 	if a.outcome != wire.Ran && r.Context().Err() == nil {
 		n.callLog.Info("not served", "request", q.id, "route", route.Name, "service", q.Service, "outcome", a.outcome,
-			"reason", a.reason, "arrivals", d.arrivals, "tried", len(d.tried), "version", q.Version, "inner", q.Inner)
+			"reason", a.reason, "arrivals", d.arrivals, "tried", len(d.tried), "version", q.Version, "inner", q.Internal)
 	}
 	n.writeFinal(w, q, a)
 }
 
-// noRoute answers a request that no route matches; where the desired state may be old, the route may well exist.
-func (n *Node) noRoute(w http.ResponseWriter, r *http.Request) {
+// refuseNoRoute answers a request that no route matches; where the desired state may be old, the route may well exist.
+func (n *Node) refuseNoRoute(w http.ResponseWriter, r *http.Request) {
 	if !n.sureOfState() {
 		n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusServiceUnavailable)
 		return
@@ -135,16 +135,16 @@
 	n.refuseUnrouted(w, r, wire.ReasonBadRequest, status)
 }
 
-// oldStateRetry is when those should come back, on average, whose key can't be judged: the store is away, which takes longer to pass
+// oldStateRetryDelay is when those should come back, on average, whose key can't be judged: the store is away, which takes longer to pass
 // than an overload.
-const oldStateRetry = time.Second
+const oldStateRetryDelay = time.Second
 
-// retryAfterOf returns when to come back after a refusal, on average.
-func retryAfterOf(reason wire.Reason) time.Duration {
+// retryDelayFor returns when to come back after a refusal, on average.
+func retryDelayFor(reason wire.Reason) time.Duration {
 	if reason == wire.ReasonOldState {
-		return oldStateRetry
+		return oldStateRetryDelay
 	}
-	return retryBase
+	return minRetryDelay
 }
 
 // refuseUnrouted answers a request that can't be sent anywhere.
@@ -156,7 +156,7 @@
 		h.Set(n.names.AttemptID, id)
 	}
 	if status == http.StatusServiceUnavailable {
-		h.Set("Retry-After", retryAfter(jitter(retryAfterOf(reason))))
+		h.Set("Retry-After", formatRetryAfter(jitter(retryDelayFor(reason))))
 	}
 	if n.stop.leaving() {
 		h.Set("Connection", "close")
--- a/pkg/mesh/packed_headers.go
+++ b/pkg/mesh/packed_headers.go
@@ -11,7 +11,7 @@
 
 // peerConn is what this node knows of a connection that a peer made: the headers of requests that came on it, and
 // those of answers that went back.
-type peerConn struct {
+type peerConnHeaders struct {
 	unpacker headerpack.Unpacker
 	packer   headerpack.Packer
 }
@@ -21,19 +21,19 @@
 
 // peerServer returns the server for other nodes. Headers from other availability zones come packed, since bytes
 // between zones are paid for, and so go those of the answers.
-func (n *Node) peerServer(addr string) *http.Server {
-	s := n.newServer(addr, n.unpacked(n.inboundHandler()))
+func (n *Node) newPeerServer(addr string) *http.Server {
+	s := n.newServer(addr, n.withPackedHeaders(n.inboundHandler()))
 	s.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, peerConnKey{}, &peerConn{})
+		return context.WithValue(ctx, peerConnKey{}, &peerConnHeaders{})
 	}
 	return s
 }
 
 // unpacked returns a handler that unpacks the headers of requests for another one, and packs those of its answers.
-func (n *Node) unpacked(next http.Handler) http.Handler {
+func (n *Node) withPackedHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text := r.Header.Get(headerpack.Header)
-		c, ok := r.Context().Value(peerConnKey{}).(*peerConn)
+		c, ok := r.Context().Value(peerConnKey{}).(*peerConnHeaders)
 		if text == "" || !ok {
 			next.ServeHTTP(w, r)
 			return
@@ -47,22 +47,22 @@
 		}
 		delete(r.Header, headerpack.Header)
 		maps.Copy(r.Header, h)
-		next.ServeHTTP(&packedAnswer{ResponseWriter: w, conn: c}, r)
+		next.ServeHTTP(&packingWriter{ResponseWriter: w, conn: c}, r)
 	})
 }
 
 // packedAnswer packs the headers of one answer.
-type packedAnswer struct {
+type packingWriter struct {
 	http.ResponseWriter
-	conn   *peerConn
+	conn   *peerConnHeaders
 	packed bool
 }
 
 // framing are the headers that the library of the other side has to see.
-var framing = []string{"Content-Length", "Transfer-Encoding", "Connection"}
+var framingHeaders = []string{"Content-Length", "Transfer-Encoding", "Connection"}
 
 // WriteHeader packs the headers before the first of them is sent.
-func (w *packedAnswer) WriteHeader(status int) {
+func (w *packingWriter) WriteHeader(status int) {
 	if !w.packed {
 		w.packed = true
 		w.pack()
@@ -71,7 +71,7 @@
 }
 
 // pack puts one header in place of all but those of the framing.
-func (w *packedAnswer) pack() {
+func (w *packingWriter) pack() {
 	h := w.Header()
 	rest := http.Header{}
 	for name, values := range h {
@@ -80,7 +80,7 @@
 			delete(h, name)
 		}
 	}
-	for _, name := range framing {
+	for _, name := range framingHeaders {
 		if v, is := rest[name]; is {
 			h[name] = v
 			delete(rest, name)
@@ -91,7 +91,7 @@
 }
 
 // Write sends the header first if that hasn't been done.
-func (w *packedAnswer) Write(b []byte) (int, error) {
+func (w *packingWriter) Write(b []byte) (int, error) {
 	if !w.packed {
 		w.WriteHeader(http.StatusOK)
 	}
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -133,12 +133,12 @@
 }
 
 // heard takes the load that came with an answer, and ends the time aside.
-func (p *peer) heard(now time.Time, r reply) {
+func (p *peer) heard(now time.Time, r peerReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.load = serverLoad{
 		others: max(int64(r.Running+r.Queued)-p.inflight.Load(), 0),
-		limit:  float64(r.Limit), pace: float64(r.Pace) / 100, success: float64(r.Success) / 100, at: now,
+		limit:  float64(r.Limit), pace: float64(r.Slowdown) / 100, success: float64(r.Success) / 100, at: now,
 	}
 	p.endAside()
 	p.noteStop(now, r.Stopping)
--- a/pkg/mesh/peer_protocol.go
+++ b/pkg/mesh/peer_protocol.go
@@ -25,34 +25,34 @@
 	suspectCallFields, suspectReplyFields = poison.Likenesses, 2
 )
 
-// call is what a node tells the node beside the chosen server.
-type call struct {
-	Service    string
-	Route      string
-	Caller     string // service of the VM on which the request began
-	Priority   int
-	Inner      bool
-	Once       bool
-	TurnedAway bool          // by another gate, for want of room
-	Version    int64         // desired state that the request came in with
-	Stages     poison.Stages // of its cases, as the sender knows
+// peerCall is what a node tells the node beside the chosen server.
+type peerCall struct {
+	Service           string
+	Route             string
+	Caller            string // service of the VM on which the request began
+	Priority          int
+	Internal          bool
+	Once              bool
+	RejectedElsewhere bool          // by another gate, for want of room
+	Version           int64         // desired state that the request came in with
+	Stages            poison.Stages // of its cases, as the sender knows
 }
 
-// reply is what that node tells beside an answer or refusal.
-type reply struct {
-	Outcome  wire.Outcome
-	Reason   wire.Reason
-	ByServer bool // the refusal is the server's own: it counts as an arrival there
-	Running  int
-	Queued   int
-	Limit    int
-	Pace     int // time that requests hold a slot of the server, in a hundredth of what their kinds do at any server
-	Success  int // good answers of the server in a hundred, refusals of its own counted as none
-	Version  int64
-	Stopping bool
-	Gone     bool          // it hasn't run since nobody is there beside the node
-	Ended    string        // the life of the server that ended under the request; empty: none did
-	ComeBack time.Duration // when the caller should try again; 0: as usual
+// peerReply is what that node tells beside an answer or refusal.
+type peerReply struct {
+	Outcome         wire.Outcome
+	Reason          wire.Reason
+	RefusedByServer bool // the refusal is the server's own: it counts as an arrival there
+	Running         int
+	Queued          int
+	Limit           int
+	Slowdown        int // time that requests hold a slot of the server, in a hundredth of what their kinds do at any server
+	Success         int // good answers of the server in a hundred, refusals of its own counted as none
+	Version         int64
+	Stopping        bool
+	NotListening    bool          // it hasn't run since nobody is there beside the node
+	CrashedLifetime string        // the life of the server that ended under the request; empty: none did
+	RetryAfter      time.Duration // when the caller should try again; 0: as usual
 }
 
 // ProtocolError reports a header between nodes that can't be read.
@@ -64,8 +64,8 @@
 // Error names the header and its value.
 func (e *ProtocolError) Error() string { return fmt.Sprintf("peer header %s: %q", e.Header, e.Value) }
 
-func (c call) encode() string {
-	s := fmt.Sprintf("%s,%s,%s,%d,%s,%d", c.Service, c.Route, c.Caller, c.Priority, flags(c.Inner, c.Once, c.TurnedAway), c.Version)
+func (c peerCall) encode() string {
+	s := fmt.Sprintf("%s,%s,%s,%d,%s,%d", c.Service, c.Route, c.Caller, c.Priority, packFlags(c.Internal, c.Once, c.RejectedElsewhere), c.Version)
 	if c.Stages.Any() {
 		for _, stage := range c.Stages {
 			s += "," + strconv.Itoa(stage)
@@ -74,8 +74,8 @@
 	return s
 }
 
-// flags packs up to ten booleans into a short number.
-func flags(bits ...bool) string {
+// packFlags packs up to ten booleans into a short number.
+func packFlags(bits ...bool) string {
 	n := 0
 	for i, b := range bits {
 		if b {
@@ -85,50 +85,50 @@
 	return strconv.Itoa(n)
 }
 
-func parseCall(v string) (call, error) {
+func parseCall(v string) (peerCall, error) {
 	f := strings.Split(v, ",")
 	if len(f) != callFields && len(f) != callFields+suspectCallFields {
-		return call{}, &ProtocolError{headerCall, v}
+		return peerCall{}, &ProtocolError{headerCall, v}
 	}
 	var stages poison.Stages
 	for i, text := range f[callFields:] {
 		var err error
 		if stages[i], err = strconv.Atoi(text); err != nil {
-			return call{}, &ProtocolError{headerCall, v}
+			return peerCall{}, &ProtocolError{headerCall, v}
 		}
 	}
 	prio, err1 := strconv.Atoi(f[3])
 	bits, err2 := strconv.Atoi(f[4])
 	version, err3 := strconv.ParseInt(f[5], 10, 64)
 	if err1 != nil || err2 != nil || err3 != nil {
-		return call{}, &ProtocolError{headerCall, v}
+		return peerCall{}, &ProtocolError{headerCall, v}
 	}
-	return call{
+	return peerCall{
 		Service: f[0], Route: f[1], Caller: f[2], Priority: prio,
-		Inner: bits&1 != 0, Once: bits&2 != 0, TurnedAway: bits&4 != 0, Version: version, Stages: stages,
+		Internal: bits&1 != 0, Once: bits&2 != 0, RejectedElsewhere: bits&4 != 0, Version: version, Stages: stages,
 	}, nil
 }
 
-func (r reply) encode() string {
-	s := fmt.Sprintf("%s,%s,%s,%d,%d,%d,%d,%d,%d", r.Outcome, r.Reason, flags(r.ByServer, r.Stopping, r.Gone),
-		r.Running, r.Queued, r.Limit, r.Pace, r.Success, r.Version)
-	if r.Ended != "" || r.ComeBack > 0 {
-		s += fmt.Sprintf(",%s,%d", r.Ended, r.ComeBack.Milliseconds())
+func (r peerReply) encode() string {
+	s := fmt.Sprintf("%s,%s,%s,%d,%d,%d,%d,%d,%d", r.Outcome, r.Reason, packFlags(r.RefusedByServer, r.Stopping, r.NotListening),
+		r.Running, r.Queued, r.Limit, r.Slowdown, r.Success, r.Version)
+	if r.CrashedLifetime != "" || r.RetryAfter > 0 {
+		s += fmt.Sprintf(",%s,%d", r.CrashedLifetime, r.RetryAfter.Milliseconds())
 	}
 	return s
 }
 
-func parseReply(v string) (reply, error) {
+func parseReply(v string) (peerReply, error) {
 	f := strings.Split(v, ",")
 	if len(f) != replyFields && len(f) != replyFields+suspectReplyFields {
-		return reply{}, &ProtocolError{headerReply, v}
+		return peerReply{}, &ProtocolError{headerReply, v}
 	}
 	var ended string
 	var comeBack time.Duration
 	if len(f) > replyFields {
 		ms, err := strconv.ParseInt(f[replyFields+1], 10, 64)
 		if err != nil {
-			return reply{}, &ProtocolError{headerReply, v}
+			return peerReply{}, &ProtocolError{headerReply, v}
 		}
 		ended, comeBack = f[replyFields], time.Duration(ms)*time.Millisecond
 	}
@@ -136,14 +136,14 @@
 	for i := range n {
 		var err error
 		if n[i], err = strconv.ParseInt(f[i+2], 10, 64); err != nil {
-			return reply{}, &ProtocolError{headerReply, v}
+			return peerReply{}, &ProtocolError{headerReply, v}
 		}
 	}
-	return reply{
+	return peerReply{
 		Outcome: wire.Outcome(f[0]), Reason: wire.Reason(f[1]),
-		ByServer: n[0]&1 != 0, Stopping: n[0]&2 != 0, Gone: n[0]&4 != 0,
+		RefusedByServer: n[0]&1 != 0, Stopping: n[0]&2 != 0, NotListening: n[0]&4 != 0,
 		Running: int(n[1]), Queued: int(n[2]), Limit: int(n[3]),
-		Pace: int(n[4]), Success: int(n[5]), Version: n[6],
-		Ended: ended, ComeBack: comeBack,
+		Slowdown: int(n[4]), Success: int(n[5]), Version: n[6],
+		CrashedLifetime: ended, RetryAfter: comeBack,
 	}, nil
 }
--- a/pkg/mesh/peer_protocol_test.go
+++ b/pkg/mesh/peer_protocol_test.go
@@ -11,13 +11,13 @@
 
 func TestPeerHeadersReadBack(t *testing.T) {
 	c := qt.New(t)
-	in := call{Service: "s", Route: "r", Caller: "c", Priority: 2, Inner: true, Once: true, TurnedAway: true, Version: 12}
+	in := peerCall{Service: "s", Route: "r", Caller: "c", Priority: 2, Internal: true, Once: true, RejectedElsewhere: true, Version: 12}
 	got, err := parseCall(in.encode())
 	c.Assert(err, qt.IsNil)
 	c.Assert(got, qt.Equals, in)
-	r := reply{
-		Outcome: wire.NotRun, Reason: wire.ReasonQueue, ByServer: true, Running: 3, Queued: 4, Limit: 5,
-		Pace: 150, Success: 99, Version: 8, Stopping: true, Gone: true,
+	r := peerReply{
+		Outcome: wire.NotRun, Reason: wire.ReasonQueue, RefusedByServer: true, Running: 3, Queued: 4, Limit: 5,
+		Slowdown: 150, Success: 99, Version: 8, Stopping: true, NotListening: true,
 	}
 	back, err := parseReply(r.encode())
 	c.Assert(err, qt.IsNil)
--- a/pkg/mesh/peer_silence_test.go
+++ b/pkg/mesh/peer_silence_test.go
@@ -11,14 +11,14 @@
 // all requests of the other zones failed for two seconds.
 func TestAPeerThatFallsSilentIsLeft(t *testing.T) {
 	c := qt.New(t)
-	cut, sound := server("cut", true, 0, 100, 100), server("sound", true, 10, 100, 100)
+	cut, sound := testPeer("cut", true, 0, 100, 100), testPeer("sound", true, 10, 100, 100)
 	now, usual := chooseTime, 40*time.Millisecond
 	for range silentSends {
 		cut.sending(now, usual)
 		sound.sending(now, usual)
 		now = now.Add(10 * time.Millisecond)
 	}
-	sound.heard(now, reply{Limit: 20, Pace: 100, Success: 100})
+	sound.heard(now, peerReply{Limit: 20, Slowdown: 100, Success: 100})
 	c.Assert(cut.isSilent(now), qt.IsFalse, qt.Commentf("answers may still come"))
 	now = now.Add(silentLeast + silentHolds*usual)
 	c.Assert(sound.isSilent(now), qt.IsFalse)
@@ -29,7 +29,7 @@
 	c.Assert(cut.usable(now.Add(asideMost)), qt.IsTrue)
 	cut.sending(now.Add(asideMost), usual)
 	c.Assert(cut.usable(now.Add(asideMost)), qt.IsFalse, qt.Commentf("one at a time"))
-	cut.heard(now.Add(asideMost), reply{Limit: 20, Pace: 100, Success: 100})
+	cut.heard(now.Add(asideMost), peerReply{Limit: 20, Slowdown: 100, Success: 100})
 	c.Assert(cut.usable(now.Add(asideMost)), qt.IsTrue)
 }
 
--- a/pkg/mesh/poison_request_test.go
+++ b/pkg/mesh/poison_request_test.go
@@ -47,11 +47,11 @@
 				p := newPoisonSite(t, x.servers, x.fuse)
 				p.queries, p.sameID = x.queries, x.sameID
 				p.from = time.Now()
-				p.work.Go(func() { p.askReads(14*time.Second, differentReads) })
+				p.work.Go(func() { p.sendReads(14*time.Second, differentReads) })
 				time.Sleep(3 * time.Second)
-				p.askPoison(8*time.Second, x.perS, x.entries...)
+				p.sendPoison(8*time.Second, x.perS, x.entries...)
 				p.finish()
-				p.poison[poisonPath].check(c)
+				p.poison[poisonPath].checkQuarantined(c)
 				c.Check(p.shareServed(8, 14) > 0.99, qt.IsTrue, qt.Commentf("%.3f of the reads served from 5 s after its first run on", p.shareServed(8, 14)))
 			})
 		})
@@ -60,10 +60,10 @@
 
 // check checks that the request was held back. Copies that began before the first end, when nothing could be known, may end a server each; then two more
 // ends tell.
-func (r *poisonRuns) check(c *qt.C) {
-	c.Check(r.sendsAfterThirdEnd(time.Second), qt.Equals, 0, qt.Commentf("sends more than a second after its third end"))
-	most := r.sendsBeforeFirstEnd() + 2
-	c.Check(len(r.ended) <= most, qt.IsTrue, qt.Commentf("%d servers ended, at most %d may", len(r.ended), most))
+func (r *poisonRuns) checkQuarantined(c *qt.C) {
+	c.Check(r.sendsAfterThirdCrash(time.Second), qt.Equals, 0, qt.Commentf("sends more than a second after its third end"))
+	most := r.sendsBeforeFirstCrash() + 2
+	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("%d servers ended, at most %d may", len(r.crashes), most))
 }
 
 // Two poison requests at once are told from each other and from the reads beside them.
@@ -73,16 +73,16 @@
 		c := qt.New(t)
 		p := newPoisonSite(t, 12, 70*time.Millisecond)
 		p.from = time.Now()
-		p.work.Go(func() { p.askReads(12*time.Second, differentReads) })
+		p.work.Go(func() { p.sendReads(12*time.Second, differentReads) })
 		time.Sleep(2 * time.Second)
 		for _, name := range []string{"1", "2"} {
-			p.work.Go(func() { p.askFor(poisonPath+name, 7*time.Second, 8, 0, 1, 2) })
+			p.work.Go(func() { p.sendPath(poisonPath+name, 7*time.Second, 8, 0, 1, 2) })
 		}
 		time.Sleep(7 * time.Second)
 		p.finish()
-		c.Check(p.poison[poisonPath+"1"].sendsAfterThirdEnd(time.Second), qt.Equals, 0)
-		c.Check(p.poison[poisonPath+"2"].sendsAfterThirdEnd(time.Second), qt.Equals, 0)
-		c.Check(p.ends() <= 8, qt.IsTrue, qt.Commentf("%d servers ended", p.ends()))
+		c.Check(p.poison[poisonPath+"1"].sendsAfterThirdCrash(time.Second), qt.Equals, 0)
+		c.Check(p.poison[poisonPath+"2"].sendsAfterThirdCrash(time.Second), qt.Equals, 0)
+		c.Check(p.crashCount() <= 8, qt.IsTrue, qt.Commentf("%d servers ended", p.crashCount()))
 		c.Check(p.shareServed(7, 12) > 0.99, qt.IsTrue, qt.Commentf("%.3f", p.shareServed(7, 12)))
 	})
 }
@@ -94,11 +94,11 @@
 		c := qt.New(t)
 		p := newPoisonSite(t, 60, 70*time.Millisecond)
 		p.from = time.Now()
-		p.work.Go(func() { p.askReads(6*time.Second, differentReads) })
+		p.work.Go(func() { p.sendReads(6*time.Second, differentReads) })
 		time.Sleep(time.Second)
-		p.askPoison(4*time.Second, 40, 0, 1, 2)
+		p.sendPoison(4*time.Second, 40, 0, 1, 2)
 		p.finish()
-		p.poison[poisonPath].check(c)
+		p.poison[poisonPath].checkQuarantined(c)
 		c.Check(p.shareServed(2, 6) > 0.99, qt.IsTrue, qt.Commentf("%.3f", p.shareServed(2, 6)))
 	})
 }
@@ -109,23 +109,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := newPoisonSite(t, 5, 70*time.Millisecond)
-		p.askPoison(4*time.Second, 10, 0, 1, 2)
-		ended := p.ends()
+		p.sendPoison(4*time.Second, 10, 0, 1, 2)
+		ended := p.crashCount()
 		c.Assert(ended >= 3, qt.IsTrue)
 		time.Sleep(4 * time.Second)
 		p.haltAll()
 		time.Sleep(time.Second)
 		p.startAll()
 		time.Sleep(2 * time.Second)
-		p.askPoison(3*time.Second, 10, 0, 1, 2)
-		c.Check(p.ends(), qt.Equals, ended, qt.Commentf("after the loss of all nodes"))
+		p.sendPoison(3*time.Second, 10, 0, 1, 2)
+		c.Check(p.crashCount(), qt.Equals, ended, qt.Commentf("after the loss of all nodes"))
 		p.store.setDown(true)
 		p.nodes[1].halt()
 		p.start(1)
 		time.Sleep(time.Second)
-		p.askPoison(3*time.Second, 10, 1)
+		p.sendPoison(3*time.Second, 10, 1)
 		p.finish()
-		c.Check(p.ends(), qt.Equals, ended, qt.Commentf("at a node that has started without the store"))
+		c.Check(p.crashCount(), qt.Equals, ended, qt.Commentf("at a node that has started without the store"))
 	})
 }
 
@@ -135,16 +135,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := newPoisonSite(t, 12, 70*time.Millisecond)
-		cut := p.cutZone("z2")
+		cut := p.partitionZone("z2")
 		time.Sleep(2 * time.Second)
-		p.askPoison(6*time.Second, 12, 0, 1, 2)
-		c.Check(p.ends() <= 6, qt.IsTrue, qt.Commentf("%d servers ended, three on each side may", p.ends()))
-		ended := p.ends()
+		p.sendPoison(6*time.Second, 12, 0, 1, 2)
+		c.Check(p.crashCount() <= 6, qt.IsTrue, qt.Commentf("%d servers ended, three on each side may", p.crashCount()))
+		ended := p.crashCount()
 		cut.Store(false)
 		time.Sleep(4 * time.Second)
-		p.askPoison(3*time.Second, 12, 0, 1, 2)
+		p.sendPoison(3*time.Second, 12, 0, 1, 2)
 		p.finish()
-		c.Check(p.ends(), qt.Equals, ended)
+		c.Check(p.crashCount(), qt.Equals, ended)
 	})
 }
 
@@ -162,9 +162,9 @@
 			route("read", desired.Repeatable, "a"), route("top", desired.Repeatable, "e"),
 		}})
 		p.settled(2)
-		p.askFor("/top/x", 5*time.Second, 8, 0, 1, 2)
+		p.sendPath("/top/x", 5*time.Second, 8, 0, 1, 2)
 		p.finish()
-		p.poison[poisonPath].check(c)
+		p.poison[poisonPath].checkQuarantined(c)
 	})
 }
 
@@ -174,8 +174,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := newPoisonSite(t, 5, 70*time.Millisecond)
-		p.askPoison(4*time.Second, 10, 0, 1, 2)
-		ended := p.ends()
+		p.sendPoison(4*time.Second, 10, 0, 1, 2)
+		ended := p.crashCount()
 		time.Sleep(4 * time.Second)
 		n := p.nodes[1]
 		list := n.suspects()
@@ -187,23 +187,23 @@
 			r := httptest.NewRequest(method, path, nil)
 			r.RemoteAddr = from + ":1"
 			w := httptest.NewRecorder()
-			n.heldBackHandler().ServeHTTP(w, r)
+			n.quarantineHandler().ServeHTTP(w, r)
 			return w.Code
 		}
-		name := HeldBackPath + list[0].Request
+		name := QuarantinePath + list[0].Request
 		c.Assert(call("DELETE", name, "10.9.9.9"), qt.Equals, http.StatusForbidden)
-		c.Assert(call("DELETE", HeldBackPath+"other", "127.0.0.1"), qt.Equals, http.StatusNotFound)
+		c.Assert(call("DELETE", QuarantinePath+"other", "127.0.0.1"), qt.Equals, http.StatusNotFound)
 		c.Assert(call("POST", name, "127.0.0.1"), qt.Equals, http.StatusMethodNotAllowed)
-		c.Assert(call("GET", HeldBackPath, "10.9.9.9"), qt.Equals, http.StatusOK)
+		c.Assert(call("GET", QuarantinePath, "10.9.9.9"), qt.Equals, http.StatusOK)
 		for _, s := range list {
-			call("DELETE", HeldBackPath+s.Fingerprint.String(), n.ip)
+			call("DELETE", QuarantinePath+s.Fingerprint.String(), n.ip)
 		}
 		time.Sleep(time.Second)
 		for _, other := range p.nodes {
 			c.Check(other.poison.Any(), qt.IsFalse, qt.Commentf("%s", other.ip))
 		}
-		p.askPoison(time.Second, 10, 0)
+		p.sendPoison(time.Second, 10, 0)
 		p.finish()
-		c.Assert(p.ends() > ended, qt.IsTrue, qt.Commentf("it is tried again"))
+		c.Assert(p.crashCount() > ended, qt.IsTrue, qt.Commentf("it is tried again"))
 	})
 }
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -24,7 +24,7 @@
 	readWork      = 60 * time.Millisecond
 	readsPerS     = 200
 	// firstLife is how long a server that ended is away, at least; some take up to a second more.
-	firstLife = 2 * time.Second
+	minRestartDelay = 2 * time.Second
 	// poisonPath begins the path of each request that ends the servers that run it, popularPath is one that many callers send.
 	poisonPath  = "/read/poison"
 	popularPath = "/read/popular"
@@ -33,9 +33,9 @@
 // poisonSite is that site, with what became of its servers.
 type poisonSite struct {
 	*site
-	sameID  bool          // servers come back under the instance that they had
-	queries bool          // every second poison request has a query, another one each time
-	fuse    time.Duration // from the begin of a run of the poison request to the end of its server
+	sameID     bool          // servers come back under the instance that they had
+	queries    bool          // every second poison request has a query, another one each time
+	crashDelay time.Duration // from the begin of a run of the poison request to the end of its server
 
 	mu     sync.Mutex
 	poison map[string]*poisonRuns // by path
@@ -45,10 +45,10 @@
 }
 
 // poisonRuns are the times at which a poison request reached a server, and at which servers ended under it.
-type poisonRuns struct{ sent, ended []time.Time }
+type poisonRuns struct{ sent, crashes []time.Time }
 
 // of returns the runs of a poison request; p.mu is held.
-func (p *poisonSite) of(path string) *poisonRuns {
+func (p *poisonSite) runsFor(path string) *poisonRuns {
 	if p.poison[path] == nil {
 		p.poison[path] = &poisonRuns{}
 	}
@@ -56,27 +56,27 @@
 }
 
 // noteSent and noteEnded note that a poison request reached a server, and that one ended under it.
-func (p *poisonSite) noteSent(path string) {
+func (p *poisonSite) recordSend(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.of(path)
+	r := p.runsFor(path)
 	r.sent = append(r.sent, time.Now())
 }
 
-func (p *poisonSite) noteEnded(path string) {
+func (p *poisonSite) recordCrash(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.of(path)
-	r.ended = append(r.ended, time.Now())
+	r := p.runsFor(path)
+	r.crashes = append(r.crashes, time.Now())
 }
 
 // ends returns how many servers ended under any request.
-func (p *poisonSite) ends() int {
+func (p *poisonSite) crashCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, r := range p.poison {
-		n += len(r.ended)
+		n += len(r.crashes)
 	}
 	return n
 }
@@ -86,7 +86,7 @@
 
 // newPoisonSite starts the site with some servers of the service.
 func newPoisonSite(t *testing.T, servers int, fuse time.Duration) *poisonSite {
-	p := &poisonSite{site: newMemorySite(t), fuse: fuse, poison: map[string]*poisonRuns{}, reads: map[int]*readCount{}, from: time.Now()}
+	p := &poisonSite{site: newMemorySite(t), crashDelay: fuse, poison: map[string]*poisonRuns{}, reads: map[int]*readCount{}, from: time.Now()}
 	p.seeds = []string{p.at(p.base+"1", 2), p.at(p.base+"2", 2), p.at(p.base+"3", 2)}
 	for i := range poisonEntries {
 		p.addFor("e", i, nil)
@@ -114,11 +114,11 @@
 func (p *poisonSite) serve(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if path := r.URL.Path; strings.HasPrefix(path, poisonPath) {
-		p.noteSent(path)
+		p.recordSend(path)
 		life := f.life.Load()
-		time.Sleep(p.fuse)
-		if p.endServer(f, life) {
-			p.noteEnded(path)
+		time.Sleep(p.crashDelay)
+		if p.crashServer(f, life) {
+			p.recordCrash(path)
 		}
 		cutOff(w) // a server that has ended answers nothing, not even a copy that ran there in the same instant
 		return
@@ -129,7 +129,7 @@
 
 // endServer ends one life of a server, which starts anew under another id after some seconds; it reports whether that life went on
 // until now.
-func (p *poisonSite) endServer(f *fakeServer, life int64) bool {
+func (p *poisonSite) crashServer(f *fakeServer, life int64) bool {
 	if f.down.Load() || !f.life.CompareAndSwap(life, life+1) {
 		return false
 	}
@@ -139,7 +139,7 @@
 	f.mu.Unlock()
 	srv.Close()
 	p.work.Go(func() {
-		time.Sleep(firstLife + rand.N(time.Second))
+		time.Sleep(minRestartDelay + rand.N(time.Second))
 		next := &http.Server{Addr: srv.Addr, Handler: f}
 		f.mu.Lock()
 		f.srv = next
@@ -166,7 +166,7 @@
 func differentReads(i int) string { return fmt.Sprint("/read/", i) }
 
 // askReads sends reads to the entry nodes for a time; path gives what each asks for.
-func (p *poisonSite) askReads(span time.Duration, path func(i int) string) {
+func (p *poisonSite) sendReads(span time.Duration, path func(i int) string) {
 	for i := range int(span.Seconds() * readsPerS) {
 		p.work.Go(func() {
 			second := int(time.Since(p.from) / time.Second)
@@ -191,12 +191,12 @@
 }
 
 // askPoison sends the poison request so many times a second, for a time, to the entry nodes that are named in turn.
-func (p *poisonSite) askPoison(span time.Duration, perS int, entries ...int) {
-	p.askFor(poisonPath, span, perS, entries...)
+func (p *poisonSite) sendPoison(span time.Duration, perS int, entries ...int) {
+	p.sendPath(poisonPath, span, perS, entries...)
 }
 
 // askFor does the same with the request for a path.
-func (p *poisonSite) askFor(path string, span time.Duration, perS int, entries ...int) {
+func (p *poisonSite) sendPath(path string, span time.Duration, perS int, entries ...int) {
 	for i := range int(span.Seconds() * float64(perS)) {
 		p.work.Go(func() {
 			uri := path
@@ -222,7 +222,7 @@
 		}
 	}
 	for path, r := range p.poison {
-		p.t.Logf("%s: %d servers ended, %d sends", path, len(r.ended), len(r.sent))
+		p.t.Logf("%s: %d servers ended, %d sends", path, len(r.crashes), len(r.sent))
 	}
 	p.t.Logf("reads served by second:%s", line.String())
 }
@@ -240,7 +240,7 @@
 }
 
 // cutZone cuts a zone off from the others for as long as the value is true; it closes what is open between them.
-func (p *poisonSite) cutZone(zone string) *atomic.Bool {
+func (p *poisonSite) partitionZone(zone string) *atomic.Bool {
 	zones := map[string]string{}
 	for _, f := range p.servers {
 		zones[f.ip] = f.zone
@@ -267,10 +267,10 @@
 }
 
 // sendsBeforeFirstEnd counts the times that the request reached a server before any ended.
-func (r *poisonRuns) sendsBeforeFirstEnd() int {
+func (r *poisonRuns) sendsBeforeFirstCrash() int {
 	n := 0
 	for _, at := range r.sent {
-		if len(r.ended) == 0 || at.Before(r.ended[0]) {
+		if len(r.crashes) == 0 || at.Before(r.crashes[0]) {
 			n++
 		}
 	}
@@ -278,13 +278,13 @@
 }
 
 // sendsAfterThirdEnd counts the times that the request reached a server later than some time after its third end.
-func (r *poisonRuns) sendsAfterThirdEnd(late time.Duration) int {
-	if len(r.ended) < 3 {
+func (r *poisonRuns) sendsAfterThirdCrash(late time.Duration) int {
+	if len(r.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range r.sent {
-		if at.After(r.ended[2].Add(late)) {
+		if at.After(r.crashes[2].Add(late)) {
 			n++
 		}
 	}
--- a/pkg/mesh/turned_deadly_test.go
+++ b/pkg/mesh/popular_poison_test.go
@@ -38,14 +38,14 @@
 			sent++
 		}
 		p.finish()
-		r := p.of(poisonPath)
-		most := r.sendsBeforeFirstEnd() + mostCulpritEnds + soundStages
-		c.Check(len(r.ended) <= most, qt.IsTrue, qt.Commentf("%d servers ended, at most %d may", len(r.ended), most))
-		c.Check(len(r.ended) > 0, qt.IsTrue)
-		last := r.ended[len(r.ended)-1]
+		r := p.runsFor(poisonPath)
+		most := r.sendsBeforeFirstCrash() + maxPoisonCrashes + extraStages
+		c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("%d servers ended, at most %d may", len(r.crashes), most))
+		c.Check(len(r.crashes) > 0, qt.IsTrue)
+		last := r.crashes[len(r.crashes)-1]
 		c.Check(last.Before(turns.Add(3*time.Second)), qt.IsTrue, qt.Commentf("the last one %v after it turned", last.Sub(turns)))
 	})
 }
 
 // soundStages is how many more ends a request may cause whose runs had ended well.
-const soundStages = 3
+const extraStages = 3
--- a/pkg/mesh/poison_innocent_test.go
+++ b/pkg/mesh/popular_request_test.go
@@ -18,9 +18,9 @@
 		var log logBuffer
 		p.logTo(&log)
 		p.from = time.Now()
-		p.work.Go(func() { p.askReads(4*time.Second, differentReads) })
+		p.work.Go(func() { p.sendReads(4*time.Second, differentReads) })
 		time.Sleep(time.Second)
-		p.askPoison(3*time.Second, 2, 0)
+		p.sendPoison(3*time.Second, 2, 0)
 		p.finish()
 		ends := 0
 		within := map[string]int{}
@@ -33,7 +33,7 @@
 				within[r.(map[string]any)["fingerprint"].(string)]++
 			}
 		}
-		c.Assert(ends, qt.Equals, p.ends())
+		c.Assert(ends, qt.Equals, p.crashCount())
 		c.Assert(ends >= 3, qt.IsTrue, qt.Commentf("%d ends", ends))
 		inAll := 0
 		for _, n := range within {
@@ -56,7 +56,7 @@
 				p := newPoisonSite(t, 9, 0)
 				p.from = time.Now()
 				p.work.Go(func() {
-					p.askReads(10*time.Second, func(i int) string {
+					p.sendReads(10*time.Second, func(i int) string {
 						if i%popular == 0 {
 							return popularPath
 						}
@@ -66,7 +66,7 @@
 				for range 2 {
 					time.Sleep(3500 * time.Millisecond)
 					for _, f := range p.servers[poisonEntries : poisonEntries+5] {
-						p.endServer(f, f.life.Load())
+						p.crashServer(f, f.life.Load())
 					}
 				}
 				p.finish()
--- a/pkg/mesh/held_back_handler.go
+++ b/pkg/mesh/quarantine_handler.go
@@ -10,15 +10,15 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// HeldBackPath is where a node's metrics listener lists the requests under which servers ended, and takes the word to lift one (DELETE, with the id of
+// QuarantinePath is where a node's metrics listener lists the requests under which servers ended, and takes the word to lift one (DELETE, with the id of
 // an attempt or a fingerprint behind it).
-const HeldBackPath = "/held-back/"
+const QuarantinePath = "/held-back/"
 
 // Suspect is a request under which servers ended, for who looks after the system.
 type Suspect struct {
 	poison.Case
 	Treatment string        `json:"treatment"`
-	For       time.Duration `json:"for_ns"` // how much longer it is held back
+	TimeLeft  time.Duration `json:"for_ns"` // how much longer it is held back
 }
 
 // suspects returns all of them.
@@ -27,20 +27,20 @@
 	list := []Suspect{}
 	for _, c := range n.poison.All(now) {
 		j := n.poison.JudgeCase(c)
-		list = append(list, Suspect{Case: c, Treatment: j.Treatment.String(), For: j.For})
+		list = append(list, Suspect{Case: c, Treatment: j.Treatment.String(), TimeLeft: j.For})
 	}
 	return list
 }
 
 // heldBackHandler serves HeldBackPath.
-func (n *Node) heldBackHandler() http.Handler {
+func (n *Node) quarantineHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name := strings.TrimPrefix(r.URL.Path, HeldBackPath)
+		name := strings.TrimPrefix(r.URL.Path, QuarantinePath)
 		switch {
 		case r.Method == http.MethodGet && name == "":
 			n.writeSuspects(w, n.suspects())
 		case r.Method != http.MethodDelete || name == "":
-			http.Error(w, "GET "+HeldBackPath+" or DELETE "+HeldBackPath+"NAME", http.StatusMethodNotAllowed)
+			http.Error(w, "GET "+QuarantinePath+" or DELETE "+QuarantinePath+"NAME", http.StatusMethodNotAllowed)
 		case !n.fromThisVM(r):
 			// Else a caller could have its own request tried again.
 			http.Error(w, "a request is lifted from the VM of a node", http.StatusForbidden)
--- a/pkg/mesh/request.go
+++ b/pkg/mesh/request.go
@@ -14,19 +14,19 @@
 
 // request is one attempt of a client, or a call of a backend server, on its way through this node.
 type request struct {
-	call
-	id       string
-	method   string
-	uri      string
-	host     string
-	header   http.Header // end-to-end headers
-	body     []byte
-	stream   io.Reader // a body too long to be held; it can be sent once
-	head     []byte    // the first part of stream
-	length   int64     // of stream; -1 if it isn't known
-	deadline time.Time // when the answer is due at the latest
-	ident    identity
-	team     *desired.Team // whose request it is; nil: nobody's
+	peerCall
+	id             string
+	method         string
+	uri            string
+	host           string
+	header         http.Header // end-to-end headers
+	body           []byte
+	stream         io.Reader // a body too long to be held; it can be sent once
+	streamHead     []byte    // the first part of stream
+	streamLength   int64     // of stream; -1 if it isn't known
+	deadline       time.Time // when the answer is due at the latest
+	cachedIdentity lazyIdentity
+	team           *desired.Team // whose request it is; nil: nobody's
 	// clientDeadline is when the client gives up; the route may set an earlier deadline.
 	clientDeadline time.Time
 }
@@ -70,8 +70,8 @@
 		q.body = head
 		return nil
 	}
-	q.head = head
-	q.length = r.ContentLength
+	q.streamHead = head
+	q.streamLength = r.ContentLength
 	q.stream = io.MultiReader(bytes.NewReader(head), r.Body)
 	return nil
 }
@@ -81,8 +81,8 @@
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// endToEnd returns the headers without those of one connection and those of the nodes.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns the headers without those of one connection and those of the nodes.
+func endToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
 		out[k] = v
@@ -100,8 +100,8 @@
 	return out
 }
 
-// millis returns a header's number of milliseconds, or 0.
-func millis(v string) time.Duration {
+// parseMillis returns a header's number of milliseconds, or 0.
+func parseMillis(v string) time.Duration {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n <= 0 {
 		return 0
--- a/pkg/mesh/server_end.go
+++ b/pkg/mesh/server_crash.go
@@ -18,62 +18,62 @@
 const (
 	// endLooks is how often a server is looked for after a run broke off, endWait apart: a process that ends loses its listener and
 	// its connections one after the other, within some milliseconds.
-	endLooks = 4
-	endWait  = 10 * time.Millisecond
+	maxCrashChecks     = 4
+	crashCheckInterval = 10 * time.Millisecond
 	// listensLooks is how often it has to be found listening to be taken for well while no run shows that.
-	listensLooks = 2
+	listeningChecks = 2
 	// shownRuns bounds the runs that a line about the end of a server lists.
-	shownRuns = 64
+	maxLoggedRuns = 64
 )
 
 // serverRun is one run of a request at the backend server on this VM.
 type serverRun struct {
-	q     *request
-	life  string // of the server, by its name
-	begun time.Time
+	q        *request
+	lifetime string // of the server, by its name
+	begun    time.Time
 }
 
 // serverEnd is a run that broke off, or several at once, and what it came from.
-type serverEnd struct {
-	from   time.Time     // when the first run broke off
-	judged chan struct{} // closed when it is known whether the server has ended
+type crashCheck struct {
+	firstBroken time.Time     // when the first run broke off
+	done        chan struct{} // closed when it is known whether the server has ended
 }
 
 // serverRuns are the runs at the backend server on this VM; its zero value has none.
 type serverRuns struct {
-	mu      sync.Mutex
-	running map[*serverRun]struct{}
-	broken  []*serverRun
-	judging *serverEnd // nil: no run has just broken off
-	last    endedLife  // the last one that ended
+	mu        sync.Mutex
+	running   map[*serverRun]struct{}
+	broken    []*serverRun
+	checking  *crashCheck     // nil: no run has just broken off
+	lastCrash crashedLifetime // the last one that ended
 }
 
 // endedLife is a life of the server that has ended; its zero value is none.
-type endedLife struct {
-	life   string
-	from   time.Time // when the first run broke off there: it had ended by then
-	judged time.Time // when nobody listened yet: by then the next life hadn't begun
+type crashedLifetime struct {
+	lifetime    string
+	firstBroken time.Time // when the first run broke off there: it had ended by then
+	confirmed   time.Time // when nobody listened yet: by then the next life hadn't begun
 }
 
 // under tells how a run that broke off stands to the end.
-func (e endedLife) under(r *serverRun) endRelation {
+func (e crashedLifetime) relationTo(r *serverRun) crashRelation {
 	switch {
-	case e.life == "" || e.life != r.life || r.begun.After(e.judged):
-		return noEnd
-	case r.begun.Before(e.from):
-		return beforeEnd
+	case e.lifetime == "" || e.lifetime != r.lifetime || r.begun.After(e.confirmed):
+		return noCrash
+	case r.begun.Before(e.firstBroken):
+		return startedBeforeCrash
 	default:
-		return afterEnd
+		return startedAfterCrash
 	}
 }
 
 // endRelation is when a run began that broke off.
-type endRelation uint8
+type crashRelation uint8
 
 const (
-	noEnd     endRelation = iota // the server goes on, or the next life may have taken it: it may have run
-	beforeEnd                    // the server ended under it
-	afterEnd                     // the server had ended and the next life hadn't begun: nobody took it
+	noCrash            crashRelation = iota // the server goes on, or the next life may have taken it: it may have run
+	startedBeforeCrash                      // the server ended under it
+	startedAfterCrash                       // the server had ended and the next life hadn't begun: nobody took it
 )
 
 // begin notes a run that is about to be sent.
@@ -94,27 +94,27 @@
 }
 
 // lastEnded returns the last life that ended.
-func (s *serverRuns) lastEnded() endedLife {
+func (s *serverRuns) lastCrashed() crashedLifetime {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last
+	return s.lastCrash
 }
 
 // breakOff notes a run whose connection broke; it reports whether nobody looks for the server yet.
-func (s *serverRuns) breakOff(now time.Time, r *serverRun) (e *serverEnd, first bool) {
+func (s *serverRuns) addBroken(now time.Time, r *serverRun) (e *crashCheck, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.running, r)
 	s.broken = append(s.broken, r)
-	if s.judging != nil {
-		return s.judging, false
+	if s.checking != nil {
+		return s.checking, false
 	}
-	s.judging = &serverEnd{from: now, judged: make(chan struct{})}
-	return s.judging, true
+	s.checking = &crashCheck{firstBroken: now, done: make(chan struct{})}
+	return s.checking, true
 }
 
 // goesOn tells whether a run that began before the time is still in progress.
-func (s *serverRuns) goesOn(before time.Time) bool {
+func (s *serverRuns) hasRunFromBefore(before time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r := range s.running {
@@ -127,51 +127,51 @@
 
 // judge ends the judgement; it returns the runs that broke off meanwhile, but for those that began when the first one had broken off: of five servers that
 // ended together, under a popular request, some were found out 10 ms later, and took those who came on from the others.
-func (s *serverRuns) judge(now time.Time, life string, ended bool) []*serverRun {
+func (s *serverRuns) finishCheck(now time.Time, life string, ended bool) []*serverRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from, broken := s.judging.from, s.broken
-	s.judging, s.broken = nil, nil
+	from, broken := s.checking.firstBroken, s.broken
+	s.checking, s.broken = nil, nil
 	if ended {
-		s.last = endedLife{life: life, from: from, judged: now}
+		s.lastCrash = crashedLifetime{lifetime: life, firstBroken: from, confirmed: now}
 	}
 	return slices.DeleteFunc(broken, func(r *serverRun) bool { return !r.begun.Before(from) })
 }
 
 // brokeOff judges a run whose connection broke, once it is known whether the backend server has ended.
-func (b *backend) brokeOff(r *serverRun, a *answer) *answer {
-	if b.runs.lastEnded().under(r) != noEnd {
+func (b *backend) resolveBrokenRun(r *serverRun, a *answer) *answer {
+	if b.runs.lastCrashed().relationTo(r) != noCrash {
 		b.runs.end(r)
-		return b.endedUnder(r, a)
+		return b.brokenRunAnswer(r, a)
 	}
-	e, first := b.runs.breakOff(b.n.clock.Now(), r)
+	e, first := b.runs.addBroken(b.n.clock.Now(), r)
 	if first {
-		ended := b.hasEnded()
-		b.n.noteAway(ended)
-		b.noteEnd(r.life, ended, b.runs.judge(b.n.clock.Now(), r.life, ended))
-		close(e.judged) // now that a copy of the guilty request that is sent on is known for one
+		ended := b.hasCrashed()
+		b.n.setNotListening(ended)
+		b.reportCrash(r.lifetime, ended, b.runs.finishCheck(b.n.clock.Now(), r.lifetime, ended))
+		close(e.done) // now that a copy of the guilty request that is sent on is known for one
 	} else {
-		<-e.judged
+		<-e.done
 	}
-	return b.endedUnder(r, a)
+	return b.brokenRunAnswer(r, a)
 }
 
 // endedUnder returns the answer to a run that broke off: with the server that ended under it, or that it hasn't run. That is said only of what was sent while
 // nobody was there: the next life may come under the same name, and what it lost may have run.
-func (b *backend) endedUnder(r *serverRun, a *answer) *answer {
-	switch b.runs.lastEnded().under(r) {
-	case afterEnd:
-		return refused(wire.ReasonNoServer)
-	case beforeEnd:
-		if !b.announced() {
-			a.ended = r.life
+func (b *backend) brokenRunAnswer(r *serverRun, a *answer) *answer {
+	switch b.runs.lastCrashed().relationTo(r) {
+	case startedAfterCrash:
+		return notRunAnswer(wire.ReasonNoServer)
+	case startedBeforeCrash:
+		if !b.stopAnnounced() {
+			a.crashedLifetime = r.lifetime
 		}
 	}
 	return a
 }
 
 // noteAway notes whether nobody is there beside this node.
-func (n *Node) noteAway(away bool) {
+func (n *Node) setNotListening(away bool) {
 	if n.away.Swap(away) != away {
 		own := n.view.Load().own
 		n.callLog.Warn("own server", "away", away, "instance", own.Instance)
@@ -182,26 +182,26 @@
 }
 
 // announced tells whether the server had said that it leaves: its end is no surprise then.
-func (b *backend) announced() bool { return b.n.view.Load().own.Phase != directory.Serving }
+func (b *backend) stopAnnounced() bool { return b.n.view.Load().own.Phase != directory.Serving }
 
 // hasEnded looks for the server. It has ended if nobody listens at its address any more and no run goes on: a server that
 // resets a connection, or all, takes a new one, and one that takes no more connections goes on with its runs. Who ends for
 // another reason than its server's end (a link, the client, this node) doesn't come here, or meets a server that listens.
-func (b *backend) hasEnded() bool {
+func (b *backend) hasCrashed() bool {
 	broke := b.n.clock.Now()
 	listens := 0
-	for range endLooks {
-		refused, goesOn := b.refusesConnections(), b.runs.goesOn(broke)
+	for range maxCrashChecks {
+		refused, goesOn := b.refusesConnections(), b.runs.hasRunFromBefore(broke)
 		if refused && !goesOn {
 			return true
 		}
 		if !refused {
 			listens++
 		}
-		if listens == listensLooks || listens > 0 && goesOn {
+		if listens == listeningChecks || listens > 0 && goesOn {
 			return false
 		}
-		clock.Sleep(context.Background(), endWait)
+		clock.Sleep(context.Background(), crashCheckInterval)
 	}
 	return false
 }
@@ -218,8 +218,8 @@
 }
 
 // noteEnd takes note that the server has ended, and under which runs, and has it told to all nodes.
-func (b *backend) noteEnd(life string, ended bool, broken []*serverRun) {
-	if !ended || b.announced() || len(broken) == 0 {
+func (b *backend) reportCrash(life string, ended bool, broken []*serverRun) {
+	if !ended || b.stopAnnounced() || len(broken) == 0 {
 		b.n.callLog.Debug("server goes on, or had said that it leaves", "instance", life, "broken", len(broken))
 		return
 	}
@@ -227,28 +227,28 @@
 	e := poison.End{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: life}, Service: broken[0].q.Service}
 	for _, r := range broken {
 		e.Runs = append(e.Runs, poison.Run{
-			Identity: r.q.identity(), Stages: r.q.Stages, Sound: b.good.Of(now, r.q.asked()), Route: r.q.Route, Request: r.q.id,
+			Identity: r.q.identity(), Stages: r.q.Stages, Sound: b.recentGoodRuns.Of(now, r.q.fingerprintInput()), Route: r.q.Route, Request: r.q.id,
 		})
 	}
 	if !b.n.poison.TakeEnd(now, e) {
 		return // a run that was sent to the same life after its end
 	}
 	b.n.metrics.count("server_ends_total")
-	b.n.callLog.Warn("server ended", "instance", life, "runs", len(broken), "under", shownRunsOf(now, broken, e))
-	b.n.do(func() { b.n.serverEnded(e) })
+	b.n.callLog.Warn("server ended", "instance", life, "runs", len(broken), "under", loggedRuns(now, broken, e))
+	b.n.do(func() { b.n.reportServerCrash(e) })
 }
 
 // shownRunsOf returns the runs as the log shows them.
-func shownRunsOf(now time.Time, broken []*serverRun, e poison.End) []shownRun {
-	shown := make([]shownRun, 0, min(len(broken), shownRuns))
-	for i, r := range broken[:min(len(broken), shownRuns)] {
-		shown = append(shown, shownRun{r.q.id, e.Runs[i].Identity.Widest().String(), now.Sub(r.begun).Milliseconds()})
+func loggedRuns(now time.Time, broken []*serverRun, e poison.End) []loggedRun {
+	shown := make([]loggedRun, 0, min(len(broken), maxLoggedRuns))
+	for i, r := range broken[:min(len(broken), maxLoggedRuns)] {
+		shown = append(shown, loggedRun{r.q.id, e.Runs[i].Identity.Widest().String(), now.Sub(r.begun).Milliseconds()})
 	}
 	return shown
 }
 
 // shownRun is a run as the log shows it.
-type shownRun struct {
+type loggedRun struct {
 	Request     string `json:"request"`
 	Fingerprint string `json:"fingerprint"`
 	RanMS       int64  `json:"ran_ms"`
--- a/pkg/mesh/keep_held.go
+++ b/pkg/mesh/store_quarantined.go
@@ -10,29 +10,29 @@
 
 // keepHeldPeriod is the time between looks at whether what is held back has changed since it was stored. Other nodes know it within some hundredths of
 // a second; the store is for the loss of all nodes, after which three more servers would end before the same request is held back again.
-const keepHeldPeriod = time.Second
+const storeQuarantinePeriod = time.Second
 
-// HeldBack is what is held back of the requests for one service.
-type HeldBack struct {
+// Quarantined is what is held back of the requests for one service.
+type Quarantined struct {
 	Service string        `json:"service"`
 	Cases   []poison.Case `json:"cases"`
 }
 
 // keepHeld stores what is held back of the requests for the own service, from one of its nodes.
-func (n *Node) keepHeld(ctx context.Context) {
+func (n *Node) storeQuarantined(ctx context.Context) {
 	var stored uint64
 	var era int64
-	for clock.Sleep(ctx, jitter(keepHeldPeriod)) {
+	for clock.Sleep(ctx, jitter(storeQuarantinePeriod)) {
 		if n.era.left(&era) {
 			stored = 0 // what was written may be lost
 		}
-		held := n.heldOf(n.cfg.Service)
-		digest := digestOf(held)
+		held := n.quarantinedOf(n.cfg.Service)
+		digest := digestOfCases(held)
 		if digest == stored || !n.storesForService() {
 			continue
 		}
 		err := n.callStore(ctx, n.storeWatch.try(), writeHeldCall, storeCallTime, func(ctx context.Context) error {
-			return n.store.WriteHeld(ctx, HeldBack{Service: n.cfg.Service, Cases: held})
+			return n.store.WriteHeld(ctx, Quarantined{Service: n.cfg.Service, Cases: held})
 		})
 		if err != nil {
 			n.controlLog.Warn("what is held back isn't stored", "err", err)
@@ -44,7 +44,7 @@
 }
 
 // heldOf returns the cases of a service that are held back.
-func (n *Node) heldOf(service string) []poison.Case {
+func (n *Node) quarantinedOf(service string) []poison.Case {
 	var held []poison.Case
 	for _, c := range n.poison.Held(n.clock.Now()) {
 		if c.Service == service {
@@ -55,9 +55,9 @@
 }
 
 // recallHeld takes what the store kept: how long ago the node that wrote it knows, not this one, so the time starts as it was written.
-func (n *Node) recallHeld(all []HeldBack) {
+func (n *Node) restoreQuarantined(all []Quarantined) {
 	now := n.clock.Now()
 	for _, h := range all {
-		n.takeSuspects(now, nil, h.Cases)
+		n.applySuspectUpdates(now, nil, h.Cases)
 	}
 }
--- a/pkg/mesh/suspect_trial.go
+++ b/pkg/mesh/suspect_trial.go
@@ -16,37 +16,37 @@
 	// wait are free then.
 	trialWait = 300 * time.Millisecond
 	// suspectPause is when one that has waited so long is told to come back.
-	suspectPause = 300 * time.Millisecond
+	suspectRetryDelay = 300 * time.Millisecond
 )
 
 // trial is held by the suspect that is tried alone at the server on this VM; its zero value is free.
-type trial struct {
-	mu    sync.Mutex
-	ended chan struct{} // closed when the one in progress ends; nil: there is none
+type suspectTrial struct {
+	mu   sync.Mutex
+	done chan struct{} // closed when the one in progress ends; nil: there is none
 }
 
 // begin takes the trial; it returns nil, or a channel that is closed when the one in progress ends.
-func (t *trial) begin() <-chan struct{} {
+func (t *suspectTrial) begin() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended != nil {
-		return t.ended
+	if t.done != nil {
+		return t.done
 	}
-	t.ended = make(chan struct{})
+	t.done = make(chan struct{})
 	return nil
 }
 
 // end gives it back.
-func (t *trial) end() {
+func (t *suspectTrial) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	close(t.ended)
-	t.ended = nil
+	close(t.done)
+	t.done = nil
 }
 
 // tryAtServer lets a request pass to the server on this VM: not one that is held back, and of suspects that are tried alone one at a time. It
 // returns the answer to one that may not pass; done must be called when the run has ended.
-func (b *backend) tryAtServer(ctx context.Context, q *request) (done func(), a *answer) {
+func (b *backend) awaitTrialTurn(ctx context.Context, q *request) (done func(), a *answer) {
 	if !q.Stages.Any() && !b.n.poison.Any() || b.n.off[settings.HeldBack] {
 		return func() {}, nil
 	}
@@ -54,13 +54,13 @@
 	defer wait.Stop()
 	// The sender may have heard of an end that is news here: two copies that came just then ran side by side. Whoever has waited goes by what is known here, which
 	// the run that it waited for has settled. Of what has ended well here of late the sender's word counts for nothing.
-	told := q.Stages.Without(b.good.Of(b.n.clock.Now(), q.asked()))
+	told := q.Stages.Without(b.recentGoodRuns.Of(b.n.clock.Now(), q.fingerprintInput()))
 	for {
-		j := b.n.judge(q)
+		j := b.n.suspectDecision(q)
 		q.Stages = j.Stages.Max(told)
 		switch max(j.Treatment, told.Treatment()) {
 		case poison.HeldBack:
-			return func() {}, b.n.heldBack(q, j)
+			return func() {}, b.n.quarantineRefusal(q, j)
 		case poison.Alone:
 			ended := b.trial.begin()
 			if ended == nil {
@@ -82,10 +82,10 @@
 	case <-ended:
 		return nil
 	case <-over:
-		a := refused(wire.ReasonSuspect)
-		a.comeBack = suspectPause
+		a := notRunAnswer(wire.ReasonSuspect)
+		a.retryAfter = suspectRetryDelay
 		return a
 	case <-ctx.Done():
-		return refused(wire.ReasonDeadline)
+		return notRunAnswer(wire.ReasonDeadline)
 	}
 }
--- a/pkg/mesh/suspect_news.go
+++ b/pkg/mesh/suspect_updates.go
@@ -16,91 +16,93 @@
 const (
 	// endNear is how many nodes of the own zone are told of the end of a server at once, endFar how many of each other zone: they tell endRelay near
 	// ones in turn, when they first hear of it. With 14 nodes all know within two hops, with 194 most within four; the usual exchanges reach the rest.
-	endNear  = 8
-	endFar   = 2
-	endRelay = 4
+	crashNearNodes  = 8
+	crashFarNodes   = 2
+	crashRelayNodes = 4
 	// clearPause is the time in which requests that were cleared are gathered, to be told at once: a popular one is held to one server until then.
-	clearPause = 100 * time.Millisecond
+	clearedBatchTime = 100 * time.Millisecond
 	// suspectNewsTime is how long news goes with every exchange.
-	suspectNewsTime = newsTime
+	suspectUpdateTime = newsTime
 	// maxSuspectNews bounds the cases in one message, and maxNewsRuns the runs of all ends in it, some 90 bytes each: the newest go first.
-	maxSuspectNews = 64
-	maxNewsRuns    = 512
+	maxCaseUpdates = 64
+	maxUpdateRuns  = 512
 )
 
 // suspectNews is what is new of suspects; it belongs to the control goroutine and its zero value is empty.
-type suspectNews struct {
-	ends    []endNews
-	cases   []caseNews
-	cleared []poison.Case // here, and not told yet
-	flushAt time.Time     // when they are told; zero: there are none
+type suspectUpdates struct {
+	crashes       []crashUpdate
+	cases         []caseUpdate
+	cleared       []poison.Case // here, and not told yet
+	sendClearedAt time.Time     // when they are told; zero: there are none
 }
 
 // endNews and caseNews are what was heard or seen, and when; their own ages are from that time.
 type (
-	endNews struct {
+	crashUpdate struct {
 		poison.End
-		at time.Time
+		receivedAt time.Time
 	}
-	caseNews struct {
+	caseUpdate struct {
 		poison.Case
-		at time.Time
+		receivedAt time.Time
 	}
 )
 
 // addEnd notes the end of a server.
-func (s *suspectNews) addEnd(now time.Time, e poison.End) { s.ends = append(s.ends, endNews{e, now}) }
+func (s *suspectUpdates) addCrash(now time.Time, e poison.End) {
+	s.crashes = append(s.crashes, crashUpdate{e, now})
+}
 
 // addCase notes a case that changed, as others told it.
-func (s *suspectNews) addCase(now time.Time, c poison.Case) {
-	s.cases = append(s.cases, caseNews{c, now})
+func (s *suspectUpdates) addCase(now time.Time, c poison.Case) {
+	s.cases = append(s.cases, caseUpdate{c, now})
 }
 
 // addCleared notes a case that was cleared here.
-func (s *suspectNews) addCleared(now time.Time, c poison.Case) {
+func (s *suspectUpdates) addCleared(now time.Time, c poison.Case) {
 	s.addCase(now, c)
 	s.cleared = append(s.cleared, c)
-	if s.flushAt.IsZero() {
-		s.flushAt = now.Add(clearPause)
+	if s.sendClearedAt.IsZero() {
+		s.sendClearedAt = now.Add(clearedBatchTime)
 	}
 }
 
 // recent returns what is news with its age now, and forgets the rest.
-func (s *suspectNews) recent(now time.Time) ([]poison.End, []poison.Case) {
-	for len(s.ends) > 0 && now.Sub(s.ends[0].at) >= suspectNewsTime {
-		s.ends = s.ends[1:]
+func (s *suspectUpdates) recent(now time.Time) ([]poison.End, []poison.Case) {
+	for len(s.crashes) > 0 && now.Sub(s.crashes[0].receivedAt) >= suspectUpdateTime {
+		s.crashes = s.crashes[1:]
 	}
-	for len(s.cases) > 0 && now.Sub(s.cases[0].at) >= suspectNewsTime {
+	for len(s.cases) > 0 && now.Sub(s.cases[0].receivedAt) >= suspectUpdateTime {
 		s.cases = s.cases[1:]
 	}
 	var ends []poison.End
 	runs := 0
-	for _, x := range slices.Backward(s.ends) {
-		if runs += len(x.Runs); runs > maxNewsRuns && len(ends) > 0 {
+	for _, x := range slices.Backward(s.crashes) {
+		if runs += len(x.Runs); runs > maxUpdateRuns && len(ends) > 0 {
 			break
 		}
-		x.Age += now.Sub(x.at)
+		x.Age += now.Sub(x.receivedAt)
 		ends = append(ends, x.End)
 	}
 	var cases []poison.Case
-	for _, x := range s.cases[max(len(s.cases)-maxSuspectNews, 0):] {
-		x.Age += now.Sub(x.at)
+	for _, x := range s.cases[max(len(s.cases)-maxCaseUpdates, 0):] {
+		x.Age += now.Sub(x.receivedAt)
 		cases = append(cases, x.Case)
 	}
 	return ends, cases
 }
 
 // serverEnded tells all nodes, in the control goroutine, that the server on this VM has ended.
-func (n *Node) serverEnded(e poison.End) {
+func (n *Node) reportServerCrash(e poison.End) {
 	now := n.clock.Now()
-	n.control.suspects.addEnd(now, e)
-	n.noteEnded(e)
-	n.tellBriefly(n.newsTargets(endNear, endFar), []poison.End{e}, nil)
+	n.control.suspects.addCrash(now, e)
+	n.markServerCrashed(e)
+	n.sendSuspectUpdates(n.updateTargets(crashNearNodes, crashFarNodes), []poison.End{e}, nil)
 }
 
 // newsTargets returns some nodes of the own zone and some of each other one. Seeds aren't among them: they may be the same nodes
 // again, and others would hear of an end only with the next exchange.
-func (n *Node) newsTargets(near, farOfEach int) []talkTarget {
+func (n *Node) updateTargets(near, farOfEach int) []talkTarget {
 	targets := someOf(n.knownTargets(nearOnly), near)
 	byZone := map[string][]talkTarget{}
 	for _, t := range n.knownTargets(farOnly) {
@@ -113,15 +115,15 @@
 }
 
 // tellBriefly sends what can't wait, without what the usual exchanges carry.
-func (n *Node) tellBriefly(targets []talkTarget, ends []poison.End, cases []poison.Case) {
-	body := n.encode(n.newBrief(ends, cases))
+func (n *Node) sendSuspectUpdates(targets []talkTarget, ends []poison.End, cases []poison.Case) {
+	body := n.encode(n.newSuspectMessage(ends, cases))
 	for _, t := range targets {
 		go n.exchangeWith(context.Background(), t.host, body)
 	}
 }
 
 // newBrief is a message with nothing but news of suspects.
-func (n *Node) newBrief(ends []poison.End, cases []poison.Case) message {
+func (n *Node) newSuspectMessage(ends []poison.End, cases []poison.Case) message {
 	return message{
 		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Digest: n.control.directory.Digest(), Stopping: n.stop.leaving(),
 		Brief: true, Ends: ends, Cases: cases,
@@ -129,12 +131,12 @@
 }
 
 // takeSuspects takes what a peer tells of suspects, and tells near nodes in turn what is news.
-func (n *Node) takeSuspects(now time.Time, ends []poison.End, cases []poison.Case) {
+func (n *Node) applySuspectUpdates(now time.Time, ends []poison.End, cases []poison.Case) {
 	var newEnds []poison.End
 	for _, e := range ends {
 		if n.poison.TakeEnd(now, e) {
-			n.control.suspects.addEnd(now, e)
-			n.noteEnded(e)
+			n.control.suspects.addCrash(now, e)
+			n.markServerCrashed(e)
 			newEnds = append(newEnds, e)
 		}
 	}
@@ -144,12 +146,12 @@
 		}
 	}
 	if len(newEnds) > 0 {
-		n.tellBriefly(n.newsTargets(endRelay, 0), newEnds, nil)
+		n.sendSuspectUpdates(n.updateTargets(crashRelayNodes, 0), newEnds, nil)
 	}
 }
 
 // noteEnded has requests pass by a server that ended.
-func (n *Node) noteEnded(e poison.End) {
+func (n *Node) markServerCrashed(e poison.End) {
 	n.peersMu.Lock()
 	p := n.peers[e.Lifetime.Host]
 	n.peersMu.Unlock()
@@ -159,20 +161,20 @@
 }
 
 // tellCleared tells what was cleared here of late. Who hears it tells it on with the exchanges of its own zone only.
-func (n *Node) tellCleared(now time.Time) {
+func (n *Node) sendCleared(now time.Time) {
 	s := &n.control.suspects
-	if s.flushAt.IsZero() || now.Before(s.flushAt) {
+	if s.sendClearedAt.IsZero() || now.Before(s.sendClearedAt) {
 		return
 	}
-	cases := s.cleared[max(len(s.cleared)-maxSuspectNews, 0):]
-	s.cleared, s.flushAt = nil, time.Time{}
-	n.tellBriefly(n.newsTargets(endRelay, 1), nil, cases)
+	cases := s.cleared[max(len(s.cleared)-maxCaseUpdates, 0):]
+	s.cleared, s.sendClearedAt = nil, time.Time{}
+	n.sendSuspectUpdates(n.updateTargets(crashRelayNodes, 1), nil, cases)
 }
 
 // heldDigest is the same where the same requests are held back.
-func (n *Node) heldDigest(now time.Time) uint64 { return digestOf(n.poison.Held(now)) }
+func (n *Node) quarantineDigest(now time.Time) uint64 { return digestOfCases(n.poison.Held(now)) }
 
-func digestOf(cases []poison.Case) uint64 {
+func digestOfCases(cases []poison.Case) uint64 {
 	var sum uint64
 	for _, c := range cases {
 		sum ^= xxhash.Sum64(binary.BigEndian.AppendUint64(c.Fingerprint[:], uint64(c.Stage)))
--- a/pkg/mesh/suspect_news_test.go
+++ b/pkg/mesh/suspect_updates_test.go
@@ -13,7 +13,7 @@
 )
 
 // endOfMany is the end of a server with so many runs, with names as long as usual.
-func endOfMany(runs int) poison.End {
+func crashWithRuns(runs int) poison.End {
 	e := poison.End{Lifetime: poison.Lifetime{Host: "10.1.0.13", Instance: "i-5256e9e962/17"}, Service: "xati36a"}
 	for i := range runs {
 		a := poison.Asked{Service: e.Service, Method: "GET", Host: "rano73.example", URI: fmt.Sprintf("/boda430/%06x", i), Caller: "wuno24d"}
@@ -25,34 +25,34 @@
 // The news of the end of a server is as large as what ran there: 46 runs, the most of eight ends in one played day.
 func TestNewsOfAnEndIsSmall(t *testing.T) {
 	c := qt.New(t)
-	body, err := pack(message{Brief: true, Ends: []poison.End{endOfMany(46)}})
+	body, err := pack(message{Brief: true, Ends: []poison.End{crashWithRuns(46)}})
 	c.Assert(err, qt.IsNil)
 	t.Logf("%d bytes", len(body))
 	c.Assert(len(body) < 5<<10, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
 	var back message
 	c.Assert(unpack(body, &back), qt.IsNil)
-	c.Assert(back.Ends, qt.DeepEquals, []poison.End{endOfMany(46)})
+	c.Assert(back.Ends, qt.DeepEquals, []poison.End{crashWithRuns(46)})
 }
 
 // News ages while it is kept, is told for two seconds, and never more than a message holds; only what was cleared here is told by itself.
 func TestNewsOfSuspectsIsBounded(t *testing.T) {
 	c := qt.New(t)
-	var s suspectNews
+	var s suspectUpdates
 	now := time.Unix(1000, 0)
 	for range 100 {
-		s.addEnd(now, endOfMany(20))
+		s.addCrash(now, crashWithRuns(20))
 		s.addCase(now, poison.Case{Age: time.Second})
 	}
-	c.Assert(s.flushAt.IsZero(), qt.IsTrue)
+	c.Assert(s.sendClearedAt.IsZero(), qt.IsTrue)
 	s.addCleared(now, poison.Case{Age: time.Second})
 	c.Assert(s.cleared, qt.HasLen, 1)
-	c.Assert(s.flushAt, qt.Equals, now.Add(clearPause))
+	c.Assert(s.sendClearedAt, qt.Equals, now.Add(clearedBatchTime))
 	ends, cases := s.recent(now.Add(time.Second))
-	c.Assert(ends, qt.HasLen, maxNewsRuns/20)
-	c.Assert(cases, qt.HasLen, maxSuspectNews)
+	c.Assert(ends, qt.HasLen, maxUpdateRuns/20)
+	c.Assert(cases, qt.HasLen, maxCaseUpdates)
 	c.Assert(ends[0].Age, qt.Equals, time.Second)
 	c.Assert(cases[0].Age, qt.Equals, 2*time.Second)
-	ends, cases = s.recent(now.Add(suspectNewsTime))
+	ends, cases = s.recent(now.Add(suspectUpdateTime))
 	c.Assert(len(ends)+len(cases), qt.Equals, 0)
 }
 
@@ -60,7 +60,7 @@
 func TestNewsOfSuspectsCrossesZonesOnce(t *testing.T) {
 	c := qt.New(t)
 	a := newAsking()
-	a.control.suspects.addEnd(a.clock.Now(), endOfMany(3))
+	a.control.suspects.addCrash(a.clock.Now(), crashWithRuns(3))
 	a.control.suspects.addCase(a.clock.Now(), poison.Case{})
 	near, far := a.newMessage("a"), a.newMessage("b")
 	c.Assert(near.Ends, qt.HasLen, 1)
@@ -78,8 +78,8 @@
 			a.control.directory.Merge(directory.Record{Host: fmt.Sprint(zone, i), Zone: zone, Generation: 1})
 		}
 	}
-	targets := a.newsTargets(endNear, endFar)
-	c.Assert(targets, qt.HasLen, 4+2*endFar)
+	targets := a.updateTargets(crashNearNodes, crashFarNodes)
+	c.Assert(targets, qt.HasLen, 4+2*crashFarNodes)
 	seen := map[talkTarget]bool{}
 	near := 0
 	for _, x := range targets {
@@ -90,7 +90,7 @@
 		}
 	}
 	c.Assert(near, qt.Equals, 4)
-	c.Assert(a.newsTargets(endRelay, 0), qt.HasLen, endRelay)
+	c.Assert(a.updateTargets(crashRelayNodes, 0), qt.HasLen, crashRelayNodes)
 }
 
 // News of ends that names servers nobody knows takes no memory beyond the table's bounds.
@@ -99,12 +99,12 @@
 	a := newAsking()
 	var ends []poison.End
 	for i := range 1000 {
-		e := endOfMany(1)
+		e := crashWithRuns(1)
 		e.Lifetime.Host = fmt.Sprint("10.9.0.", i)
 		ends = append(ends, e)
 	}
 	before := len(a.peers)
-	a.takeSuspects(a.clock.Now(), ends, nil)
+	a.applySuspectUpdates(a.clock.Now(), ends, nil)
 	c.Assert(len(a.peers), qt.Equals, before)
 }
 
@@ -114,17 +114,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := &backend{n: newAsking().Node}
-		told := func() *request { return &request{call: call{Stages: poison.Stages{0, 0, 2}}} }
-		done, refusal := b.tryAtServer(t.Context(), told())
+		told := func() *request { return &request{peerCall: peerCall{Stages: poison.Stages{0, 0, 2}}} }
+		done, refusal := b.awaitTrialTurn(t.Context(), told())
 		c.Assert(refusal, qt.IsNil)
 		begun := time.Now()
 		time.AfterFunc(trialWait/2, done)
 		second := told()
-		_, refusal = b.tryAtServer(t.Context(), second)
+		_, refusal = b.awaitTrialTurn(t.Context(), second)
 		c.Assert(refusal, qt.IsNil)
 		c.Assert(time.Since(begun), qt.Equals, trialWait/2)
 		c.Assert(second.Stages.Any(), qt.IsFalse, qt.Commentf("here nothing is known against it"))
-		_, refusal = b.tryAtServer(t.Context(), &request{})
+		_, refusal = b.awaitTrialTurn(t.Context(), &request{})
 		c.Assert(refusal, qt.IsNil)
 	})
 }
--- a/pkg/mesh/suspects.go
+++ b/pkg/mesh/suspects.go
@@ -12,32 +12,32 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// identity is what a request asks for, worked out when it is first needed, since beside suspects each request needs it several times. Its zero value isn't
+// lazyIdentity is what a request asks for, worked out when it is first needed, since beside suspects each request needs it several times. Its zero value isn't
 // worked out.
-type identity struct {
+type lazyIdentity struct {
 	once sync.Once
 	of   poison.Identity
 }
 
 // identity tells what the request asks for, whatever attempt it is.
 func (q *request) identity() poison.Identity {
-	q.ident.once.Do(func() { q.ident.of = q.asked().Identity() })
-	return q.ident.of
+	q.cachedIdentity.once.Do(func() { q.cachedIdentity.of = q.fingerprintInput().Identity() })
+	return q.cachedIdentity.of
 }
 
 // asked returns what the request asks for.
-func (q *request) asked() poison.Asked {
+func (q *request) fingerprintInput() poison.Asked {
 	a := poison.Asked{
 		Service: q.Service, Method: q.method, Host: q.host, URI: q.uri, Caller: q.Caller, Body: q.body,
 	}
 	if q.stream != nil {
-		a.Body, a.Length = q.head, q.length
+		a.Body, a.Length = q.streamHead, q.streamLength
 	}
 	return a
 }
 
 // judge returns what is to be done with a request, by what ended under it anywhere. While nothing is under suspicion it costs one look.
-func (n *Node) judge(q *request) poison.Judgement {
+func (n *Node) suspectDecision(q *request) poison.Judgement {
 	if !n.poison.Any() || n.off[settings.HeldBack] {
 		return poison.Judgement{}
 	}
@@ -45,20 +45,20 @@
 }
 
 // heldBack answers a request that is held back, at once: this attempt hasn't run, and it may come back when it is tried again.
-func (n *Node) heldBack(q *request, j poison.Judgement) *answer {
+func (n *Node) quarantineRefusal(q *request, j poison.Judgement) *answer {
 	n.metrics.count("held_back_total", "route", q.Route)
 	n.callLog.Info("held back", "request", q.id, "route", q.Route, "service", q.Service, "fingerprint", q.identity().Widest(),
-		"stages", j.Stages, "sound", j.Sound, "for", j.For, "ended", lifetimes(j.Ends))
-	a := refused(wire.ReasonHeldBack)
-	a.comeBack = j.For
+		"stages", j.Stages, "sound", j.Sound, "for", j.For, "ended", loggedLifetimes(j.Ends))
+	a := notRunAnswer(wire.ReasonHeldBack)
+	a.retryAfter = j.For
 	return a
 }
 
 // lifetimes shows servers that ended in a log line.
-type lifetimes []poison.Lifetime
+type loggedLifetimes []poison.Lifetime
 
 // LogValue lists the instances.
-func (l lifetimes) LogValue() slog.Value {
+func (l loggedLifetimes) LogValue() slog.Value {
 	names := make([]string, 0, len(l))
 	for _, x := range l {
 		names = append(names, x.Instance)
@@ -68,27 +68,27 @@
 
 // next returns the server to send to, or the answer if the request isn't to be sent on; both are nil if there is no server. A suspect goes to one
 // server only, the same for all its copies at whatever node: it may end that one too.
-func (d *delivery) next(now time.Time, servers []*peer) (*peer, *answer) {
-	j := d.n.judge(d.q)
+func (d *delivery) nextServer(now time.Time, servers []*peer) (*peer, *answer) {
+	j := d.n.suspectDecision(d.q)
 	d.q.Stages = j.Stages
 	switch j.Treatment {
 	case poison.Free:
-		return choose(now, servers, d.tried, d.n.compared()), nil
+		return chooseServer(now, servers, d.tried, d.n.comparisonOptions()), nil
 	case poison.HeldBack:
-		return nil, d.n.heldBack(d.q, j)
+		return nil, d.n.quarantineRefusal(d.q, j)
 	default:
-		return d.placeSuspect(now, servers, j)
+		return d.serverForSuspect(now, servers, j)
 	}
 }
 
 // noteEnded takes the word of the node beside a server that this has ended under the request, without waiting for the news of it.
-func (d *delivery) noteEnded(p *peer, r reply) {
-	if r.Ended == "" {
+func (d *delivery) recordCrash(p *peer, r peerReply) {
+	if r.CrashedLifetime == "" {
 		return
 	}
 	now := d.n.clock.Now()
-	at := poison.Lifetime{Host: p.host, Instance: r.Ended}
-	p.serverEnded(now, r.Ended)
+	at := poison.Lifetime{Host: p.host, Instance: r.CrashedLifetime}
+	p.serverEnded(now, r.CrashedLifetime)
 	for i, f := range d.q.identity() {
 		d.n.poison.TakeCase(now, poison.Case{
 			Fingerprint: f, Service: d.q.Service, Route: d.q.Route, Request: d.q.id,
@@ -99,17 +99,17 @@
 
 // placeSuspect returns the server that a suspect goes to. The last one that is there is spared for a moment, for the sake of all other
 // requests, but from those whose runs have ended well of late.
-func (d *delivery) placeSuspect(now time.Time, servers []*peer, j poison.Judgement) (*peer, *answer) {
-	there := those(servers, func(p *peer) bool { return p.open(now, false) })
+func (d *delivery) serverForSuspect(now time.Time, servers []*peer, j poison.Judgement) (*peer, *answer) {
+	there := filterPeers(servers, func(p *peer) bool { return p.acceptsRequests(now, false) })
 	if len(there) == 1 && len(servers) > 1 && j.For > 0 && !j.Sound {
-		a := refused(wire.ReasonSuspect)
-		a.comeBack = j.For
+		a := notRunAnswer(wire.ReasonSuspect)
+		a.retryAfter = j.For
 		return nil, a
 	}
 	if j.Treatment == poison.Alone {
-		there = settled(now, there)
+		there = settledPeers(now, there)
 	}
-	there = those(there, func(p *peer) bool { return !slices.Contains(d.tried, p) })
+	there = filterPeers(there, func(p *peer) bool { return !slices.Contains(d.tried, p) })
 	hosts := make([]string, 0, len(there))
 	for _, p := range there {
 		hosts = append(hosts, p.host)
@@ -123,8 +123,8 @@
 
 // settled returns the peers whose servers all nodes know, or all if there are none. While news of a server spreads nodes would choose differently, and two
 // copies that are tried at once may end two servers.
-func settled(now time.Time, list []*peer) []*peer {
-	old := those(list, func(p *peer) bool { return p.settled(now) })
+func settledPeers(now time.Time, list []*peer) []*peer {
+	old := filterPeers(list, func(p *peer) bool { return p.settled(now) })
 	if len(old) == 0 {
 		return list
 	}
@@ -132,7 +132,7 @@
 }
 
 // those returns the peers of a list that are meant.
-func those(list []*peer, meant func(p *peer) bool) []*peer {
+func filterPeers(list []*peer, meant func(p *peer) bool) []*peer {
 	var found []*peer
 	for _, p := range list {
 		if meant(p) {
@@ -143,11 +143,11 @@
 }
 
 // noteSurvived clears a request whose run ended well. A server's own failure says too little: the run may have been cut short before it could do harm.
-func (b *backend) noteSurvived(q *request, a *answer) {
+func (b *backend) recordGoodRun(q *request, a *answer) {
 	if a.outcome != wire.Ran || a.status >= http.StatusInternalServerError || b.n.off[settings.HeldBack] {
 		return
 	}
-	b.good.Add(b.n.clock.Now(), q.asked())
+	b.recentGoodRuns.Add(b.n.clock.Now(), q.fingerprintInput())
 	if !b.n.poison.Any() {
 		return
 	}
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -89,7 +89,7 @@
 		whole := len(parts) == 0 // a part may lack the own record, and has some of what was learned
 		if whole {
 			n.recallStored(stored.Learned)
-			n.recallHeld(stored.Held)
+			n.restoreQuarantined(stored.Held)
 			n.noteStored(stored.Records)
 		}
 		n.merge("store", stored.Records)
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -97,9 +97,9 @@
 
 // overQuota is the answer to a request for which there is no token; heard tells whether an owner said so.
 func (n *Node) overQuota(q *request, heard bool) *answer {
-	a := refused(wire.ReasonQuota)
+	a := notRunAnswer(wire.ReasonQuota)
 	if !heard {
-		a = refused(wire.ReasonNoOwner)
+		a = notRunAnswer(wire.ReasonNoOwner)
 	}
 	a.overloaded = true // the next tokens are for others who wait as well
 	n.callLog.Info("over quota", "request", q.id, "route", q.Route, "team", q.team.Name, "owner_heard", heard)
