--- a/pkg/mesh/admission.go
+++ b/pkg/mesh/admission.go
@@ -8,7 +8,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// admit decides whether a root request is taken in.
+// admit decides whether a root request is admitted. left is the time until its deadline.
 func (n *Node) admit(q *request, left time.Duration) bool {
 	share, kind := overload.Share{Fresh: 1, Returning: 1}, q.kind()
 	if p := n.plan.Load(); p != nil && !n.off[settings.RootAdmission] {
@@ -24,21 +24,23 @@
 	return ok
 }
 
-// retryDeadlineShare of the time that a client has left is the longest after which it comes back as told.
+// retryDeadlineShare is the share of a client's remaining time that bounds the delay it is given. Clients don't come
+// back after longer delays.
 const retryDeadlineShare = 1.0 / 3
 
-// retrySpreadDivisor spreads those who are told the same time over a part of it.
+// retrySpreadDivisor sets the jitter on a fixed delay: up to delay/retrySpreadDivisor is added, so that clients that
+// got the same delay don't retry together.
 const retrySpreadDivisor = 4
 
-// retryDelay returns when a refused client should try again: an overload takes its time to pass, so as late
-// as the client will still come, spread out so that not all come at once.
+// retryDelay returns the delay after which a refused client should retry. An overload takes a while to pass, so the
+// delay is as long as the client will wait for, with jitter so that clients don't retry together.
 func (n *Node) retryDelay(q *request, a *answer) time.Duration {
 	if a.retryAfter > 0 {
 		return a.retryAfter + rand.N(max(a.retryAfter/retrySpreadDivisor, 1))
 	}
-	most := time.Duration(float64(q.clientDeadline.Sub(n.clock.Now())) * retryDeadlineShare)
+	maxDelay := time.Duration(float64(q.clientDeadline.Sub(n.clock.Now())) * retryDeadlineShare)
 	if !a.overloaded {
-		most = min(most, 2*minRetryDelay)
+		maxDelay = min(maxDelay, 2*minRetryDelay)
 	}
-	return max(most/2+rand.N(max(most/2, 1)), time.Millisecond)
+	return max(maxDelay/2+rand.N(max(maxDelay/2, 1)), time.Millisecond)
 }
--- a/pkg/mesh/answer.go
+++ b/pkg/mesh/answer.go
@@ -11,44 +11,45 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// answer is what became of one send.
+// answer is the result of one attempt to serve a request.
 type answer struct {
 	outcome  wire.Outcome
 	reason   wire.Reason
 	arrived  bool // the request reached, or may have reached, a backend server
-	canceled bool // the caller has gone, or its time is up
-	broken   bool // the connection to the backend server broke before its answer was whole
-	// gone tells that it hasn't run since nobody is there beside the node that was asked.
+	canceled bool // the caller has gone, or the deadline has passed
+	broken   bool // the connection to the backend server broke before its answer was complete
+	// notListening reports that the request hasn't run since the backend server of the node isn't listening.
 	notListening bool
-	// unreachable tells that the backend server's address refused a connection: where no older run goes on, nobody is there.
+	// connRefused reports that the backend server's address refused the connection. The server isn't listening unless an
+	// older run is still in progress.
 	connRefused     bool
-	crashedLifetime string // the life of the backend server that ended under it; empty: none did
-	// retryAfter is when the caller should try again; 0: as usual.
+	crashedLifetime string // lifetime of the backend server that crashed while it ran the request; empty: none did
+	// retryAfter is the delay before the caller should retry; 0: the default.
 	retryAfter time.Duration
-	// overloaded tells that admission refused the request, which may take a while to pass.
+	// overloaded reports that admission refused the request; an overload may take a while to pass.
 	overloaded bool
 	status     int
 	header     http.Header
 	body       []byte
-	stream     io.ReadCloser // the rest of a long body
-	length     int64         // of the whole body; -1: not known
+	stream     io.ReadCloser // rest of a long body
+	length     int64         // of the whole body in bytes; -1: unknown
 }
 
-// failed tells whether a server ran the request and answered with a failure that another one may not give.
+// serverFailed reports whether a server ran the request and answered with a failure that another server may not give.
 func (a *answer) serverFailed() bool {
 	return a.outcome == wire.Ran && a.status == http.StatusInternalServerError && a.stream == nil
 }
 
-// refused is the answer to a request that certainly didn't run.
+// notRunAnswer returns the answer to a request that certainly hasn't run.
 func notRunAnswer(reason wire.Reason) *answer { return &answer{outcome: wire.NotRun, reason: reason} }
 
-// lost is the answer to a request that may have run.
+// unknownAnswer returns the answer to a request that may have run.
 func unknownAnswer(reason wire.Reason) *answer {
 	return &answer{outcome: wire.Unknown, reason: reason, arrived: true}
 }
 
-// readWhole takes the body of an answer into memory if it is short, so that one that breaks off is found
-// before any of it is passed on. The error is an *httpconn.Error.
+// bufferBody reads a short body into memory, so that a truncated one is detected before any of it is passed on. Of a
+// long body it reads the first part and keeps the rest as a stream. The error is an *httpconn.Error.
 func (a *answer) bufferBody(res *httpconn.Response) error {
 	a.length = res.Length
 	head, err := io.ReadAll(io.LimitReader(res.Body, bufferedBody+1))
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// write passes an answer on; a body that breaks off ends the connection, so that it doesn't look whole.
+// write writes the answer to w. If the body ends early it closes the connection, so that the client can tell.
 func (a *answer) write(w http.ResponseWriter) {
 	a.setHeader(w.Header())
 	w.WriteHeader(a.status)
@@ -76,17 +77,17 @@
 		_, err = io.Copy(w, a.stream)
 	}
 	if err != nil {
-		panic(http.ErrAbortHandler) // net/http closes the connection without an end of the body
+		panic(http.ErrAbortHandler) // net/http closes the connection without ending the body
 	}
 }
 
-// setHeader puts the answer's headers and length into h.
+// setHeader copies the answer's headers and length into h.
 func (a *answer) setHeader(h http.Header) {
 	for k, v := range a.header {
 		h[k] = v
 	}
 	if _, typed := h["Content-Type"]; !typed {
-		h["Content-Type"] = nil // the library would guess one
+		h["Content-Type"] = nil // net/http would guess one
 	}
 	if a.stream == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -95,24 +96,24 @@
 	}
 }
 
-// ended tells whether an exchange failed because its caller left or its time was up.
+// isCanceled reports whether an exchange failed because its caller left or its deadline passed.
 func isCanceled(err error) bool {
 	var e *httpconn.Error
 	return errors.As(err, &e) && e.Kind == httpconn.Canceled
 }
 
-// unsent tells whether an exchange failed before anything was sent.
+// isUnsent reports whether an exchange failed before anything was sent.
 func isUnsent(err error) bool {
 	var e *httpconn.Error
 	return errors.As(err, &e) && e.Kind == httpconn.NotConnected
 }
 
-// formatRetryAfter writes a time in seconds, with fractions.
+// formatRetryAfter returns the value of a Retry-After header: seconds with three decimals.
 func formatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// drainBody reads a body to its end, so that its connection can be used again.
+// drainBody reads the rest of a short body and closes it, so that its connection can be reused.
 func drainBody(res *httpconn.Response) error {
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, bufferedBody)); err != nil {
 		return err
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -15,29 +15,30 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// backend is the way to the backend server on this VM.
+// backend sends requests to the backend server on this VM.
 type backend struct {
 	n              *Node
 	pool           *httpconn.Pool
 	runs           serverRuns
-	trial          suspectTrial
+	trial          trial
 	recentGoodRuns poison.GoodRuns
 }
 
+// newBackend returns the backend of a node.
 func newBackend(n *Node) *backend {
 	return &backend{n: n, pool: &httpconn.Pool{
 		Dial: n.network.dialFunc(n.ip, n.cfg.Backend.Address, backendDialTime), Clock: n.clock, SilentSends: silentSends,
 	}}
 }
 
-// serve puts a request through the gate and hands it to the backend server.
+// serve passes a request through the gate to the backend server and returns the answer.
 func (b *backend) serve(ctx context.Context, q *request) *answer {
 	a := b.admitAndRun(ctx, q)
 	b.n.metrics.count("arrivals_total", "service", q.Service, "outcome", string(a.outcome), "reason", string(a.reason))
 	return a
 }
 
-// run lets a request pass, or tells why it may not.
+// admitAndRun runs a request at the server, or returns a refusal if it may not run.
 func (b *backend) admitAndRun(ctx context.Context, q *request) *answer {
 	own := b.n.view.Load().own
 	if own.Service != q.Service || own.Instance == "" {
@@ -60,11 +61,11 @@
 	return a
 }
 
-// runHere hands a request that holds a slot to the server, and counts what became of it.
+// runAtServer sends a request that holds a slot to the server, and counts its outcome.
 func (b *backend) runAtServer(ctx context.Context, q *request, own directory.Record) *answer {
-	begun := b.n.clock.Now()
-	run := b.n.stats.begin(begun, q.Route, q.deadline.Add(-answerMargin))
-	at := &serverRun{q: q, lifetime: own.LifeName(), begun: begun}
+	started := b.n.clock.Now()
+	run := b.n.stats.begin(started, q.Route, q.deadline.Add(-answerMargin))
+	at := &serverRun{q: q, lifetime: own.LifeName(), started: started}
 	b.runs.begin(at)
 	a, outcome := b.send(ctx, q, own.Instance)
 	if a.broken {
@@ -72,26 +73,26 @@
 	} else {
 		b.runs.end(at)
 	}
-	if a.connRefused && !b.runs.hasRunFromBefore(begun) {
+	if a.connRefused && !b.runs.hasRunFromBefore(started) {
 		b.n.setNotListening(true)
 	}
 	now := b.n.clock.Now()
-	held := min(now.Sub(begun), max(q.deadline.Sub(begun), 0)) // while the VM was suspended the run held nothing
+	holdTime := min(now.Sub(started), max(q.deadline.Sub(started), 0)) // a run holds no slot while the VM is suspended
 	b.n.gateMu.Lock()
-	b.n.gate.Done(now, held, b.n.usualHold(q.Route), outcome)
+	b.n.gate.Done(now, holdTime, b.n.usualHold(q.Route), outcome)
 	b.n.gateMu.Unlock()
 	if a.outcome == wire.NotRun {
 		b.n.stats.drop(now, run)
 		a.notListening = b.n.away.Load()
 		return a
 	}
-	b.n.stats.end(now, q.Route, run, held, outcome)
+	b.n.stats.end(now, q.Route, run, holdTime, outcome)
 	b.n.metrics.count("runs_total", "route", q.Route, "outcome", outcome.String())
-	b.n.metrics.add(held.Milliseconds(), "slot_ms_total", "route", q.Route, "outcome", outcome.String())
+	b.n.metrics.add(holdTime.Milliseconds(), "slot_ms_total", "route", q.Route, "outcome", outcome.String())
 	return a
 }
 
-// enter waits for the gate; it returns why the request was refused, or ReasonNone once it may start.
+// waitAtGate waits for a slot. It returns why the request was refused, or ReasonNone once it may start.
 func (b *backend) waitAtGate(ctx context.Context, q *request) wire.Reason {
 	verdicts := make(chan gate.Verdict, 1)
 	t := &gate.Ticket{
@@ -114,8 +115,8 @@
 	return v.Reason
 }
 
-// ageOf returns how long ago the work began that a call belongs to, at least: calls of its route that are made at once
-// have so much more time left.
+// minWorkAge returns the least time since the work that a call belongs to began. Calls of the same route that are made
+// right when work begins have that much more time left.
 func (n *Node) minWorkAge(q *request) time.Duration {
 	if !q.Internal {
 		return 0
@@ -124,7 +125,7 @@
 	return n.stats.callAge(now, q.Route, q.deadline.Sub(now))
 }
 
-// withdraw takes back a ticket whose caller has gone.
+// withdrawTicket cancels the ticket of a request whose caller has gone, and returns why it didn't run.
 func (b *backend) withdrawTicket(t *gate.Ticket, verdicts <-chan gate.Verdict) wire.Reason {
 	b.n.gateMu.Lock()
 	queued := b.n.gate.Cancel(t)
@@ -142,11 +143,11 @@
 	return wire.ReasonDeadline
 }
 
-// answerMargin is taken off the time that a backend server is given, so that its own answer at the end of
-// it still arrives in time.
+// answerMargin is taken off the time that a backend server is given, so that an answer at the end of that time still
+// arrives before the deadline.
 const answerMargin = 20 * time.Millisecond
 
-// send hands a request to the server and judges what comes back.
+// send sends a request to the server, and returns the answer and its outcome for the gate.
 func (b *backend) send(ctx context.Context, q *request, instance string) (*answer, gate.Outcome) {
 	left := q.deadline.Sub(b.n.clock.Now()) - answerMargin
 	if left < time.Millisecond {
@@ -164,14 +165,14 @@
 		return b.failedAnswer(err)
 	}
 	if res.Header.Get(b.n.names.AttemptID) != q.id {
-		_ = res.Body.Close() // it belongs to another request, and so does what follows on the connection
+		_ = res.Body.Close() // the response belongs to another request, and so would later ones on the connection
 		if notExecuted(res, b.n.names) && res.Header.Get(b.n.names.AttemptID) == "" {
 			return b.shedAnswer(res), gate.Shed
 		}
 		return unknownAnswer(wire.ReasonLost), gate.Failed
 	}
 	if notExecuted(res, b.n.names) {
-		_ = drainBody(res) // the refusal itself is known; its text isn't used
+		_ = drainBody(res) // only the refusal counts; its text isn't used
 		return b.shedAnswer(res), gate.Shed
 	}
 	a := &answer{outcome: wire.Ran, arrived: true, status: res.Status, header: endToEndHeaders(res.Header)}
@@ -184,7 +185,7 @@
 	return a, gate.Answered
 }
 
-// patience returns in which time the server's answer can be expected.
+// answerPatience returns the time within which the server's answer to the request is expected.
 func (b *backend) answerPatience(q *request) time.Duration {
 	b.n.gateMu.Lock()
 	pace := b.n.gate.Read().Pace
@@ -192,11 +193,12 @@
 	return b.n.connPatience(usualAt(pace, b.n.usualHold(q.Route)))
 }
 
-// notExecuted tells whether the server says that it hasn't run the request.
+// notExecuted reports whether the server says that it hasn't run the request.
 func notExecuted(res *httpconn.Response, names HeaderNames) bool {
 	return res.Header.Get(names.NotRun) != "" || res.Status == http.StatusMisdirectedRequest
 }
 
+// shedAnswer returns the answer for a request that the server refused without running it.
 func (b *backend) shedAnswer(res *httpconn.Response) *answer {
 	reason := wire.ReasonRefused
 	if res.Status == http.StatusMisdirectedRequest {
@@ -207,6 +209,7 @@
 	return a
 }
 
+// failedAnswer returns the answer for a failed exchange with the server, and its outcome for the gate.
 func (b *backend) failedAnswer(err error) (*answer, gate.Outcome) {
 	switch {
 	case isUnsent(err):
--- a/pkg/mesh/choose_server.go
+++ b/pkg/mesh/choose_server.go
@@ -8,35 +8,36 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// The constants of the choice.
+// Constants of the choice of a server.
 const (
-	// crowdedUse is the use from which on servers of other zones are looked at: below it a request waits for
-	// nothing, and bytes between zones are paid for.
+	// crowdedUse is the use from which servers of other zones are considered. Below it requests don't queue, and
+	// traffic between zones is charged for.
 	crowdedUse = 0.95
-	// otherZonePenalty is the score by which a server of another zone has to be better.
+	// otherZonePenalty is how much lower the score of a server of another zone has to be for it to be chosen.
 	otherZonePenalty = 0.4
-	// maxNearSlowdown is how much slower than those of other zones a near server may be: the servers of one
-	// service differ in speed by about that much when all is well.
+	// maxNearSlowdown is how many times slower than the fastest server a server of this zone may be before other zones
+	// are considered. Healthy servers of one service differ in speed by about that much.
 	maxNearSlowdown = 4.0
-	// overUseWeight weighs use beyond all slots, where requests wait.
+	// overUseWeight weighs use beyond all slots, where requests queue.
 	overUseWeight = 4.0
 )
 
-// comparisonOptions says what servers are not compared by; the zero value compares them by all.
+// comparisonOptions says which factors a comparison of servers ignores; the zero value ignores none.
 type comparisonOptions struct{ ignoreZone, ignoreSlowdown, ignoreSuccess bool }
 
-// compared returns what this node's settings switch off.
-func (n *Node) comparisonOptions() comparisonOptions {
+// comparisonSettings returns the factors that this node's settings switch off.
+func (n *Node) comparisonSettings() comparisonOptions {
 	return comparisonOptions{ignoreZone: n.off[settings.NearFirst], ignoreSlowdown: n.off[settings.Pace], ignoreSuccess: n.off[settings.Success]}
 }
 
-// standard is the best that is believed of any server of a service; the others are measured against it.
+// baseline is the best success share and slowdown factor of any server of a service. Servers are scored relative to it.
 type baseline struct {
 	comparisonOptions
 	success  float64
 	slowdown float64
 }
 
+// newBaseline returns the baseline of the servers in the list.
 func newBaseline(now time.Time, list []*peer, c comparisonOptions) baseline {
 	s := baseline{comparisonOptions: c, success: leastSuccess}
 	for _, p := range list {
@@ -49,7 +50,8 @@
 	return s
 }
 
-// slowness is how many times longer than the fastest a server takes, at least 1.
+// relativeSlowdown returns how many times slower than the fastest server a server is, at least 1; it is 1 if either is
+// unknown.
 func (s baseline) relativeSlowdown(e estimate) float64 {
 	if s.ignoreSlowdown || s.slowdown == 0 || e.pace == 0 {
 		return 1
@@ -57,8 +59,8 @@
 	return e.pace / s.slowdown
 }
 
-// score is lower for a better server. One that fails fast looks idle, so its use counts as much more; a slow
-// one gets fewer requests than its slots would take, since each holds the callers' slots too.
+// score returns a server's score; lower is better. A server that fails fast looks idle, so failures multiply its use. A
+// slow server gets fewer requests than its slots could take, since each request also holds the slots of its callers.
 func (s baseline) score(e estimate) float64 {
 	failing := s.success / e.success
 	if s.ignoreSuccess {
@@ -67,19 +69,19 @@
 	return e.use*failing*failing*math.Sqrt(s.relativeSlowdown(e)) + overUseWeight*max(e.use-1, 0)
 }
 
-// choose returns the server to send to, or nil if all were tried or there is none. Servers that are set
-// aside or stopping are taken only if there is no other, and those that have ended only if nothing was tried.
+// chooseServer returns the server to send to, or nil if there is none or all were tried. Servers that are backed off or
+// stopping are chosen only if there is no other, and crashed ones only if nothing was tried yet.
 func chooseServer(now time.Time, list []*peer, tried []*peer, c comparisonOptions) *peer {
 	if len(list) == 0 {
 		return nil
 	}
 	s := newBaseline(now, list, c)
-	for _, last := range []bool{false, true} {
-		near, nearScore := s.bestOfSample(now, list, tried, true, last)
+	for _, lastResort := range []bool{false, true} {
+		near, nearScore := s.bestOfSample(now, list, tried, true, lastResort)
 		if near != nil && nearScore < crowdedUse && s.relativeSlowdown(near.estimate(now)) < maxNearSlowdown {
 			return near
 		}
-		far, farScore := s.bestOfSample(now, list, tried, false, last)
+		far, farScore := s.bestOfSample(now, list, tried, false, lastResort)
 		switch {
 		case near == nil && far != nil:
 			return far
@@ -92,8 +94,9 @@
 	return nil
 }
 
-// open tells whether a peer may be sent to. One that has been stopping for a while refuses, and soon closes its
-// connections: a request that crosses the close would count as lost.
+// acceptsRequests reports whether requests may be sent to the peer; as a last resort a backed off peer and one that
+// began to stop a short while ago count too. A peer that has been stopping for longer refuses requests and soon closes
+// its connections, and a request that crosses the close would count as lost.
 func (p *peer) acceptsRequests(now time.Time, lastResort bool) bool {
 	since, stopping := p.stopsFor(now)
 	if lastResort {
@@ -102,7 +105,7 @@
 	return !stopping && p.usable(now)
 }
 
-// anyStopping tells whether one of the peers is stopping.
+// anyStopping reports whether one of the peers is stopping.
 func anyStopping(now time.Time, list []*peer) bool {
 	return slices.ContainsFunc(list, func(p *peer) bool {
 		_, stopping := p.stopsFor(now)
@@ -110,11 +113,12 @@
 	})
 }
 
-// best returns the best of a few servers taken at random, so that nodes with the same news don't all go to one. Each
-// server is as likely to be among the few: the list is in the order of hosts, so those of one zone stand together, and
-// neighbours of a random place would mostly be the first ones of a zone.
+// bestOfSample returns the best of a small random sample of servers and its score, or nil. Sampling keeps nodes with
+// the same information from all choosing the same server. Every server is equally likely to be sampled: the list is
+// ordered by host, so the servers of a zone are adjacent, and a sample of neighbours of a random position would mostly
+// hold the first servers of a zone.
 func (s baseline) bestOfSample(now time.Time, list, tried []*peer, near, lastResort bool) (*peer, float64) {
-	var few peerSample
+	var sample peerSample
 	for _, p := range list {
 		if (p.near.Load() || s.ignoreZone) != near || slices.Contains(tried, p) || !p.acceptsRequests(now, lastResort) {
 			continue
@@ -122,14 +126,14 @@
 		if len(tried) > 0 && p.gone(now) {
 			continue
 		}
-		few.add(p)
+		sample.add(p)
 	}
-	var found *peer
-	var least float64
-	for _, p := range few.shuffled() {
-		if score := s.score(p.estimate(now)); found == nil || score < least {
-			found, least = p, score
+	var best *peer
+	var bestScore float64
+	for _, p := range sample.shuffled() {
+		if score := s.score(p.estimate(now)); best == nil || score < bestScore {
+			best, bestScore = p, score
 		}
 	}
-	return found, least
+	return best, bestScore
 }
--- a/pkg/mesh/choose_server_test.go
+++ b/pkg/mesh/choose_server_test.go
@@ -10,15 +10,16 @@
 
 var chooseTime = time.Unix(1_000_000, 0)
 
-func testPeer(host string, near bool, running int, pace, success int) *peer {
+// testPeer returns a peer with 20 slots whose server has just reported the load; slowdown and success are percentages.
+func testPeer(host string, near bool, running int, slowdown, success int) *peer {
 	p := &peer{host: host}
 	p.near.Store(near)
 	p.slots.Store(20)
-	p.heard(chooseTime, peerReply{Running: running, Limit: 20, Slowdown: pace, Success: success})
+	p.heard(chooseTime, peerReply{Running: running, Limit: 20, Slowdown: slowdown, Success: success})
 	return p
 }
 
-// share returns how many of 1000 choices fall on the peer.
+// choicesOf returns how many of 1000 choices from the list are the peer.
 func choicesOf(p *peer, list ...*peer) int {
 	n := 0
 	for range 1000 {
@@ -29,7 +30,7 @@
 	return n
 }
 
-func TestNearServersAreTakenWhileTheyArentCrowded(t *testing.T) {
+func TestNearServersAreChosenUntilCrowded(t *testing.T) {
 	c := qt.New(t)
 	near, far := testPeer("n", true, 10, 100, 100), testPeer("f", false, 0, 100, 100)
 	c.Assert(choicesOf(near, near, far), qt.Equals, 1000)
@@ -37,9 +38,9 @@
 	c.Assert(choicesOf(far, full, far), qt.Equals, 1000)
 }
 
-// A near server that is many times slower holds the slots of all who call it; it used to get every request
-// until it was three quarters full.
-func TestASlowNearServerIsLeft(t *testing.T) {
+// A near server that is many times slower holds the slots of all its callers. It used to get every request until three
+// quarters of its slots were in use.
+func TestMuchSlowerNearServerIsNotChosen(t *testing.T) {
 	c := qt.New(t)
 	slow, far := testPeer("n", true, 5, 1200, 100), testPeer("f", false, 5, 100, 100)
 	c.Assert(choicesOf(far, slow, far), qt.Equals, 1000)
@@ -47,8 +48,8 @@
 	c.Assert(choicesOf(usual, usual, far), qt.Equals, 1000)
 }
 
-// A server that fails fast looks idle.
-func TestAFailingServerIsntTakenForAnIdleOne(t *testing.T) {
+// A server that fails fast has few requests in progress and so looks idle.
+func TestFastFailingServerIsNotTreatedAsIdle(t *testing.T) {
 	c := qt.New(t)
 	grey, far := testPeer("n", true, 2, 25, 30), testPeer("f", false, 10, 100, 100)
 	c.Assert(choicesOf(far, grey, far), qt.Equals, 1000)
@@ -56,7 +57,7 @@
 	c.Assert(choicesOf(grey, grey, allGrey), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
 }
 
-func TestSetAsideServersAreTheLastResort(t *testing.T) {
+func TestBackedOffServersAreTheLastResort(t *testing.T) {
 	c := qt.New(t)
 	a, b := testPeer("a", true, 0, 100, 100), testPeer("b", true, 15, 100, 100)
 	a.failed(chooseTime)
@@ -79,9 +80,9 @@
 	}
 }
 
-// A soak lost a request on a connection that a stopping node closed just then: it was the only server left, and
-// had refused for two seconds.
-func TestANodeThatHasBeenStoppingForLongGetsNothing(t *testing.T) {
+// A stopping node was the only server left and had refused requests for two seconds. A request sent to it as a last
+// resort was lost when the node closed the connection at that moment.
+func TestLongStoppingNodeGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	p := testPeer("n", true, 0, 100, 100)
 	p.alive(chooseTime, true)
@@ -93,27 +94,28 @@
 	c.Assert(chooseServer(chooseTime.Add(3*time.Second), list, nil, comparisonOptions{}), qt.Equals, p, qt.Commentf("it has started again"))
 }
 
-// evenly holds the choices of many requests against each server's part of them: at most half as much again, in a zone of
-// twenty servers that are all as busy.
-func checkEvenChoices(c *qt.C, list []*peer, taken func(*peer) bool) {
+// checkEvenChoices checks that the open servers share many choices evenly: none gets more than half as much again as
+// its part, in a zone of twenty equally busy servers. open reports the servers that may be chosen.
+func checkEvenChoices(c *qt.C, list []*peer, open func(*peer) bool) {
 	const perServer = 400
 	chosen := map[*peer]int{}
-	open := 0
+	openCount := 0
 	for _, p := range list {
-		if taken(p) {
-			open++
+		if open(p) {
+			openCount++
 		}
 	}
-	for range open * perServer {
+	for range openCount * perServer {
 		chosen[chooseServer(chooseTime, list, nil, comparisonOptions{})]++
 	}
-	c.Assert(chosen, qt.HasLen, open)
+	c.Assert(chosen, qt.HasLen, openCount)
 	for p, n := range chosen {
 		c.Check(n < perServer*3/2, qt.IsTrue, qt.Commentf("%s: %d, %d are even", p.host, n, perServer))
 	}
 }
 
-// zonesOf returns servers in the order of their hosts, as the directory has them: those of one zone stand together.
+// peersInZones returns servers ordered by host as the directory orders them, so that the servers of a zone are
+// adjacent.
 func peersInZones(zones, perZone int, near func(zone int) bool, running func(zone int) int) []*peer {
 	var list []*peer
 	for zone := range zones {
@@ -124,20 +126,20 @@
 	return list
 }
 
-// Of five zones with twenty servers each the first server of the own zone got 6,447 of 8,000 calls while all were as busy.
-func TestCallsGoEvenlyToTheServersOfAZone(t *testing.T) {
+// With five zones of twenty equally busy servers, the first server of the own zone got 6,447 of 8,000 calls.
+func TestCallsAreEvenAcrossServersOfOwnZone(t *testing.T) {
 	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.near.Load() })
 }
 
-func TestCallsGoEvenlyToTheServersOfOtherZones(t *testing.T) {
+func TestCallsAreEvenAcrossServersOfOtherZones(t *testing.T) {
 	inZone2 := func(zone int) bool { return zone == 2 }
 	list := peersInZones(5, 20, inZone2, func(zone int) int { return map[bool]int{true: 40, false: 5}[inZone2(zone)] })
 	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return !p.near.Load() })
 }
 
-// Those that are set aside don't leave their part to their neighbours.
-func TestCallsGoEvenlyToTheServersThatAreLeft(t *testing.T) {
+// The share of backed off servers must not go to their neighbours in the list.
+func TestCallsAreEvenWhenServersAreBackedOff(t *testing.T) {
 	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	for i := 44; i < 52; i++ {
 		list[i].failed(chooseTime)
@@ -145,7 +147,7 @@
 	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.near.Load() && p.usable(chooseTime) })
 }
 
-// BenchmarkChooseOfMany is a choice in a service of 95 servers in five zones.
+// BenchmarkChooseOfMany measures a choice in a service of 95 servers in five zones.
 func BenchmarkChooseOfMany(b *testing.B) {
 	list := peersInZones(5, 19, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	b.ReportAllocs()
--- a/pkg/mesh/client_cancellation_test.go
+++ b/pkg/mesh/client_cancellation_test.go
@@ -11,9 +11,10 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// A client that leaves ends the work all the way down the chain: three services below one another, of which the last one works for as long as it is
-// asked to. Each node hears of it by its connection's end, so the time is that of the ways alone.
-func TestAClientThatLeavesEndsTheWholeChain(t *testing.T) {
+// When a client closes its connection, the work of all services below ends: here three levels, of which the lowest
+// works until it is canceled. Each node sees the cancellation by the closed connection, so it takes only the network
+// delays.
+func TestClientCancellationEndsAllCallsBelow(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -46,7 +47,7 @@
 		req.Host = "h"
 		req.Header.Set(testNames.AttemptID, "q")
 		req.Header.Set(testNames.TimeLeft, "5000")
-		client := &http.Client{Transport: s.clients.Transport, Timeout: time.Second} // it gives up after that
+		client := &http.Client{Transport: s.clients.Transport, Timeout: time.Second} // the client cancels after that
 		at := time.Now()
 		_, err := client.Do(req)
 		c.Assert(err, qt.IsNotNil)
--- a/pkg/mesh/dead_server_test.go
+++ b/pkg/mesh/dead_server_test.go
@@ -15,21 +15,22 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// One of two servers of the bottom service had ended for good; after a loss of all nodes half of what was served before was served.
-func TestAServerThatIsGoneDoesntCountAfterALossOfAllNodes(t *testing.T) {
+// One of two servers of the bottom service is down for good. After a loss of all nodes only half of the requests served
+// before were served, since the dead server still counted as capacity.
+func TestDeadServerDoesNotCountAfterLossOfAllNodes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := deepSite(t)
 		s.network.slowDown(100 * time.Microsecond)
-		s.addDeep("floor", "z1", floorSlots) // near callers, which try it first
-		gone := s.servers[len(s.servers)-1]
+		s.addDeep("floor", "z1", floorSlots) // in the zone of its callers, which try it first
+		dead := s.servers[len(s.servers)-1]
 		s.settled(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		var k callers
 		k.ask(ctx, s)
 		time.Sleep(4 * time.Second)
-		gone.srv.Close()
+		dead.srv.Close()
 		time.Sleep(8 * time.Second)
 		lost := time.Now()
 		s.haltAll()
@@ -39,7 +40,7 @@
 		time.Sleep(9 * time.Second)
 		cancel()
 		k.asking.Wait()
-		time.Sleep(time.Second) // runs whose callers have gone
+		time.Sleep(time.Second) // for runs whose callers have gone
 		before := k.servedOf(lost.Add(-6*time.Second), 5*time.Second)
 		after := k.servedOf(back.Add(3*time.Second), 5*time.Second)
 		c.Check(float64(before) > 5*floorRoom, qt.IsTrue, qt.Commentf("%d served in five seconds before the loss", before))
@@ -48,43 +49,45 @@
 	})
 }
 
-// Requests that a gone server never ran seemed to be runs that took no time, so that its service seemed to have room for twice as many.
-func TestRefusedConnectionsAreNoRuns(t *testing.T) {
+// Requests that a dead server never ran were counted as runs that took no time, so that its service seemed to have
+// twice the usable slots.
+func TestRefusedConnectionsAreNotCountedAsRuns(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, gone := siteWithDeadServer(t)
+		s, dead := siteWithDeadServer(t)
 		for i := range 60 {
 			s.sendRead(i)
 			time.Sleep(50 * time.Millisecond)
 		}
-		c.Check(s.nodes[gone].stats.report(time.Now()).Runs, qt.HasLen, 0)
+		c.Check(s.nodes[dead].stats.report(time.Now()).Runs, qt.HasLen, 0)
 	})
 }
 
-// A node's own request to the gone server was taken for a run in progress, so that it never found that nobody is there.
-func TestANodeFindsThatItsServerIsGone(t *testing.T) {
+// A node's own request to its dead server was counted as a run in progress, so the node never found that the server
+// wasn't listening.
+func TestNodeDetectsThatItsServerIsNotListening(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, gone := siteWithDeadServer(t)
+		s, dead := siteWithDeadServer(t)
 		for range 20 {
-			s.sendRead(gone)
+			s.sendRead(dead)
 		}
-		c.Check(s.nodes[gone].away.Load(), qt.IsTrue)
-		s.beat(gone, false)
-		c.Check(s.nodes[gone].away.Load(), qt.IsFalse)
+		c.Check(s.nodes[dead].away.Load(), qt.IsTrue)
+		s.beat(dead, false)
+		c.Check(s.nodes[dead].away.Load(), qt.IsFalse)
 	})
 }
 
-// Each call went to the gone server first, some 2,000 a second, since it seemed idle.
-func TestAGoneServerIsPassedBy(t *testing.T) {
+// The dead server looked idle, so each call was sent to it first, some 2,000 a second.
+func TestDeadServerGetsFewRequests(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, gone := siteWithDeadServer(t)
+		s, dead := siteWithDeadServer(t)
 		s.servers[0].work = 100 * time.Millisecond
-		time.Sleep(learnedWait) // what comes before waits, and goes on at once
+		time.Sleep(learnedWait) // earlier requests would wait and then arrive all at once
 		const reads = 600
 		var asking sync.WaitGroup
 		for i := range reads {
@@ -93,15 +96,16 @@
 		}
 		asking.Wait()
 		key := label("arrivals_total", "service", "a", "outcome", "not-run", "reason", "no-server")
-		tries := metrics.GetOrRegisterCounter(key, s.nodes[gone].metrics.registry).Count()
+		tries := metrics.GetOrRegisterCounter(key, s.nodes[dead].metrics.registry).Count()
 		c.Check(tries < reads/20, qt.IsTrue, qt.Commentf("%d of %d reads went to it", tries, reads))
 		s.servers[0].srv.Close()
 		c.Check(s.sendRead(0), qt.Equals, http.StatusServiceUnavailable)
 	})
 }
 
-// oneOfTwoGone is a site of two servers of which one isn't there, though its record says that it serves.
-func siteWithDeadServer(t *testing.T) (s *site, gone int) {
+// siteWithDeadServer returns a site of two servers and the index of the one that is down although its record says that
+// it serves.
+func siteWithDeadServer(t *testing.T) (s *site, dead int) {
 	s = newMemorySite(t)
 	s.network.slowDown(100 * time.Microsecond)
 	s.seeds = []string{s.at(s.base+"1", 2)}
@@ -109,12 +113,12 @@
 	s.add("a", "z0", 10)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
 	s.settled(1)
-	gone = 1
-	s.servers[gone].srv.Close()
-	return s, gone
+	dead = 1
+	s.servers[dead].srv.Close()
+	return s, dead
 }
 
-// askRead sends a read to a node.
+// sendRead sends a read to a node and returns the status.
 func (s *site) sendRead(i int) int {
 	status, _, _ := s.ask(i%len(s.nodes), http.MethodGet, "/read/x", fmt.Sprint("r", time.Now().UnixNano()), time.Second)
 	return status
--- a/pkg/mesh/even_use_test.go
+++ b/pkg/mesh/even_use_test.go
@@ -24,11 +24,11 @@
 	manyPerZone     = 8
 	manySlots       = 8
 	manyWork        = 100 * time.Millisecond
-	manyUtilization = 0.5 // of the slots that gates use
+	manyUtilization = 0.5 // of the slots that the gates admit to
 	manyDuration    = 6 * time.Second
 )
 
-// manySite is that site in made-up time.
+// manySite starts that site in simulated time.
 func manySite(t *testing.T) *site {
 	s := newMemorySite(t)
 	for zone := range manyZones {
@@ -45,7 +45,8 @@
 	return s
 }
 
-// askMany sends requests to all nodes alike, as many as fill the slots to the use, and returns how many weren't served.
+// sendMany sends requests evenly to all nodes, as many as keep the slots at manyUtilization, and returns how many
+// weren't served.
 func sendMany(s *site) int {
 	var failed atomic.Int64
 	ctx, cancel := context.WithTimeout(s.t.Context(), manyDuration)
@@ -69,15 +70,15 @@
 	return int(failed.Load())
 }
 
-// Many servers with few slots each, half used: no server is to run far more than its peers. While most choices of a zone
-// fell on three of its servers the busiest ran 1.66 to 1.69 times the mean, and 1.09 to 1.12 since all are as likely to be
-// looked at (three runs each).
-func TestManySmallServersAreUsedAlike(t *testing.T) {
+// No server may run far more requests than the others. When the random samples mostly held the same three servers of a
+// zone, the busiest server ran 1.66 to 1.69 times the mean; with uniform samples it runs 1.09 to 1.12 times the mean
+// (three runs each).
+func TestManySmallServersGetEvenLoad(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := manySite(t)
-		time.Sleep(time.Second) // what waits for a node that has just started comes at once
+		time.Sleep(time.Second) // requests that wait for a node that has just started would arrive all at once
 		failed := sendMany(s)
 		runs := make([]int, 0, len(s.servers))
 		sum := 0
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -17,7 +17,7 @@
 	"github.com/rockspoke/rockspoke/pkg/trace"
 )
 
-// logBuffer collects the nodes' lines.
+// logBuffer collects the nodes' log output.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -35,12 +35,12 @@
 	return l.b.String()
 }
 
-// story returns what the logs tell of a request.
+// linesOf returns the log lines about a request.
 func (l *logBuffer) linesOf(c *qt.C, id string) []trace.Line {
 	return trace.Story(l.lines(c), id)
 }
 
-// lines returns all that the logs tell.
+// lines returns all log lines.
 func (l *logBuffer) lines(c *qt.C) []trace.Line {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 	return lines
 }
 
-// logTo has all nodes write what they tell of requests as they do in production.
+// logTo makes all nodes write their call log to the buffer in the production format.
 func (s *site) logTo(log *logBuffer) {
 	factory := logging.Factory{W: log, Clock: clock.Real{}, JSON: true, PerSecond: 1000}
 	for _, n := range s.nodes {
@@ -58,9 +58,9 @@
 	}
 }
 
-// said tells whether the story has a line with the message and the field's value.
-func hasLine(story []trace.Line, msg, field, value string) bool {
-	for _, l := range story {
+// hasLine reports whether one of the lines has the message and the value of the field.
+func hasLine(lines []trace.Line, msg, field, value string) bool {
+	for _, l := range lines {
 		if l.Msg == msg && fmt.Sprint(l.Fields[field]) == value {
 			return true
 		}
@@ -68,8 +68,8 @@
 	return false
 }
 
-// Three failures, each explained by its id with nothing but logs and metrics.
-func TestFailuresAreExplainedByLogsAndMetrics(t *testing.T) {
+// Three failed requests can each be explained by id from logs and metrics alone.
+func TestFailuresCanBeExplainedFromLogsAndMetrics(t *testing.T) {
 	c := qt.New(t)
 	log := &logBuffer{}
 	s := newSite(t)
@@ -82,35 +82,35 @@
 	}})
 	s.settled(1)
 
-	// Refused at its entry under overload.
+	// Rejected by admission at the entry node.
 	n := s.nodes[0]
-	held := &admissionPlan{shares: map[string]overload.Share{"read": {}}}
+	rejectAll := &admissionPlan{shares: map[string]overload.Share{"read": {}}}
 	s.until("refused by admission", func() bool {
-		n.plan.Store(held) // the next plan, a moment later, lets all in again
+		n.plan.Store(rejectAll) // the next plan, a moment later, admits all requests again
 		status, _, _ := s.ask(0, http.MethodGet, "/read/x", "over", time.Second)
 		return status == http.StatusServiceUnavailable
 	})
 	c.Assert(hasLine(log.linesOf(c, "over"), "call: not admitted", "fresh_share", "0"), qt.IsTrue)
 	c.Assert(metricsText(n), qt.Contains, `rockspoke_requests_total{route="read",service="a",outcome="not-run",reason="level"}`)
 
-	// Lost answer of once-only work.
+	// The answer to a once-only request is lost.
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { cutOff(w) })
 	s.ask(0, http.MethodPost, "/pay/x", "lost", time.Second)
-	story := log.linesOf(c, "lost")
-	c.Assert(hasLine(story, "call: not served", "outcome", "unknown"), qt.IsTrue)
-	c.Assert(hasLine(story, "call: not served", "arrivals", "1"), qt.IsTrue)
+	lines := log.linesOf(c, "lost")
+	c.Assert(hasLine(lines, "call: not served", "outcome", "unknown"), qt.IsTrue)
+	c.Assert(hasLine(lines, "call: not served", "arrivals", "1"), qt.IsTrue)
 	c.Assert(metricsText(n), qt.Contains, `rockspoke_requests_total{route="pay",service="a",outcome="unknown",reason="lost"}`)
 
-	// All servers leave: the request is tried at each, and refused there.
+	// All servers are stopping: the request is tried at each and refused.
 	for i := range s.nodes {
 		s.nodes[i].gateMu.Lock()
 		s.nodes[i].gate.Close()
 		s.nodes[i].gateMu.Unlock()
 	}
 	s.ask(0, http.MethodPost, "/pay/x", "gone", time.Second)
-	story = log.linesOf(c, "gone")
-	c.Assert(hasLine(story, "call: sent again", "reason", "leaving"), qt.IsTrue)
-	c.Assert(hasLine(story, "call: not served", "tried", "3"), qt.IsTrue)
+	lines = log.linesOf(c, "gone")
+	c.Assert(hasLine(lines, "call: request retried", "reason", "leaving"), qt.IsTrue)
+	c.Assert(hasLine(lines, "call: not served", "tried", "3"), qt.IsTrue)
 }
 
 func metricsText(n *Node) string {
--- a/pkg/mesh/final_answer_test.go
+++ b/pkg/mesh/final_answer_test.go
@@ -11,8 +11,9 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// A read that one server may have run and the next one refuses was answered as not run.
-func TestARefusalAfterALostAnswerDoesNotSayNotRun(t *testing.T) {
+// One server may have run a read before its answer was lost, and the next one refused it. The client was told that the
+// read hadn't run.
+func TestRefusalAfterLostAnswerIsNotReportedAsNotRun(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	var n atomic.Int64
@@ -30,8 +31,8 @@
 	c.Assert(h.Get("Retry-After"), qt.Equals, "")
 }
 
-// The reason that a client and the logs are given is that of the servers that were tried.
-func TestTheLastRefusalsReasonIsGiven(t *testing.T) {
+// The client and the logs get the reason that the tried servers gave.
+func TestClientGetsReasonOfLastRefusal(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	for i := range s.nodes {
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -13,32 +13,32 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// delivery is the story of one request at the node where it began.
+// delivery is the state of one request's attempts at the node where it began.
 type delivery struct {
 	n             *Node
 	q             *request
 	route         *desired.Route
 	tried         []*peer
-	arrivals      int       // backend servers that it reached, or may have reached
-	serverFailure *answer   // a server's own failure, which is the answer if no other server does better
-	lostAttempt   *answer   // an attempt that may have run: from then on no refusal is certain
-	receivedSince time.Time // its connection has to have been heard since then, once an attempt was lost; zero: any will do
-	lastReason    wire.Reason
-	retryAfter    time.Duration // what the last refusal says of when to come back; 0: nothing
+	arrivals      int       // attempts that reached, or may have reached, a backend server
+	serverFailure *answer   // a server's own failure, which is the answer unless another server succeeds
+	lostAttempt   *answer   // an attempt that may have run; after it no refusal is certain
+	receivedSince time.Time // after a lost attempt, connections must have received data since then; zero: any connection will do
+	reason        wire.Reason
+	retryAfter    time.Duration // retry delay that the last refusal gave; 0: none
 }
 
-// run sends the request until it is answered or given up.
+// run sends the request to servers until it is answered or given up, and returns the final answer.
 func (d *delivery) run(ctx context.Context) *answer {
-	d.lastReason = wire.ReasonNoServer
+	d.reason = wire.ReasonNoServer
 	for {
 		if ctx.Err() != nil {
-			d.lastReason = wire.ReasonDeadline
+			d.reason = wire.ReasonDeadline
 			return d.finalAnswer()
 		}
 		now, servers := d.n.clock.Now(), d.n.view.Load().services[d.q.Service]
-		p, held := d.nextServer(now, servers)
-		if held != nil {
-			d.recordAttempt(held)
+		p, refusal := d.nextServer(now, servers)
+		if refusal != nil {
+			d.recordAttempt(refusal)
 			return d.finalAnswer()
 		}
 		if p == nil && len(servers) == 0 && d.n.awaitNews(ctx) {
@@ -46,7 +46,7 @@
 		}
 		if p == nil {
 			if anyStopping(now, servers) && len(d.tried) == 0 {
-				d.lastReason = wire.ReasonLeaving
+				d.reason = wire.ReasonLeaving
 			}
 			return d.finalAnswer()
 		}
@@ -62,14 +62,14 @@
 		if !d.mayRetry(a) {
 			return d.finalAnswer()
 		}
-		d.n.callLog.Info("sent again", "request", d.q.id, "route", d.route.Name, "peer", p.host,
+		d.n.callLog.Info("request retried", "request", d.q.id, "route", d.route.Name, "peer", p.host,
 			"outcome", a.outcome, "reason", a.reason, "arrivals", d.arrivals)
 	}
 }
 
-// note keeps what an attempt says of the request as a whole.
+// recordAttempt records what an attempt's answer means for the request as a whole.
 func (d *delivery) recordAttempt(a *answer) {
-	d.lastReason = a.reason
+	d.reason = a.reason
 	if a.reason == wire.ReasonQueue {
 		d.q.RejectedElsewhere = true
 	}
@@ -82,31 +82,32 @@
 	d.retryAfter = a.retryAfter
 }
 
-// again tells whether a request that wasn't answered may be sent to another server.
+// mayRetry reports whether the request may be sent to another server after this answer. It takes a retry from the
+// budget where one is needed.
 func (d *delivery) mayRetry(a *answer) bool {
 	if d.q.stream != nil {
-		return false // part of the body may be gone
+		return false // part of the body may have been consumed
 	}
 	if a.outcome != wire.NotRun && d.q.Once {
 		return false
 	}
 	if a.reason == wire.ReasonHeldBack || a.reason == wire.ReasonSuspect {
-		return false // the other servers are to be spared
+		return false // no other server may be put at risk
 	}
 	if d.q.Stages.Any() && a.reason == wire.ReasonQueue {
-		return false // as above: its copies stay at one server
+		return false // a suspect's copies stay at one server, as above
 	}
 	if a.serverFailed() && !d.n.anotherServerMayHelp(d.q) {
-		return false // its calls failed, most likely; another run would only add to the load
+		return false // most likely its calls failed, and another run would only add load
 	}
 	if !a.arrived {
-		return true // the gate's refusal is no arrival: going on costs nothing
+		return true // a gate's refusal isn't an arrival, so the next attempt costs nothing
 	}
 	return d.arrivals < max(d.route.MaxAttempts, 1) && d.n.spendRetryBudget(d.q)
 }
 
-// giveUp returns the final answer of a request that no server answered. It says that the request hasn't
-// run only if that is certain.
+// finalAnswer returns the answer to a request that no server answered. It says that the request hasn't run only if that
+// is certain.
 func (d *delivery) finalAnswer() *answer {
 	switch {
 	case d.serverFailure != nil:
@@ -114,15 +115,15 @@
 	case d.lostAttempt != nil:
 		return d.lostAttempt
 	default:
-		a := notRunAnswer(d.lastReason)
+		a := notRunAnswer(d.reason)
 		a.retryAfter = d.retryAfter
 		return a
 	}
 }
 
-// send hands the request to one server, through the node beside it.
+// send sends the request to one server through its node, and returns the answer.
 func (d *delivery) send(ctx context.Context, p *peer) *answer {
-	life := p.lifeKnown()
+	lifetime := p.lifeKnown()
 	usual := p.sending(d.n.clock.Now(), d.n.usualHold(d.route.Name))
 	defer p.inflight.Add(-1)
 	if p.local {
@@ -146,38 +147,39 @@
 	}
 	r, err := parseReply(res.Header.Get(headerReply))
 	if err != nil {
-		_ = res.Body.Close() // what is there isn't a node's answer
-		d.n.callLog.Warn("peer answer refused", "request", d.q.id, "peer", p.host, "err", err)
+		_ = res.Body.Close() // the response isn't a node's answer
+		d.n.callLog.Warn("invalid peer answer", "request", d.q.id, "peer", p.host, "err", err)
 		return unknownAnswer(wire.ReasonLost)
 	}
 	p.heard(d.n.clock.Now(), r)
 	if r.NotListening {
-		p.serverEnded(d.n.clock.Now(), life)
+		p.serverEnded(d.n.clock.Now(), lifetime)
 	}
 	d.n.noticeVersion(p.host, r.Version)
 	return d.readAnswer(p, res, r)
 }
 
-// read takes the rest of a node's answer.
+// readAnswer reads the body of a node's response and returns the answer.
 func (d *delivery) readAnswer(p *peer, res *httpconn.Response, r peerReply) *answer {
 	a := &answer{outcome: r.Outcome, reason: r.Reason, arrived: r.RefusedByServer, status: res.Status, retryAfter: r.RetryAfter}
 	d.recordCrash(p, r)
 	if r.Outcome != wire.Ran {
 		if err := drainBody(res); err != nil {
-			d.n.callLog.Debug("rest of a refusal lost", "peer", p.host, "err", err)
+			d.n.callLog.Debug("reading the rest of a refusal failed", "peer", p.host, "err", err)
 		}
 		return a
 	}
 	a.arrived = true
 	a.header = endToEndHeaders(res.Header)
-	a.header.Set(d.n.names.AttemptID, d.q.id) // the node beside the server has compared it
+	a.header.Set(d.n.names.AttemptID, d.q.id) // the server's node has checked that it matches
 	if err := a.bufferBody(res); err != nil {
 		return d.handlePeerError(p, err)
 	}
 	return a
 }
 
-// peerFailed judges an exchange with a node that gave no whole answer.
+// handlePeerError returns the answer for an exchange with a node that gave no complete response, and backs the peer off
+// unless the caller canceled.
 func (d *delivery) handlePeerError(p *peer, err error) *answer {
 	if errors.Is(err, errRequestMissing) {
 		return unknownAnswer(wire.ReasonLost)
@@ -189,7 +191,7 @@
 	}
 	if p.failed(d.n.clock.Now()) {
 		d.n.metrics.count("peers_aside_total")
-		d.n.callLog.Warn("peer set aside", "peer", p.host, "request", d.q.id, "err", err)
+		d.n.callLog.Warn("peer backed off", "peer", p.host, "request", d.q.id, "err", err)
 	}
 	if isUnsent(err) {
 		return notRunAnswer(wire.ReasonNoServer)
@@ -197,10 +199,10 @@
 	return unknownAnswer(wire.ReasonLost)
 }
 
-// minRetryDelay is the least time after which a refused client is told to come back.
+// minRetryDelay is the base delay after which a refused client is told to retry.
 const minRetryDelay = 200 * time.Millisecond
 
-// writeFinal answers a client.
+// writeFinal writes the final answer to the client.
 func (n *Node) writeFinal(w http.ResponseWriter, q *request, a *answer) {
 	n.metrics.count("requests_total", "route", q.Route, "service", q.Service, "outcome", string(a.outcome), "reason", string(a.reason))
 	if n.stop.leaving() {
--- a/pkg/mesh/forwarding_test.go
+++ b/pkg/mesh/forwarding_test.go
@@ -16,7 +16,7 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-func TestOnceOnlyWorkIsNotSentAgainAfterALostAnswer(t *testing.T) {
+func TestOnceOnlyRequestIsNotRetriedAfterLostAnswer(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { cutOff(w) })
@@ -29,7 +29,7 @@
 	c.Assert(s.allRan(), qt.HasLen, 6)
 }
 
-func TestRepeatableWorkGoesOnAfterALostAnswerWithinTheBudget(t *testing.T) {
+func TestRepeatableRequestIsRetriedAfterLostAnswerWithinBudget(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	var n atomic.Int64
@@ -54,11 +54,11 @@
 	for i := range 60 {
 		s.ask(i%3, http.MethodGet, "/read/x", fmt.Sprint("h", i), time.Second)
 	}
-	repeats := len(s.allRan()) - before - 60
-	c.Assert(repeats <= 30, qt.IsTrue, qt.Commentf("%d repeats of 60", repeats))
+	retries := len(s.allRan()) - before - 60
+	c.Assert(retries <= 30, qt.IsTrue, qt.Commentf("%d retries of 60", retries))
 }
 
-func TestAServersOwnRefusalIsNoRunAndIsTriedElsewhere(t *testing.T) {
+func TestServerRefusalIsNotARunAndIsRetriedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	var refusals atomic.Int64
@@ -88,8 +88,8 @@
 	c.Assert(after > 0 && after <= 1.0/3, qt.IsTrue, qt.Commentf("%v", after))
 }
 
-// An answer that carries another request's id, or that breaks off, never reaches a client.
-func TestSpoiltAnswersDontReachClients(t *testing.T) {
+// An answer that carries another request's id, or whose body is truncated, must not reach a client.
+func TestInvalidAnswersDoNotReachClients(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	for name, h := range map[string]func(w http.ResponseWriter){
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestAServersFailurePassesUnchanged(t *testing.T) {
+func TestServerFailureIsPassedOnUnchanged(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) {
@@ -125,11 +125,11 @@
 	c.Assert(h.Get(sealHeader), qt.Equals, "sealed")
 }
 
-// A read that one server fails is read from another; once-only work isn't.
-func TestReadsAreRepeatedAfterAServersFailure(t *testing.T) {
+// A read that one server fails is sent to another one; once-only requests aren't.
+func TestReadsAreRetriedAfterServerFailure(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
-	s.until("what a read costs is known", func() bool {
+	s.until("the cost of a read is known", func() bool {
 		s.ask(0, http.MethodGet, "/read/x", "warm", time.Second)
 		return s.nodes[0].plan.Load().runs["read"]["a"] > 0
 	})
@@ -165,7 +165,7 @@
 	c.Assert(body, qt.Equals, "its text")
 }
 
-func TestARoutesTimeoutEndsInAFinalAnswer(t *testing.T) {
+func TestRouteTimeoutGivesAFinalAnswer(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	r := route("slow", desired.Once, "a")
@@ -177,23 +177,23 @@
 		given <- r.Header.Get(testNames.TimeLeft)
 		<-r.Context().Done()
 	})
-	begun := time.Now()
+	started := time.Now()
 	status, _, _ := s.ask(0, http.MethodPost, "/slow/x", "p", 5*time.Second)
 	c.Assert(status, qt.Equals, http.StatusGatewayTimeout)
-	c.Assert(time.Since(begun) < 600*time.Millisecond, qt.IsTrue)
+	c.Assert(time.Since(started) < 600*time.Millisecond, qt.IsTrue)
 	left, err := strconv.Atoi(<-given)
 	c.Assert(err, qt.IsNil)
 	c.Assert(left > 0 && left <= 150, qt.IsTrue, qt.Commentf("%d", left))
 }
 
-func TestAClientThatLeavesEndsTheWork(t *testing.T) {
+func TestClientCancellationEndsTheRun(t *testing.T) {
 	s := three(t)
-	gone := make(chan struct{}, 1)
+	canceled := make(chan struct{}, 1)
 	started := make(chan struct{}, 1)
 	s.handleAll(func(_ *fakeServer, _ http.ResponseWriter, r *http.Request) {
 		started <- struct{}{}
 		<-r.Context().Done()
-		gone <- struct{}{}
+		canceled <- struct{}{}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.nodes[0].cfg.Listen.Outbound+"/read/x", nil)
@@ -208,14 +208,14 @@
 	}()
 	<-started
 	cancel()
-	<-gone
+	<-canceled
 }
 
-func TestBodiesPassUnchangedLongOnesToo(t *testing.T) {
+func TestShortAndLongBodiesPassUnchanged(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	s.handleAll(func(_ *fakeServer, w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // whole, since this server discards what is unread once it writes
+		body, _ := io.ReadAll(r.Body) // read completely first, since net/http discards the unread rest on the first write
 		w.Header().Set(sealHeader, "x")
 		_, _ = w.Write(body)
 	})
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestTheCallersServiceIsSetWhateverWasSent(t *testing.T) {
+func TestCallerServiceHeaderIsSetByNode(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.add("a", "z", 5)
@@ -257,7 +257,7 @@
 	c.Assert(<-seen, qt.Equals, "a")
 }
 
-func TestWithoutADesiredStateAClientIsToldToComeBack(t *testing.T) {
+func TestClientIsToldToRetryWithoutDesiredState(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.store.setDown(true)
@@ -268,8 +268,8 @@
 	c.Assert(h.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// A node that the store turns away hears of a change from its peers.
-func TestStatesTravelBetweenNodesAndNeverFall(t *testing.T) {
+// A node that can't read the store gets a new desired state from its peers, and no node goes back to an older one.
+func TestStatesSpreadBetweenNodesAndNeverGoBack(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	s.nodes[0].takeState("test", mustState(t, desired.State{Version: 9, Routes: []desired.Route{route("new", desired.Once, "a")}}))
--- a/pkg/mesh/harmless_kinds_test.go
+++ b/pkg/mesh/harmless_kinds_test.go
@@ -16,41 +16,44 @@
 )
 
 var (
-	harmlessPlays = flag.Int("innocent.plays", 4, "plays of TestNoSoundKindIsHeldBackForLong")
+	harmlessPlays = flag.Int("innocent.plays", 4, "plays of TestHarmlessKindIsNotRefusedForLong")
 	harmlessSeed  = flag.Uint64("innocent.seed", 1, "seed of the first one")
 )
 
-// The bounds that the plays are held to.
+// Bounds that every play is checked against.
 const (
-	// leastServed of the requests of a sound kind are served over a play, but for those that a server ended under.
+	// minServedShare is the least share of the requests of a harmless kind that are served in a play, leaving out those
+	// whose server crashed.
 	minServedShare = 0.99
-	// longestCut is the longest for which a zone is cut off.
+	// maxPartition is the longest time for which a zone is partitioned.
 	maxPartition = time.Second
-	// popularRate is how many requests a second make a kind popular.
+	// popularRate is the rate in requests per second from which a kind counts as popular.
 	popularRate = 5.0
-	// mostRefused of all sound requests may be refused as suspects.
+	// maxRefusedShare is the largest share of all harmless requests that may be refused as suspects.
 	maxRefusedShare = 0.01
-	// longestRefusal is for how long requests of one sound kind may be refused as suspects without one that is served.
+	// maxRefusalTime is the longest time for which requests of a harmless kind may be refused as suspects without one
+	// being served.
 	maxRefusalTime = time.Second
-	// mostCulpritEnds is how many servers a culprit may end beside one for each of its requests that were sent before its first end was known.
+	// maxPoisonCrashes is how many servers the poison request may crash, beyond one for each copy that was sent before
+	// its first crash was known.
 	maxPoisonCrashes = 2
-	// endKnown is how long it takes until an end is known: a node looks for its server several times.
+	// crashDetectionTime is how long a crash takes to be known: a node checks its server several times.
 	crashDetectionTime = maxCrashChecks * crashCheckInterval
 )
 
-// soundKind is a kind of sound requests, with what became of them.
+// harmlessKind is a kind of harmless requests and their outcomes.
 type harmlessKind struct {
 	path           string
-	rate           float64 // a second
+	rate           float64 // requests per second
 	sent           int
 	served         int
-	refused        int // as a suspect
-	lost           int // a server ended under it, twice
+	refused        int // as suspects
+	lost           int // both attempts ended in a crash
 	refusedSince   time.Time
-	longestRefusal time.Duration // for which none was served and some were refused
+	longestRefusal time.Duration // in which some were refused and none was served
 }
 
-// note takes what became of one request; it was sent at a time.
+// record counts the outcome of one request that was sent at the time.
 func (k *harmlessKind) record(sent time.Time, status int, reason wire.Reason) {
 	k.sent++
 	switch {
@@ -70,29 +73,29 @@
 	}
 }
 
-// innocentPlay is one play drawn by a seed.
+// harmlessPlay is one simulated run whose parameters are drawn from a seed.
 type harmlessPlay struct {
 	*poisonSite
 	rnd        *rand.Rand
 	mu         sync.Mutex
-	sent       []time.Time // requests of the culprit
-	partitions []time.Time // when a zone was cut off
+	sent       []time.Time // when copies of the poison request were sent
+	partitions []time.Time // when a zone was partitioned
 	kinds      []*harmlessKind
-	total      harmlessKind // of kinds that are asked for once each
+	total      harmlessKind // of requests that are each sent once
 }
 
-// shares of the sound requests that popular kinds have.
+// kindShares are the shares of popular kinds in the harmless requests.
 var kindShares = []float64{1. / 3, 1. / 4, 1. / 10, 1. / 30, 1. / 100, 1. / 1000}
 
-// newInnocentPlay draws a play.
+// newHarmlessPlay draws the parameters of a play and starts its site.
 func newHarmlessPlay(t *testing.T, seed uint64) *harmlessPlay {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	p := &harmlessPlay{rnd: rnd}
-	fuse := time.Duration(50+rnd.IntN(1950)) * time.Millisecond
+	crashDelay := time.Duration(50+rnd.IntN(1950)) * time.Millisecond
 	if rnd.IntN(3) == 0 {
-		fuse = 500 * time.Millisecond
+		crashDelay = 500 * time.Millisecond
 	}
-	p.poisonSite = newPoisonSite(t, 6+rnd.IntN(7), fuse)
+	p.poisonSite = newPoisonSite(t, 6+rnd.IntN(7), crashDelay)
 	rate := float64(100 + rnd.IntN(150))
 	first := rnd.IntN(2)
 	for i, share := range kindShares[first : first+5] {
@@ -102,7 +105,7 @@
 	return p
 }
 
-// askSound sends sound requests for a time.
+// sendHarmless sends harmless requests for the time span.
 func (p *harmlessPlay) sendHarmless(span time.Duration) {
 	for _, k := range append(p.kinds, &p.total) {
 		p.work.Go(func() {
@@ -122,7 +125,7 @@
 	}
 }
 
-// askCulprit sends the culprit's requests for a time.
+// sendPoison sends the poison request for the time span at the rate.
 func (p *harmlessPlay) sendPoison(span time.Duration, perS float64) {
 	p.work.Go(func() {
 		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(around(time.Duration(float64(time.Second) / perS))) {
@@ -136,7 +139,8 @@
 	})
 }
 
-// mostEnds is how many servers the culprit may end. Each side of a cut goes by the ends that it hears of.
+// maxCrashes returns how many servers the poison request may crash. During a partition each side knows only its own
+// crashes.
 func (p *harmlessPlay) maxCrashes(r *poisonRuns) int {
 	most := maxPoisonCrashes
 	for _, at := range p.sent {
@@ -152,7 +156,7 @@
 	return most
 }
 
-// askKind sends one sound request.
+// sendKind sends one harmless request of the kind and records its outcome.
 func (p *harmlessPlay) sendKind(k *harmlessKind, path string) {
 	sent := time.Now()
 	status, _, h := p.ask(rand.N(poisonEntries), http.MethodGet, path, fmt.Sprint("s", rand.Uint64()), 2*time.Second)
@@ -161,7 +165,7 @@
 	k.record(sent, status, wire.Reason(h.Get(wire.HeaderReason)))
 }
 
-// trouble ends servers for other reasons now and then.
+// injectFaults crashes servers for other reasons and partitions zones from time to time, for the time span.
 func (p *harmlessPlay) injectFaults(span time.Duration) {
 	servers := p.servers[poisonEntries:]
 	end := time.Now().Add(span)
@@ -182,19 +186,19 @@
 					p.crashServer(f, f.life.Load())
 				})
 			}
-		case 2: // news is lost between a zone and the others
+		case 2: // a zone is partitioned from the others
 			p.mu.Lock()
 			p.partitions = append(p.partitions, time.Now())
 			p.mu.Unlock()
 			cut := p.partitionZone(fmt.Sprint("z", p.rnd.IntN(3)))
 			time.Sleep(maxPartition/5 + time.Duration(p.rnd.Int64N(int64(maxPartition)*4/5)))
 			cut.Store(false)
-		case 3: // a calm while
+		case 3: // no fault
 		}
 	}
 }
 
-// play plays it.
+// run runs the play to its end.
 func (p *harmlessPlay) run() {
 	const span = 14 * time.Second
 	p.from = time.Now()
@@ -207,8 +211,9 @@
 	p.finish()
 }
 
-// No request of a popular kind that ended nothing is refused as a suspect for long: three ends, under each of which some of its runs were, by chance, had it held back.
-func TestNoSoundKindIsHeldBackForLong(t *testing.T) {
+// Requests of a popular harmless kind must not be refused as suspects for long. Such a kind was quarantined when some
+// of its runs were, by chance, in progress at three crashes.
+func TestHarmlessKindIsNotRefusedForLong(t *testing.T) {
 	t.Parallel()
 	for i := range *harmlessPlays {
 		seed := *harmlessSeed + uint64(i)
@@ -223,7 +228,7 @@
 	}
 }
 
-// check checks the bounds, and writes a line for the table of many plays.
+// check checks the bounds and logs one line for the table of many plays.
 func (p *harmlessPlay) check(c *qt.C) {
 	worst, longest, refused, sent, lost := 1.0, time.Duration(0), 0, 0, 0
 	for _, k := range append(p.kinds, &p.total) {
@@ -239,7 +244,7 @@
 	c.Check(float64(refused) <= maxRefusedShare*float64(sent), qt.IsTrue, qt.Commentf("%d of %d refused as suspects", refused, sent))
 	r := p.runsFor(poisonPath)
 	most := p.maxCrashes(r)
-	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("the culprit ended %d servers, at most %d may", len(r.crashes), most))
+	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("the poison request crashed %d servers, at most %d may", len(r.crashes), most))
 	c.Logf("PLAY servers %d fuse %v: %d of %d refused as suspects, %d lost, worst kind %.3f, longest %v, culprit ended %d (at most %d)",
 		len(p.servers)-poisonEntries, p.crashDelay, refused, sent, lost, worst, longest, len(r.crashes), most)
 }
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -7,7 +7,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// inboundHandler serves other nodes: their requests to this VM's backend server, and exchanges.
+// inboundHandler returns the handler for other nodes: their requests to this VM's backend server, exchanges and
+// queries.
 func (n *Node) inboundHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headerCall) != "" {
@@ -31,10 +32,11 @@
 	})
 }
 
+// serveInbound passes a peer's request to this VM's backend server and writes the answer.
 func (n *Node) serveInbound(w http.ResponseWriter, r *http.Request) {
 	c, err := parseCall(r.Header.Get(headerCall))
 	if err != nil {
-		n.callLog.Warn("peer request refused", "err", err, "peer", r.RemoteAddr)
+		n.callLog.Warn("invalid peer request", "err", err, "peer", r.RemoteAddr)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -58,18 +60,18 @@
 	n.writeReply(w, a)
 }
 
-// inboundGrace is how long past a request's deadline the answer is still awaited: the sender's own clock
-// ends it, and a little delay on the way must not break off what is just ready.
+// inboundGrace is how long after a request's deadline its answer is still awaited. The sender's own clock ends the
+// request, and a small network delay must not cut off an answer that is just ready.
 const inboundGrace = 100 * time.Millisecond
 
-// reply answers the node that sent a request.
+// writeReply writes the answer to the node that sent the request.
 func (n *Node) writeReply(w http.ResponseWriter, a *answer) {
 	w.Header().Set(headerReply, n.replyHeader(a).encode())
 	if n.stop.leaving() {
 		w.Header().Set("Connection", "close")
 	}
 	if a.outcome == wire.Ran {
-		a.header.Del(n.names.AttemptID) // the other side knows it
+		a.header.Del(n.names.AttemptID) // the sender knows it
 		a.write(w)
 		return
 	}
@@ -78,7 +80,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// replyHeader puts the load of this VM's server beside what became of a request.
+// replyHeader returns the metadata for an answer, with the current load of this VM's server.
 func (n *Node) replyHeader(a *answer) peerReply {
 	n.gateMu.Lock()
 	g := n.gate.Read()
@@ -91,8 +93,8 @@
 	}
 }
 
-// newRequest reads a request; most bounds its body, 0 for no bound.
-func (n *Node) newRequest(r *http.Request, c peerCall, most int64) (*request, error) {
+// newRequest reads a request; maxBytes bounds its body, 0 for no bound. The error is a *bodyError.
+func (n *Node) newRequest(r *http.Request, c peerCall, maxBytes int64) (*request, error) {
 	q := &request{
 		peerCall: c, id: r.Header.Get(n.names.AttemptID), method: r.Method, uri: r.RequestURI, host: r.Host,
 		header: endToEndHeaders(r.Header),
@@ -103,5 +105,5 @@
 	}
 	q.deadline = n.clock.Now().Add(left)
 	q.clientDeadline = q.deadline
-	return q, q.readBody(r, most)
+	return q, q.readBody(r, maxBytes)
 }
--- a/pkg/mesh/internal_routes.go
+++ b/pkg/mesh/internal_routes.go
@@ -9,27 +9,29 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// isInternalRoute tells whether only backend servers call the route, as far as it is known.
+// isInternalRoute reports whether only backend servers call the route, as far as is known.
 func (n *Node) isInternalRoute(route string) bool {
 	p := n.plan.Load()
 	return p != nil && p.inner[route]
 }
 
-// internalRoutes is which routes only backend servers call, as last judged; its zero value has judged none.
+// internalRoutes records for each route whether only backend servers call it. Its zero value knows no route.
 type internalRoutes struct {
 	internal      map[string]bool
-	restoredUntil map[string]time.Time // until when what was judged before the start holds
-	version       int64                // desired state against which the routes were last held
+	restoredUntil map[string]time.Time // when decisions from before the start expire
+	version       int64                // version of the desired state that the routes were last checked against
 }
 
-// restoredDecisionTime is how long what was judged of a route before the start holds: runs that began before it, of which this
-// node knows nothing, go on making calls, and the first rates are those of a few requests. Longer than most runs last.
+// restoredDecisionTime is how long decisions from before the start stay in force. Runs that began before the start,
+// which this node doesn't know, still make calls, and the first rates come from only a few requests. It is longer than
+// most runs last.
 const restoredDecisionTime = 3 * time.Second
 
-// restore takes what was judged of a service's routes before the start, but for those that this node has judged itself.
-func (j *internalRoutes) restore(now time.Time, l loads.Learned) {
+// recall takes over the decisions from before the start about a service's routes, except for routes that this node has
+// already decided.
+func (j *internalRoutes) recall(now time.Time, l loads.Learned) {
 	for route := range l.Calls {
-		if _, judged := j.internal[route]; judged {
+		if _, known := j.internal[route]; known {
 			continue
 		}
 		j.set(route, slices.Contains(l.Inner, route))
@@ -40,15 +42,15 @@
 	}
 }
 
-func (j *internalRoutes) set(route string, called bool) {
+func (j *internalRoutes) set(route string, internal bool) {
 	if j.internal == nil {
 		j.internal = map[string]bool{}
 	}
-	j.internal[route] = called
+	j.internal[route] = internal
 }
 
-// update works it out anew, and returns the routes that are judged otherwise than before. What was judged of a route holds
-// while nobody asks for it.
+// update decides all routes again from the origins of requests and returns the routes whose decision changed. A route
+// without requests keeps its decision.
 func (j *internalRoutes) update(now time.Time, origins loads.Origins) []string {
 	var changed []string
 	for route, is := range origins.Called(func(route string) bool { return j.internal[route] }) {
@@ -73,16 +75,16 @@
 	maps.DeleteFunc(j.internal, func(route string, _ bool) bool { return !state.HasRoute(route) })
 }
 
-// updateInternalRoutes works out anew which routes only backend servers call.
+// updateInternalRoutes decides again which routes only backend servers call.
 func (n *Node) updateInternalRoutes(now time.Time) {
 	j := &n.control.judged
 	for _, route := range j.update(now, n.currentOrigins()) {
-		n.controlLog.Info("route judged", "route", route, "called_by_servers_only", j.internal[route])
+		n.controlLog.Info("internal route status changed", "route", route, "called_by_servers_only", j.internal[route])
 	}
 	j.forgetRemoved(n.state.Load())
 }
 
-// currentOrigins returns what the reports tell of where requests begin.
+// currentOrigins returns where requests begin, by the current reports of this zone and sums of the others.
 func (n *Node) currentOrigins() loads.Origins {
 	all := loads.Origins{}
 	for _, r := range n.control.reports {
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/keep_learned_test.go
@@ -179,7 +179,7 @@
 	judged := make(chan [2]bool)
 	n.do(func() {
 		now := time.Now()
-		n.control.judged.restore(now, loads.Learned{Calls: map[string]callgraph.Rates{"called": {}, "root": {}}, Inner: []string{"called"}})
+		n.control.judged.recall(now, loads.Learned{Calls: map[string]callgraph.Rates{"called": {}, "root": {}}, Inner: []string{"called"}})
 		n.control.reports = map[string]*heldReport{"x": {heard: now, Report: loads.Report{
 			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, Alone: 90}, "root": {Fresh: 100, Alone: 90}},
 		}}}
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -11,34 +11,35 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// inProgressPath is where nodes ask which of their requests another has.
+// inProgressPath is where nodes query which of their requests another node has in progress.
 const inProgressPath = "/in-progress"
 
 const (
-	// heardLately is how long ago a connection may have been heard at the most to carry a request of which an attempt was lost: the others may
-	// have gone silent together with that attempt's.
+	// lostAttemptWindow is how recently a connection must have received data to carry a request of which an attempt was
+	// lost. The other connections may have become unresponsive together with that attempt's.
 	lostAttemptWindow = 100 * time.Millisecond
-	// inProgressTime bounds such a question.
+	// inProgressTimeout bounds such a query.
 	inProgressTimeout = 250 * time.Millisecond
-	// maxInProgress bounds it in bytes: MostAsked ids, each of which may be as long as a header line usually may.
+	// maxInProgressBytes bounds the query: MostAsked ids, each of which may be as long as a header line usually may.
 	maxInProgressBytes = awaited.MostAsked * (8 << 10)
 )
 
-// inProgressQuestion asks which of some requests, by their attempt ids, a node doesn't have.
+// inProgressQuery asks a node which of the requests, by attempt id, it doesn't have.
 type inProgressQuery struct {
 	IDs []string `codec:"i"`
 }
 
-// inProgressAnswer names those that it doesn't have.
+// inProgressReply lists the requests that the node doesn't have.
 type inProgressReply struct {
 	Missing []string `codec:"m"`
 }
 
-// errNotThere ends the wait for the answer of a node that doesn't have the request.
+// errRequestMissing ends the wait for the answer of a node that doesn't have the request.
 var errRequestMissing = errors.New("the peer doesn't have the request")
 
-// exchange sends the request to a peer, which usually takes so long, and reads the header of its answer. The wait ends with errNotThere
-// when the peer is found not to have the request. Once-only work is never given up so: whether it ran wouldn't be known any better.
+// roundTrip sends the request to a peer and returns the response with its headers read; usual is the usual time until
+// then. The wait ends with errRequestMissing when the peer turns out not to have the request. Once-only work is never
+// given up this way, since that wouldn't make it any clearer whether it ran.
 func (d *delivery) roundTrip(ctx context.Context, p *peer, usual time.Duration, req *httpconn.Request) (*httpconn.Response, error) {
 	if d.q.Once || d.q.stream != nil || d.n.off[settings.Silence] {
 		return p.pool.Do(ctx, req)
@@ -49,46 +50,47 @@
 	}
 	p.awaited.Add(r)
 	res, err := p.pool.Do(waiting, req)
-	p.awaited.Remove(r) // it isn't given up after that
+	p.awaited.Remove(r) // from here on it isn't given up
 	if !errors.Is(context.Cause(waiting), errRequestMissing) {
 		return res, err
 	}
 	if err == nil {
-		_ = res.Body.Close() // its rest can't be read any more
+		_ = res.Body.Close() // the canceled context ends the body
 	}
 	return nil, errRequestMissing
 }
 
-// askForAwaited asks peers for the requests that take much longer than usual.
+// queryOverdueRequests queries peers about the requests that take much longer than usual.
 func (n *Node) queryOverdueRequests(ctx context.Context, now time.Time) {
 	n.peersMu.Lock()
 	defer n.peersMu.Unlock()
 	for _, p := range n.peers {
-		if asked := p.awaited.Ask(now); len(asked) > 0 {
-			n.running.Go(func() { n.queryInProgress(ctx, p, asked) })
+		if overdue := p.awaited.Ask(now); len(overdue) > 0 {
+			n.running.Go(func() { n.queryInProgress(ctx, p, overdue) })
 		}
 	}
 }
 
-// askFor asks a peer for requests, on a connection that was heard after the first of them was sent, or a new one.
-func (n *Node) queryInProgress(ctx context.Context, p *peer, asked []*awaited.Request) {
+// queryInProgress queries a peer about requests, on a connection that received data after the first of them was sent,
+// or a new one.
+func (n *Node) queryInProgress(ctx context.Context, p *peer, overdue []*awaited.Request) {
 	var q inProgressQuery
-	for _, r := range asked {
+	for _, r := range overdue {
 		q.IDs = append(q.IDs, r.ID)
 	}
 	var a inProgressReply
-	if err := n.askNodeSince(ctx, asked[0].Sent, p.host, inProgressPath, inProgressTimeout, &q, &a); err != nil {
-		n.controlLog.Debug("requests in progress not told", "peer", p.host, "err", err)
-		a.Missing = nil // nothing is known: they wait on
+	if err := n.askNodeSince(ctx, overdue[0].Sent, p.host, inProgressPath, inProgressTimeout, &q, &a); err != nil {
+		n.controlLog.Debug("in-progress query failed", "peer", p.host, "err", err)
+		a.Missing = nil // unknown, so the requests keep waiting
 	}
-	for _, r := range p.awaited.Told(n.clock.Now(), asked, a.Missing) {
+	for _, r := range p.awaited.Told(n.clock.Now(), overdue, a.Missing) {
 		n.metrics.count("requests_lost_total")
-		n.callLog.Warn("connection went silent", "peer", p.host, "request", r.ID, "waited_ms", n.clock.Now().Sub(r.Sent).Milliseconds())
+		n.callLog.Warn("request lost on an unresponsive connection", "peer", p.host, "request", r.ID, "waited_ms", n.clock.Now().Sub(r.Sent).Milliseconds())
 		p.pool.DropRested(r.Sent)
 	}
 }
 
-// serveInProgress tells another node which of its requests aren't here.
+// serveInProgress tells another node which of its requests this node doesn't have.
 func (n *Node) serveInProgress(w http.ResponseWriter, r *http.Request) {
 	var q inProgressQuery
 	if n.readQuestion(w, r, maxInProgressBytes, &q, func() bool { return len(q.IDs) <= awaited.MostAsked }) {
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -11,10 +11,10 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// outboundHandler serves clients and the backend server on this VM.
+// outboundHandler returns the handler for clients and for the backend server on this VM.
 func (n *Node) outboundHandler() http.Handler { return http.HandlerFunc(n.serveOutbound) }
 
-// serveOutbound finds the route of a request.
+// serveOutbound matches the request to a route, authenticates it, checks quota and admission, and forwards it.
 func (n *Node) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	done := n.stop.begin()
 	defer done()
@@ -68,16 +68,16 @@
 	n.serveRouted(w, r, q, route)
 }
 
-// newPeerCall returns what the chosen server's node is told of a request of the route.
+// newPeerCall returns the metadata that is sent with a request of the route to the node of the chosen server.
 func (n *Node) newPeerCall(state *desired.State, route *desired.Route) peerCall {
 	return peerCall{
-		Service: pickTarget(route), Route: route.Name, Caller: n.cfg.Service, Priority: route.Priority,
+		Service: pickTargetService(route), Route: route.Name, Caller: n.cfg.Service, Priority: route.Priority,
 		Internal: n.isInternalRoute(route.Name), Once: route.Kind == desired.Once, Version: state.Version,
 	}
 }
 
-// entryRefusal returns the answer to a request that isn't taken in, or nil: new ones are turned away late in
-// a planned stop, and by admission.
+// entryRefusal returns the answer to a request that isn't admitted, or nil if it is. New requests are rejected late in
+// a planned stop, when they are quarantined, and by admission.
 func (n *Node) entryRefusal(q *request) *answer {
 	if n.stop.refuses() && !q.Internal {
 		return notRunAnswer(wire.ReasonLeaving)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// serveRouted sends a request that was taken in.
+// serveRouted forwards an admitted request and writes its answer.
 func (n *Node) serveRouted(w http.ResponseWriter, r *http.Request, q *request, route *desired.Route) {
 	if route.Timeout > 0 {
 		if end := n.clock.Now().Add(route.Timeout); end.Before(q.deadline) {
@@ -103,11 +103,11 @@
 	ctx, cancel := n.limits.Context(r.Context(), n.clock, q.deadline)
 	defer cancel()
 	n.earnRetryBudget(q)
-	begun := n.clock.Now()
+	started := n.clock.Now()
 	d := &delivery{n: n, q: q, route: route}
 	a := d.run(ctx)
 	if a.outcome == wire.Ran {
-		n.metrics.observe(n.clock.Now().Sub(begun), "request_seconds", "route", route.Name)
+		n.metrics.observe(n.clock.Now().Sub(started), "request_seconds", "route", route.Name)
 	}
 	if a.outcome != wire.Ran && r.Context().Err() == nil {
 		n.callLog.Info("not served", "request", q.id, "route", route.Name, "service", q.Service, "outcome", a.outcome,
@@ -116,7 +116,8 @@
 	n.writeFinal(w, q, a)
 }
 
-// refuseNoRoute answers a request that no route matches; where the desired state may be old, the route may well exist.
+// refuseNoRoute answers a request that no route matches: with 404, or with 503 while the desired state may be out of
+// date, since a newer one may have the route.
 func (n *Node) refuseNoRoute(w http.ResponseWriter, r *http.Request) {
 	if !n.sureOfState() {
 		n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusServiceUnavailable)
@@ -125,7 +126,7 @@
 	n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusNotFound)
 }
 
-// refuseBody answers a request whose body is too long or broke off.
+// refuseBody answers a request whose body is too long or ended early.
 func (n *Node) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	var b *bodyError
@@ -135,11 +136,11 @@
 	n.refuseUnrouted(w, r, wire.ReasonBadRequest, status)
 }
 
-// oldStateRetryDelay is when those should come back, on average, whose key can't be judged: the store is away, which takes longer to pass
-// than an overload.
+// oldStateRetryDelay is the mean retry delay for a request whose key can't be checked. The store is then unavailable,
+// which lasts longer than an overload.
 const oldStateRetryDelay = time.Second
 
-// retryDelayFor returns when to come back after a refusal, on average.
+// retryDelayFor returns the mean delay after which a client should retry a refusal for the reason.
 func retryDelayFor(reason wire.Reason) time.Duration {
 	if reason == wire.ReasonOldState {
 		return oldStateRetryDelay
@@ -147,7 +148,7 @@
 	return minRetryDelay
 }
 
-// refuseUnrouted answers a request that can't be sent anywhere.
+// refuseUnrouted refuses a request before it is routed to a service, with the reason and HTTP status.
 func (n *Node) refuseUnrouted(w http.ResponseWriter, r *http.Request, reason wire.Reason, status int) {
 	id := r.Header.Get(n.names.AttemptID)
 	n.callLog.Info("refused", "request", id, "host", r.Host, "path", r.URL.Path, "reason", reason, "status", status)
@@ -165,8 +166,8 @@
 	w.WriteHeader(status)
 }
 
-// pickTarget chooses the service of a split route by weight.
-func pickTarget(r *desired.Route) string {
+// pickTargetService returns one of the route's target services, chosen at random by weight.
+func pickTargetService(r *desired.Route) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
--- a/pkg/mesh/packed_headers.go
+++ b/pkg/mesh/packed_headers.go
@@ -9,18 +9,18 @@
 	"github.com/rockspoke/rockspoke/pkg/headerpack"
 )
 
-// peerConn is what this node knows of a connection that a peer made: the headers of requests that came on it, and
-// those of answers that went back.
+// peerConnHeaders holds the header compression state of a connection that a peer opened: for the headers of its
+// requests, and for those of the answers.
 type peerConnHeaders struct {
 	unpacker headerpack.Unpacker
 	packer   headerpack.Packer
 }
 
-// peerConnKey is the key of a connection's peerConn among the values of its requests' contexts.
+// peerConnKey is the context key of the peerConnHeaders of a request's connection.
 type peerConnKey struct{}
 
-// peerServer returns the server for other nodes. Headers from other availability zones come packed, since bytes
-// between zones are paid for, and so go those of the answers.
+// newPeerServer returns the HTTP server for other nodes. Headers of requests from other availability zones are packed,
+// and so are those of the answers, since traffic between zones is charged for.
 func (n *Node) newPeerServer(addr string) *http.Server {
 	s := n.newServer(addr, n.withPackedHeaders(n.inboundHandler()))
 	s.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
@@ -29,7 +29,8 @@
 	return s
 }
 
-// unpacked returns a handler that unpacks the headers of requests for another one, and packs those of its answers.
+// withPackedHeaders returns a handler that unpacks the headers of requests before next handles them, and packs the
+// headers of the answers.
 func (n *Node) withPackedHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text := r.Header.Get(headerpack.Header)
@@ -40,8 +41,8 @@
 		}
 		h, err := c.unpacker.Unpack(text)
 		if err != nil {
-			n.callLog.Warn("peer request refused", "err", err, "peer", r.RemoteAddr)
-			w.Header().Set("Connection", "close") // the tables of both sides differ from now on
+			n.callLog.Warn("invalid peer request", "err", err, "peer", r.RemoteAddr)
+			w.Header().Set("Connection", "close") // the tables of the two sides no longer match
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -51,17 +52,17 @@
 	})
 }
 
-// packedAnswer packs the headers of one answer.
+// packingWriter is a response writer that packs the headers of one answer.
 type packingWriter struct {
 	http.ResponseWriter
 	conn   *peerConnHeaders
 	packed bool
 }
 
-// framing are the headers that the library of the other side has to see.
+// framingHeaders are sent unpacked, since the peer's HTTP library needs them.
 var framingHeaders = []string{"Content-Length", "Transfer-Encoding", "Connection"}
 
-// WriteHeader packs the headers before the first of them is sent.
+// WriteHeader packs the headers before the first status line is sent.
 func (w *packingWriter) WriteHeader(status int) {
 	if !w.packed {
 		w.packed = true
@@ -70,7 +71,7 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// pack puts one header in place of all but those of the framing.
+// pack replaces all headers but those for framing with a single packed header.
 func (w *packingWriter) pack() {
 	h := w.Header()
 	rest := http.Header{}
@@ -86,11 +87,11 @@
 			delete(rest, name)
 		}
 	}
-	h["Date"], h["Content-Type"] = nil, nil // the library would add its own
+	h["Date"], h["Content-Type"] = nil, nil // net/http would add its own
 	h.Set(headerpack.Header, w.conn.packer.Pack(rest))
 }
 
-// Write sends the header first if that hasn't been done.
+// Write sends the headers first if they haven't been sent.
 func (w *packingWriter) Write(b []byte) (int, error) {
 	if !w.packed {
 		w.WriteHeader(http.StatusOK)
--- a/pkg/mesh/packed_headers_test.go
+++ b/pkg/mesh/packed_headers_test.go
@@ -13,7 +13,7 @@
 	"github.com/rockspoke/rockspoke/pkg/headerpack"
 )
 
-// Headers between availability zones are packed on the way; both ends see what was sent.
+// Headers between availability zones are packed in transit; both ends see what was sent.
 func TestHeadersCrossZonesUnchanged(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
@@ -51,7 +51,7 @@
 	}
 }
 
-// What can't be unpacked is refused, and its connection isn't used again.
+// A request whose headers can't be unpacked is refused, and its connection is closed.
 func TestBadPackedHeaderEndsItsConnection(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/peer_protocol.go
+++ b/pkg/mesh/peer_protocol.go
@@ -10,60 +10,63 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// headerCall and headerReply carry what nodes tell each other beside a request and its answer. They are
-// short, since bytes between availability zones are paid for.
+// headerCall and headerReply carry the metadata that nodes send with a request and with its answer. They are
+// short, since traffic between availability zones is charged for.
 const (
 	headerCall  = "Rs-C"
 	headerReply = "Rs-R"
 )
 
-// callFields and replyFields are how many fields the two headers have.
+// callFields and replyFields are the numbers of fields in the two headers.
 const (
 	callFields  = 6
 	replyFields = 9
-	// suspectFields are how many each has more where a request is under suspicion.
+	// suspectCallFields and suspectReplyFields are the additional fields for a request under suspicion.
 	suspectCallFields, suspectReplyFields = poison.Likenesses, 2
 )
 
-// peerCall is what a node tells the node beside the chosen server.
+// peerCall is the metadata that a node sends with a request to the chosen server's node.
 type peerCall struct {
 	Service           string
 	Route             string
-	Caller            string // service of the VM on which the request began
+	Caller            string // service of the VM where the request began
 	Priority          int
 	Internal          bool
 	Once              bool
-	RejectedElsewhere bool          // by another gate, for want of room
-	Version           int64         // desired state that the request came in with
-	Stages            poison.Stages // of its cases, as the sender knows
+	RejectedElsewhere bool          // by another gate, which had no free slot
+	Version           int64         // of the desired state by which the request was routed
+	Stages            poison.Stages // of its cases, as the sender knows them
 }
 
-// peerReply is what that node tells beside an answer or refusal.
+// peerReply is the metadata that the server's node sends with an answer or refusal.
 type peerReply struct {
 	Outcome         wire.Outcome
 	Reason          wire.Reason
-	RefusedByServer bool // the refusal is the server's own: it counts as an arrival there
+	RefusedByServer bool // the server itself refused, which counts as an arrival there
 	Running         int
 	Queued          int
 	Limit           int
-	Slowdown        int // time that requests hold a slot of the server, in a hundredth of what their kinds do at any server
-	Success         int // good answers of the server in a hundred, refusals of its own counted as none
+	Slowdown        int // slot hold time at the server, in percent of the usual hold time of the same kinds at all servers
+	Success         int // percentage of good answers of the server; its own refusals don't count as good
 	Version         int64
 	Stopping        bool
-	NotListening    bool          // it hasn't run since nobody is there beside the node
-	CrashedLifetime string        // the life of the server that ended under the request; empty: none did
-	RetryAfter      time.Duration // when the caller should try again; 0: as usual
+	NotListening    bool          // it hasn't run since the node's backend server isn't listening
+	CrashedLifetime string        // lifetime of the server that crashed while it ran the request; empty: none did
+	RetryAfter      time.Duration // delay before the caller should retry; 0: the default
 }
 
-// ProtocolError reports a header between nodes that can't be read.
+// ProtocolError reports a peer header that can't be parsed.
 type ProtocolError struct {
 	Header string
 	Value  string
 }
 
 // Error names the header and its value.
-func (e *ProtocolError) Error() string { return fmt.Sprintf("peer header %s: %q", e.Header, e.Value) }
+func (e *ProtocolError) Error() string {
+	return fmt.Sprintf("malformed peer header %s: %q", e.Header, e.Value)
+}
 
+// encode returns the value of headerCall.
 func (c peerCall) encode() string {
 	s := fmt.Sprintf("%s,%s,%s,%d,%s,%d", c.Service, c.Route, c.Caller, c.Priority, packFlags(c.Internal, c.Once, c.RejectedElsewhere), c.Version)
 	if c.Stages.Any() {
@@ -74,7 +77,7 @@
 	return s
 }
 
-// packFlags packs up to ten booleans into a short number.
+// packFlags returns up to ten booleans as a decimal bit mask, the first in the lowest bit.
 func packFlags(bits ...bool) string {
 	n := 0
 	for i, b := range bits {
@@ -85,6 +88,7 @@
 	return strconv.Itoa(n)
 }
 
+// parseCall parses a value of headerCall. The error is a *ProtocolError.
 func parseCall(v string) (peerCall, error) {
 	f := strings.Split(v, ",")
 	if len(f) != callFields && len(f) != callFields+suspectCallFields {
@@ -109,6 +113,7 @@
 	}, nil
 }
 
+// encode returns the value of headerReply.
 func (r peerReply) encode() string {
 	s := fmt.Sprintf("%s,%s,%s,%d,%d,%d,%d,%d,%d", r.Outcome, r.Reason, packFlags(r.RefusedByServer, r.Stopping, r.NotListening),
 		r.Running, r.Queued, r.Limit, r.Slowdown, r.Success, r.Version)
@@ -118,19 +123,20 @@
 	return s
 }
 
+// parseReply parses a value of headerReply. The error is a *ProtocolError.
 func parseReply(v string) (peerReply, error) {
 	f := strings.Split(v, ",")
 	if len(f) != replyFields && len(f) != replyFields+suspectReplyFields {
 		return peerReply{}, &ProtocolError{headerReply, v}
 	}
-	var ended string
-	var comeBack time.Duration
+	var crashedLifetime string
+	var retryAfter time.Duration
 	if len(f) > replyFields {
 		ms, err := strconv.ParseInt(f[replyFields+1], 10, 64)
 		if err != nil {
 			return peerReply{}, &ProtocolError{headerReply, v}
 		}
-		ended, comeBack = f[replyFields], time.Duration(ms)*time.Millisecond
+		crashedLifetime, retryAfter = f[replyFields], time.Duration(ms)*time.Millisecond
 	}
 	var n [7]int64
 	for i := range n {
@@ -144,6 +150,6 @@
 		RefusedByServer: n[0]&1 != 0, Stopping: n[0]&2 != 0, NotListening: n[0]&4 != 0,
 		Running: int(n[1]), Queued: int(n[2]), Limit: int(n[3]),
 		Slowdown: int(n[4]), Success: int(n[5]), Version: n[6],
-		CrashedLifetime: ended, RetryAfter: comeBack,
+		CrashedLifetime: crashedLifetime, RetryAfter: retryAfter,
 	}, nil
 }
--- a/pkg/mesh/peer_protocol_test.go
+++ b/pkg/mesh/peer_protocol_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-func TestPeerHeadersReadBack(t *testing.T) {
+func TestPeerHeadersRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	in := peerCall{Service: "s", Route: "r", Caller: "c", Priority: 2, Internal: true, Once: true, RejectedElsewhere: true, Version: 12}
 	got, err := parseCall(in.encode())
--- a/pkg/mesh/peer_sample.go
+++ b/pkg/mesh/peer_sample.go
@@ -2,17 +2,17 @@
 
 import "math/rand/v2"
 
-// looked is how many servers of a zone, or of all others, are compared for one request.
+// peerSampleSize is how many servers of this zone, or of all other zones, are compared for one request.
 const peerSampleSize = 3
 
-// peerSample is some peers of many that are added one by one, each as likely to be among them wherever it stands. Its
-// zero value is empty.
+// peerSample is a uniform random sample of the peers that are added one by one (reservoir sampling). Its zero value is
+// empty.
 type peerSample struct {
 	sampled [peerSampleSize]*peer
 	added   int
 }
 
-// add takes one more peer into account.
+// add offers one more peer to the sample.
 func (s *peerSample) add(p *peer) {
 	s.added++
 	if s.added <= peerSampleSize {
@@ -24,10 +24,10 @@
 	}
 }
 
-// shuffled returns the peers that were kept, in an order by chance: which of them stands first is decided by
-// where it was added, and among equals the first one is taken.
+// shuffled returns the sampled peers in random order. Their order in the sample depends on where they stood in the
+// list, and the first of equal peers is chosen.
 func (s *peerSample) shuffled() []*peer {
-	kept := s.sampled[:min(s.added, peerSampleSize)]
-	rand.Shuffle(len(kept), func(i, j int) { kept[i], kept[j] = kept[j], kept[i] })
-	return kept
+	list := s.sampled[:min(s.added, peerSampleSize)]
+	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	return list
 }
--- a/pkg/mesh/poison_request_test.go
+++ b/pkg/mesh/poison_request_test.go
@@ -12,25 +12,25 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// A read that ends each server that runs it came again and again, at nodes of all zones. Users saw a service out for half
-// of the time: of 28,161 reads 18,748 were served in time. The order of events: the first server ended some 70 ms after it began to
-// run the read; its node took the answer for lost on the way, and the entry node sent the read to the next server 10 ms later;
-// the client got its 502 and came again at another node, which knew nothing. In 0.6 s all five servers were gone, and as they were back
-// it began again.
+// A read crashed every server that ran it and was retried again and again, at nodes of all zones, so that only 18,748
+// of 28,161 reads were served in time and the service was down half of the time. The first server crashed some 70 ms
+// after it began to run the read. Its node took the answer for lost in transit, and the entry node sent the read to the
+// next server 10 ms later. The client got a 502 and retried at another node, which knew nothing of it. All five servers
+// were down within 0.6 s, and it began again when they were back.
 //
-// The cause: what a request did to servers was forgotten between its attempts, within one attempt as well. Evidence: of the
-// lines `server ended` of this test each names the fingerprint of this request, and no other one stands in all of them
-// (TestTheLogTellsWhichRequestRanInEachServerThatEnded); nothing ends while it isn't asked for.
-func TestARequestThatEndsServersIsHeldBack(t *testing.T) {
+// The cause was that what a request did to servers was forgotten between its attempts, and even within one attempt.
+// Each line `backend server crashed` of this test names the fingerprint of this request, and no other fingerprint is in
+// all of them (TestLogShowsTheRequestCommonToAllCrashes); no server crashes while the request isn't sent.
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
-		name    string
-		servers int
-		fuse    time.Duration
-		perS    int
-		entries []int
-		queries bool
-		sameID  bool
+		name       string
+		servers    int
+		crashDelay time.Duration
+		perS       int
+		entries    []int
+		queries    bool
+		sameID     bool
 	}{
 		{"soon, at one entry", 9, 70 * time.Millisecond, 12, []int{0}, false, false},
 		{"soon, at any entry", 9, 20 * time.Millisecond, 12, []int{0, 1, 2}, false, false},
@@ -44,7 +44,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				p := newPoisonSite(t, x.servers, x.fuse)
+				p := newPoisonSite(t, x.servers, x.crashDelay)
 				p.queries, p.sameID = x.queries, x.sameID
 				p.from = time.Now()
 				p.work.Go(func() { p.sendReads(14*time.Second, differentReads) })
@@ -58,16 +58,16 @@
 	}
 }
 
-// check checks that the request was held back. Copies that began before the first end, when nothing could be known, may end a server each; then two more
-// ends tell.
+// checkQuarantined checks that the request was quarantined. Copies that began before the first crash, when nothing
+// could be known, may crash a server each; two more crashes may follow before the request is identified.
 func (r *poisonRuns) checkQuarantined(c *qt.C) {
-	c.Check(r.sendsAfterThirdCrash(time.Second), qt.Equals, 0, qt.Commentf("sends more than a second after its third end"))
+	c.Check(r.sendsAfterThirdCrash(time.Second), qt.Equals, 0, qt.Commentf("sends more than a second after its third crash"))
 	most := r.sendsBeforeFirstCrash() + 2
-	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("%d servers ended, at most %d may", len(r.crashes), most))
+	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("%d servers crashed, at most %d may", len(r.crashes), most))
 }
 
-// Two poison requests at once are told from each other and from the reads beside them.
-func TestTwoRequestsThatEndServersAreHeldBack(t *testing.T) {
+// Two simultaneous poison requests are told apart from each other and from the reads beside them.
+func TestTwoPoisonRequestsAreQuarantined(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -82,13 +82,13 @@
 		p.finish()
 		c.Check(p.poison[poisonPath+"1"].sendsAfterThirdCrash(time.Second), qt.Equals, 0)
 		c.Check(p.poison[poisonPath+"2"].sendsAfterThirdCrash(time.Second), qt.Equals, 0)
-		c.Check(p.crashCount() <= 8, qt.IsTrue, qt.Commentf("%d servers ended", p.crashCount()))
+		c.Check(p.crashCount() <= 8, qt.IsTrue, qt.Commentf("%d servers crashed", p.crashCount()))
 		c.Check(p.shareServed(7, 12) > 0.99, qt.IsTrue, qt.Commentf("%.3f", p.shareServed(7, 12)))
 	})
 }
 
-// In a site of many servers each node hears of the ends in time.
-func TestManyServersAreSpared(t *testing.T) {
+// In a site of many servers each node must receive the crashes in time.
+func TestPoisonRequestIsQuarantinedAmongManyServers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -103,34 +103,36 @@
 	})
 }
 
-// A request that is held back is so after the loss of all nodes, by the store, and at a node that starts while the store is away, by its peers.
-func TestWhatIsHeldBackOutlastsNodes(t *testing.T) {
+// A quarantined request stays quarantined after the loss of all nodes, through the store, and at a node that starts
+// while the store is unavailable, through its peers.
+func TestQuarantineSurvivesLossOfAllNodes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := newPoisonSite(t, 5, 70*time.Millisecond)
 		p.sendPoison(4*time.Second, 10, 0, 1, 2)
-		ended := p.crashCount()
-		c.Assert(ended >= 3, qt.IsTrue)
+		crashes := p.crashCount()
+		c.Assert(crashes >= 3, qt.IsTrue)
 		time.Sleep(4 * time.Second)
 		p.haltAll()
 		time.Sleep(time.Second)
 		p.startAll()
 		time.Sleep(2 * time.Second)
 		p.sendPoison(3*time.Second, 10, 0, 1, 2)
-		c.Check(p.crashCount(), qt.Equals, ended, qt.Commentf("after the loss of all nodes"))
+		c.Check(p.crashCount(), qt.Equals, crashes, qt.Commentf("after the loss of all nodes"))
 		p.store.setDown(true)
 		p.nodes[1].halt()
 		p.start(1)
 		time.Sleep(time.Second)
 		p.sendPoison(3*time.Second, 10, 1)
 		p.finish()
-		c.Check(p.crashCount(), qt.Equals, ended, qt.Commentf("at a node that has started without the store"))
+		c.Check(p.crashCount(), qt.Equals, crashes, qt.Commentf("at a node that has started without the store"))
 	})
 }
 
-// While a zone is cut off, no news crosses; each side holds the request back by what it sees, and they agree when the cut has healed.
-func TestEachSideOfACutHoldsBack(t *testing.T) {
+// During a partition no updates cross it. Each side quarantines the request by its own crashes, and they agree after
+// the partition has healed.
+func TestEachSideOfAPartitionQuarantines(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -138,19 +140,19 @@
 		cut := p.partitionZone("z2")
 		time.Sleep(2 * time.Second)
 		p.sendPoison(6*time.Second, 12, 0, 1, 2)
-		c.Check(p.crashCount() <= 6, qt.IsTrue, qt.Commentf("%d servers ended, three on each side may", p.crashCount()))
-		ended := p.crashCount()
+		c.Check(p.crashCount() <= 6, qt.IsTrue, qt.Commentf("%d servers crashed, three on each side may", p.crashCount()))
+		crashes := p.crashCount()
 		cut.Store(false)
 		time.Sleep(4 * time.Second)
 		p.sendPoison(3*time.Second, 12, 0, 1, 2)
 		p.finish()
-		c.Check(p.crashCount(), qt.Equals, ended)
+		c.Check(p.crashCount(), qt.Equals, crashes)
 	})
 }
 
-// A call of a run may end servers deep down: the root request comes again and makes the call again, with another id. The call is held back, and
-// the server that made it goes on.
-func TestACallThatEndsServersIsHeldBack(t *testing.T) {
+// A call may crash servers deep in the call graph: the root request is retried and makes the call again with another
+// id. The call must be quarantined, and the server that made it must keep running.
+func TestPoisonCallIsQuarantined(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -168,14 +170,15 @@
 	})
 }
 
-// Who looks after the system sees what is held back and why, by any node, and can have it tried again; not so a caller from another VM.
-func TestWhatIsHeldBackIsShownAndLifted(t *testing.T) {
+// Operators can list quarantined requests with their crashes at any node, and lift the quarantine; a caller from
+// another VM can't.
+func TestQuarantineIsListedAndLifted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := newPoisonSite(t, 5, 70*time.Millisecond)
 		p.sendPoison(4*time.Second, 10, 0, 1, 2)
-		ended := p.crashCount()
+		crashes := p.crashCount()
 		time.Sleep(4 * time.Second)
 		n := p.nodes[1]
 		list := n.suspects()
@@ -204,6 +207,6 @@
 		}
 		p.sendPoison(time.Second, 10, 0)
 		p.finish()
-		c.Assert(p.crashCount() > ended, qt.IsTrue, qt.Commentf("it is tried again"))
+		c.Assert(p.crashCount() > crashes, qt.IsTrue, qt.Commentf("it runs again"))
 	})
 }
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -16,26 +16,26 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// The site of these tests has servers of one service in three availability zones, and in each zone a node beside a server of
-// another service where requests come in. Reads take 60 ms, of which 200 come in a second, each for something else.
+// The site of these tests has servers of one service in three availability zones, and in each zone an entry node beside a
+// server of another service, where requests arrive. There are 200 reads a second of 60 ms each, all with different paths.
 const (
 	poisonSlots   = 40
 	poisonEntries = 3
 	readWork      = 60 * time.Millisecond
 	readsPerS     = 200
-	// firstLife is how long a server that ended is away, at least; some take up to a second more.
+	// minRestartDelay is the least time until a crashed server is back; some take up to a second more.
 	minRestartDelay = 2 * time.Second
-	// poisonPath begins the path of each request that ends the servers that run it, popularPath is one that many callers send.
+	// poisonPath is the path prefix of poison requests; popularPath is a path that many callers request.
 	poisonPath  = "/read/poison"
 	popularPath = "/read/popular"
 )
 
-// poisonSite is that site, with what became of its servers.
+// poisonSite is that site, with counts of crashes and served reads.
 type poisonSite struct {
 	*site
-	sameID     bool          // servers come back under the instance that they had
-	queries    bool          // every second poison request has a query, another one each time
-	crashDelay time.Duration // from the begin of a run of the poison request to the end of its server
+	sameID     bool          // servers restart under their old instance name
+	queries    bool          // every second poison request has a query, each a different one
+	crashDelay time.Duration // from the start of a poison run to the crash of its server
 
 	mu     sync.Mutex
 	poison map[string]*poisonRuns // by path
@@ -44,10 +44,10 @@
 	work   sync.WaitGroup
 }
 
-// poisonRuns are the times at which a poison request reached a server, and at which servers ended under it.
+// poisonRuns are the times when a poison request reached a server, and when servers crashed during it.
 type poisonRuns struct{ sent, crashes []time.Time }
 
-// of returns the runs of a poison request; p.mu is held.
+// runsFor returns the runs of a poison request; the caller holds p.mu.
 func (p *poisonSite) runsFor(path string) *poisonRuns {
 	if p.poison[path] == nil {
 		p.poison[path] = &poisonRuns{}
@@ -55,7 +55,7 @@
 	return p.poison[path]
 }
 
-// noteSent and noteEnded note that a poison request reached a server, and that one ended under it.
+// recordSend records that a poison request reached a server.
 func (p *poisonSite) recordSend(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,6 +63,7 @@
 	r.sent = append(r.sent, time.Now())
 }
 
+// recordCrash records that a server crashed during a poison request.
 func (p *poisonSite) recordCrash(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +71,7 @@
 	r.crashes = append(r.crashes, time.Now())
 }
 
-// ends returns how many servers ended under any request.
+// crashCount returns how many servers crashed during any poison request.
 func (p *poisonSite) crashCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,12 +82,12 @@
 	return n
 }
 
-// readCount is what became of the reads that were sent in one second.
+// readCount counts the outcomes of the reads that were sent in one second.
 type readCount struct{ sent, served, refused int }
 
-// newPoisonSite starts the site with some servers of the service.
-func newPoisonSite(t *testing.T, servers int, fuse time.Duration) *poisonSite {
-	p := &poisonSite{site: newMemorySite(t), crashDelay: fuse, poison: map[string]*poisonRuns{}, reads: map[int]*readCount{}, from: time.Now()}
+// newPoisonSite starts the site with the number of servers of the service.
+func newPoisonSite(t *testing.T, servers int, crashDelay time.Duration) *poisonSite {
+	p := &poisonSite{site: newMemorySite(t), crashDelay: crashDelay, poison: map[string]*poisonRuns{}, reads: map[int]*readCount{}, from: time.Now()}
 	p.seeds = []string{p.at(p.base+"1", 2), p.at(p.base+"2", 2), p.at(p.base+"3", 2)}
 	for i := range poisonEntries {
 		p.addFor("e", i, nil)
@@ -101,7 +102,7 @@
 	return p
 }
 
-// addFor adds a node beside a server of the service in one of three zones.
+// addFor adds a node beside a server of the service in one of three zones; serve handles its requests if set.
 func (p *poisonSite) addFor(service string, i int, serve func(*fakeServer, http.ResponseWriter, *http.Request)) {
 	_, f := p.add(service, fmt.Sprint("z", i%3), poisonSlots)
 	p.t.Cleanup(f.ways.CloseIdleConnections)
@@ -110,7 +111,7 @@
 	}
 }
 
-// serve runs one request; the poison request ends the server after a while, answered or not.
+// serve runs one request; a poison request crashes the server after crashDelay, whether or not it was answered.
 func (p *poisonSite) serve(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if path := r.URL.Path; strings.HasPrefix(path, poisonPath) {
@@ -120,15 +121,15 @@
 		if p.crashServer(f, life) {
 			p.recordCrash(path)
 		}
-		cutOff(w) // a server that has ended answers nothing, not even a copy that ran there in the same instant
+		cutOff(w) // a crashed server answers nothing, not even a copy that ran there at the same time
 		return
 	}
 	time.Sleep(around(readWork))
 	fmt.Fprint(w, "ok")
 }
 
-// endServer ends one life of a server, which starts anew under another id after some seconds; it reports whether that life went on
-// until now.
+// crashServer ends the given lifetime of a server, which restarts after some seconds, under a new instance unless
+// sameID is set. It reports whether that lifetime was still running.
 func (p *poisonSite) crashServer(f *fakeServer, life int64) bool {
 	if f.down.Load() || !f.life.CompareAndSwap(life, life+1) {
 		return false
@@ -162,10 +163,10 @@
 	return true
 }
 
-// differentReads gives each read something else to ask for.
+// differentReads returns a different path for each read.
 func differentReads(i int) string { return fmt.Sprint("/read/", i) }
 
-// askReads sends reads to the entry nodes for a time; path gives what each asks for.
+// sendReads sends reads to the entry nodes for the time span; path returns the path of each.
 func (p *poisonSite) sendReads(span time.Duration, path func(i int) string) {
 	for i := range int(span.Seconds() * readsPerS) {
 		p.work.Go(func() {
@@ -190,12 +191,12 @@
 	}
 }
 
-// askPoison sends the poison request so many times a second, for a time, to the entry nodes that are named in turn.
+// sendPoison sends the poison request perS times a second for the time span, to the entry nodes in turn.
 func (p *poisonSite) sendPoison(span time.Duration, perS int, entries ...int) {
 	p.sendPath(poisonPath, span, perS, entries...)
 }
 
-// askFor does the same with the request for a path.
+// sendPath does the same with requests for the path.
 func (p *poisonSite) sendPath(path string, span time.Duration, perS int, entries ...int) {
 	for i := range int(span.Seconds() * float64(perS)) {
 		p.work.Go(func() {
@@ -209,7 +210,7 @@
 	}
 }
 
-// finish waits for all that was asked and tells what became of it by second.
+// finish waits for all requests and logs the outcomes by second.
 func (p *poisonSite) finish() {
 	p.work.Wait()
 	var line strings.Builder
@@ -222,12 +223,12 @@
 		}
 	}
 	for path, r := range p.poison {
-		p.t.Logf("%s: %d servers ended, %d sends", path, len(r.crashes), len(r.sent))
+		p.t.Logf("%s: %d servers crashed, %d sends", path, len(r.crashes), len(r.sent))
 	}
 	p.t.Logf("reads served by second:%s", line.String())
 }
 
-// sharesServed returns what part of the reads of some seconds was served.
+// shareServed returns the share of the reads sent in seconds from to to-1 that were served.
 func (p *poisonSite) shareServed(from, to int) float64 {
 	var all readCount
 	for s := from; s < to; s++ {
@@ -239,7 +240,8 @@
 	return float64(all.served) / float64(max(all.sent, 1))
 }
 
-// cutZone cuts a zone off from the others for as long as the value is true; it closes what is open between them.
+// partitionZone partitions a zone from the others while the returned value is true, and closes the open connections
+// between them.
 func (p *poisonSite) partitionZone(zone string) *atomic.Bool {
 	zones := map[string]string{}
 	for _, f := range p.servers {
@@ -266,7 +268,7 @@
 	return cut
 }
 
-// sendsBeforeFirstEnd counts the times that the request reached a server before any ended.
+// sendsBeforeFirstCrash counts the times that the request reached a server before the first crash.
 func (r *poisonRuns) sendsBeforeFirstCrash() int {
 	n := 0
 	for _, at := range r.sent {
@@ -277,14 +279,14 @@
 	return n
 }
 
-// sendsAfterThirdEnd counts the times that the request reached a server later than some time after its third end.
-func (r *poisonRuns) sendsAfterThirdCrash(late time.Duration) int {
+// sendsAfterThirdCrash counts the times that the request reached a server more than delay after the third crash.
+func (r *poisonRuns) sendsAfterThirdCrash(delay time.Duration) int {
 	if len(r.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range r.sent {
-		if at.After(r.crashes[2].Add(late)) {
+		if at.After(r.crashes[2].Add(delay)) {
 			n++
 		}
 	}
--- a/pkg/mesh/popular_request_test.go
+++ b/pkg/mesh/popular_request_test.go
@@ -9,8 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The log of a site whose servers end tells which request ran in all of them. A read is sent twice at the most, so that it can have run in two.
-func TestTheLogTellsWhichRequestRanInEachServerThatEnded(t *testing.T) {
+// The logged runs of all crashes have exactly one request in common, the poison request. A read is sent at most twice,
+// so it can have run at no more than two servers.
+func TestLogShowsTheRequestCommonToAllCrashes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -22,34 +23,34 @@
 		time.Sleep(time.Second)
 		p.sendPoison(3*time.Second, 2, 0)
 		p.finish()
-		ends := 0
-		within := map[string]int{}
+		crashes := 0
+		runsByFingerprint := map[string]int{}
 		for _, l := range log.lines(c) {
-			if l.Msg != "call: server ended" {
+			if l.Msg != "call: backend server crashed" {
 				continue
 			}
-			ends++
+			crashes++
 			for _, r := range l.Fields["under"].([]any) {
-				within[r.(map[string]any)["fingerprint"].(string)]++
+				runsByFingerprint[r.(map[string]any)["fingerprint"].(string)]++
 			}
 		}
-		c.Assert(ends, qt.Equals, p.crashCount())
-		c.Assert(ends >= 3, qt.IsTrue, qt.Commentf("%d ends", ends))
+		c.Assert(crashes, qt.Equals, p.crashCount())
+		c.Assert(crashes >= 3, qt.IsTrue, qt.Commentf("%d crashes", crashes))
 		inAll := 0
-		for _, n := range within {
-			if n == ends {
+		for _, n := range runsByFingerprint {
+			if n == crashes {
 				inAll++
 			}
 		}
-		c.Assert(inAll, qt.Equals, 1, qt.Commentf("requests that ran in all %d servers that ended", ends))
+		c.Assert(inAll, qt.Equals, 1, qt.Commentf("requests that ran in all %d servers that crashed", crashes))
 	})
 }
 
-// Servers that end for another reason, under a read that many callers send, are no reason to hold it back: five of nine end
-// at once, twice, and nearly all reads are served, whether all ask for the same or a half.
-func TestAPopularRequestIsServedWhileServersEnd(t *testing.T) {
+// Crashes for other reasons during a read that many callers send must not quarantine it. Five of nine servers crash at
+// once, twice, and nearly all reads are served, whether all of them or half of them have the same path.
+func TestPopularRequestIsServedWhileServersCrash(t *testing.T) {
 	t.Parallel()
-	for name, popular := range map[string]int{"all ask for it": 1, "every second one asks for it": 2} {
+	for name, popular := range map[string]int{"all reads request it": 1, "every second read requests it": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
--- a/pkg/mesh/quarantine_handler.go
+++ b/pkg/mesh/quarantine_handler.go
@@ -10,18 +10,18 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// QuarantinePath is where a node's metrics listener lists the requests under which servers ended, and takes the word to lift one (DELETE, with the id of
-// an attempt or a fingerprint behind it).
+// QuarantinePath is where a node's metrics listener lists the requests during whose runs servers crashed (GET), and
+// lifts one (DELETE, followed by an attempt id or a fingerprint).
 const QuarantinePath = "/held-back/"
 
-// Suspect is a request under which servers ended, for who looks after the system.
+// Suspect is a request during whose runs servers crashed, as shown to operators.
 type Suspect struct {
 	poison.Case
 	Treatment string        `json:"treatment"`
-	TimeLeft  time.Duration `json:"for_ns"` // how much longer it is held back
+	TimeLeft  time.Duration `json:"for_ns"` // how much longer it is quarantined
 }
 
-// suspects returns all of them.
+// suspects returns all suspects.
 func (n *Node) suspects() []Suspect {
 	now := n.clock.Now()
 	list := []Suspect{}
@@ -32,7 +32,7 @@
 	return list
 }
 
-// heldBackHandler serves HeldBackPath.
+// quarantineHandler returns the handler of QuarantinePath.
 func (n *Node) quarantineHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, QuarantinePath)
@@ -42,22 +42,23 @@
 		case r.Method != http.MethodDelete || name == "":
 			http.Error(w, "GET "+QuarantinePath+" or DELETE "+QuarantinePath+"NAME", http.StatusMethodNotAllowed)
 		case !n.fromThisVM(r):
-			// Else a caller could have its own request tried again.
-			http.Error(w, "a request is lifted from the VM of a node", http.StatusForbidden)
+			// Otherwise a caller could lift the quarantine of its own request.
+			http.Error(w, "requests can be lifted only from the VM of a node", http.StatusForbidden)
 		default:
 			n.lift(w, name)
 		}
 	})
 }
 
+// writeSuspects writes the list as JSON.
 func (n *Node) writeSuspects(w http.ResponseWriter, list []Suspect) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		n.controlLog.Debug("list of suspects broke off", "err", err)
+		n.controlLog.Debug("writing the suspect list failed", "err", err)
 	}
 }
 
-// fromThisVM tells whether a call comes from the VM of this node.
+// fromThisVM reports whether a call comes from the VM of this node.
 func (n *Node) fromThisVM(r *http.Request) bool {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return host == n.ip || net.ParseIP(host).IsLoopback()
 }
 
-// lift has a request go anywhere again, at all nodes.
+// lift clears a request at all nodes, so that any server may run it again. name is an attempt id or a fingerprint.
 func (n *Node) lift(w http.ResponseWriter, name string) {
 	now := n.clock.Now()
 	lifted := n.poison.Lift(now, name)
@@ -74,7 +75,7 @@
 		http.Error(w, "no such request is under suspicion", http.StatusNotFound)
 		return
 	}
-	n.controlLog.Warn("held back request lifted", "request", name, "cases", len(lifted))
+	n.controlLog.Warn("quarantine lifted", "request", name, "cases", len(lifted))
 	n.do(func() {
 		for _, c := range lifted {
 			n.control.suspects.addCleared(now, c)
--- a/pkg/mesh/recall_learned.go
+++ b/pkg/mesh/recall_learned.go
@@ -78,7 +78,7 @@
 			n.stats.recall(l.Calls)
 		}
 		taken := n.control.kept.Recall(now, l.Service, l.Runs())
-		n.control.judged.restore(now, l)
+		n.control.judged.recall(now, l)
 		if taken > 0 {
 			n.control.demand.Recall(l.Asked)
 		}
--- a/pkg/mesh/request.go
+++ b/pkg/mesh/request.go
@@ -12,7 +12,7 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// request is one attempt of a client, or a call of a backend server, on its way through this node.
+// request is one attempt of a client, or a call of a backend server, that this node handles.
 type request struct {
 	peerCall
 	id             string
@@ -21,17 +21,17 @@
 	host           string
 	header         http.Header // end-to-end headers
 	body           []byte
-	stream         io.Reader // a body too long to be held; it can be sent once
-	streamHead     []byte    // the first part of stream
-	streamLength   int64     // of stream; -1 if it isn't known
-	deadline       time.Time // when the answer is due at the latest
+	stream         io.Reader // a body too long to buffer; it can be sent once
+	streamHead     []byte    // buffered start of stream
+	streamLength   int64     // of stream in bytes; -1 if unknown
+	deadline       time.Time // latest time for the answer
 	cachedIdentity lazyIdentity
-	team           *desired.Team // whose request it is; nil: nobody's
-	// clientDeadline is when the client gives up; the route may set an earlier deadline.
+	team           *desired.Team // nil: the request belongs to no team
+	// clientDeadline is when the client gives up; the route's timeout may set an earlier deadline.
 	clientDeadline time.Time
 }
 
-// teamPriority returns the priority of the team whose request it is.
+// teamPriority returns the priority of the request's team, or 0 if it has none.
 func (q *request) teamPriority() int {
 	if q.team == nil {
 		return 0
@@ -39,27 +39,28 @@
 	return q.team.Priority
 }
 
-// kind returns under which name the request is counted and planned for.
+// kind returns the name of the request's kind, under which it is counted and planned for.
 func (q *request) kind() string { return loads.Kind(q.Route, q.teamPriority()) }
 
-// bodyError says why a body can't be read.
+// bodyError reports a request body that can't be read, with the HTTP status to answer.
 type bodyError struct {
 	status int
 	cause  error
 }
 
-// Error names the cause.
-func (e *bodyError) Error() string { return "body can't be read: " + e.cause.Error() }
+// Error returns the cause.
+func (e *bodyError) Error() string { return "cannot read request body: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *bodyError) Unwrap() error { return e.cause }
 
-// readBody takes a short body whole and leaves a long one to be streamed.
-func (q *request) readBody(r *http.Request, most int64) error {
+// readBody buffers a short body and leaves a long one as a stream. maxBytes bounds the declared length, 0 for no bound.
+// The error is a *bodyError.
+func (q *request) readBody(r *http.Request, maxBytes int64) error {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil
 	}
-	if most > 0 && r.ContentLength > most {
+	if maxBytes > 0 && r.ContentLength > maxBytes {
 		return &bodyError{http.StatusRequestEntityTooLarge, http.ErrBodyNotAllowed}
 	}
 	head, err := io.ReadAll(io.LimitReader(r.Body, bufferedBody+1))
@@ -76,12 +77,12 @@
 	return nil
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders apply to a single connection and aren't forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// endToEndHeaders returns the headers without those of one connection and those of the nodes.
+// endToEndHeaders returns a copy of the headers without hop-by-hop headers and without those that nodes exchange.
 func endToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// parseMillis returns a header's number of milliseconds, or 0.
+// parseMillis parses a header's number of milliseconds; it returns 0 if the value isn't a positive number.
 func parseMillis(v string) time.Duration {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n <= 0 {
--- a/pkg/mesh/retry_budget.go
+++ b/pkg/mesh/retry_budget.go
@@ -2,23 +2,24 @@
 
 import "github.com/rockspoke/rockspoke/pkg/settings"
 
-// soundShare is the share of good answers of the best server of a service below which its failures are
-// taken for those of something that they share, so that another server would fail as well.
+// minHealthyShare is the success share of a service's best server below which failures are attributed to a shared
+// cause, so that another server would fail as well.
 const minHealthyShare = 0.8
 
-// worthAnother tells whether a request that one server failed has a chance at another one.
+// anotherServerMayHelp reports whether a request that one server failed could succeed at another one.
 func (n *Node) anotherServerMayHelp(q *request) bool {
 	p := n.plan.Load()
 	if p == nil || p.runs[q.Route][q.Service] == 0 {
-		return false // what a repeat costs below isn't known
+		return false // the cost of a retry to the services it calls isn't known
 	}
-	if s, held := p.shares[q.kind()]; held && s.Fresh < 1 {
+	if s, limited := p.shares[q.kind()]; limited && s.Fresh < 1 {
 		return false
 	}
-	return newBaseline(n.clock.Now(), n.view.Load().services[q.Service], n.comparisonOptions()).success >= minHealthyShare
+	return newBaseline(n.clock.Now(), n.view.Load().services[q.Service], n.comparisonSettings()).success >= minHealthyShare
 }
 
-// mayRepeat tells whether the budget lets a request reach one more server, and pays for it.
+// spendRetryBudget reports whether the retry budget lets a request reach one more server, and takes its cost from the
+// budget.
 func (n *Node) spendRetryBudget(q *request) bool {
 	if n.off[settings.Repeats] {
 		return false
@@ -35,7 +36,7 @@
 	return ok
 }
 
-// earnRepeats notes a request that a server is about to get for the first time.
+// earnRetryBudget adds to the retry budget for a request that is about to be sent for the first time.
 func (n *Node) earnRetryBudget(q *request) {
 	runs := n.expectedRuns(q)
 	n.budgetMu.Lock()
@@ -43,7 +44,8 @@
 	n.budget.Earn(n.clock.Now(), q.Service, runs)
 }
 
-// runsOf returns the runs by service that a request causes, as far as they are known.
+// expectedRuns returns the runs by service that a request causes, as far as is known; otherwise one run at its own
+// service.
 func (n *Node) expectedRuns(q *request) map[string]float64 {
 	if p := n.plan.Load(); p != nil {
 		if runs := p.runs[q.Route]; runs[q.Service] > 0 {
@@ -53,19 +55,19 @@
 	return map[string]float64{q.Service: 1}
 }
 
-// The constants of the repeat budget.
+// Constants of the retry budget.
 const (
-	// repeatRatioShare of the operator's ratio is earned at the service itself; a request may be repeated
-	// at several levels above a service, and all of it adds up there. With callers at two more levels the shares come to 0.85;
-	// the rest is for demand that ends within a window.
+	// retryRatioShare is the share of the operator's ratio that is earned at the service itself. A request may be
+	// retried at several levels above a service, and all these retries add up there: with callers at two more levels
+	// the shares come to 0.85. The rest covers demand that ends within a window.
 	retryRatioShare = 0.45
-	// repeatBelowShare of the ratio is earned for the services that the request's calls run on.
+	// retryBelowShare is the share of the ratio that is earned for the services that the request's calls run on.
 	retryBelowShare = 0.2
-	// repeatBurstShare of the operator's slack is shared out to the nodes.
+	// retryBurstShare is the share of the operator's slack that is divided among the nodes.
 	retryBurstShare = 0.4
 )
 
-// tuneBudget shares the operator's bounds of repeats out to the nodes that are known.
+// updateRetryBudget divides the operator's retry bounds among the known nodes.
 func (n *Node) updateRetryBudget() {
 	nodes := max(n.nodes.Load(), 1)
 	n.budgetMu.Lock()
--- a/pkg/mesh/server_crash.go
+++ b/pkg/mesh/server_crash.go
@@ -14,69 +14,70 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The constants by which it is told whether a backend server has ended.
+// Constants of the check whether a backend server has crashed.
 const (
-	// endLooks is how often a server is looked for after a run broke off, endWait apart: a process that ends loses its listener and
-	// its connections one after the other, within some milliseconds.
+	// maxCrashChecks is how often a server is checked after the connection of a run broke, crashCheckInterval apart. A process
+	// that exits loses its listener and its connections one after the other, within some milliseconds.
 	maxCrashChecks     = 4
 	crashCheckInterval = 10 * time.Millisecond
-	// listensLooks is how often it has to be found listening to be taken for well while no run shows that.
+	// listeningChecks is how often the server has to be found listening to count as running while no run in progress
+	// shows it.
 	listeningChecks = 2
-	// shownRuns bounds the runs that a line about the end of a server lists.
+	// maxLoggedRuns bounds the runs that the log line about a crash lists.
 	maxLoggedRuns = 64
 )
 
 // serverRun is one run of a request at the backend server on this VM.
 type serverRun struct {
 	q        *request
-	lifetime string // of the server, by its name
-	begun    time.Time
+	lifetime string // of the server, by name
+	started  time.Time
 }
 
-// serverEnd is a run that broke off, or several at once, and what it came from.
+// crashCheck is a check for a crash after the connection of one run broke, or of several at once.
 type crashCheck struct {
-	firstBroken time.Time     // when the first run broke off
-	done        chan struct{} // closed when it is known whether the server has ended
+	firstBroken time.Time     // when the first connection broke
+	done        chan struct{} // closed when the result is known
 }
 
-// serverRuns are the runs at the backend server on this VM; its zero value has none.
+// serverRuns tracks the runs at the backend server on this VM; its zero value has none.
 type serverRuns struct {
 	mu        sync.Mutex
 	running   map[*serverRun]struct{}
 	broken    []*serverRun
-	checking  *crashCheck     // nil: no run has just broken off
-	lastCrash crashedLifetime // the last one that ended
+	checking  *crashCheck     // nil: no check is in progress
+	lastCrash crashedLifetime // the last lifetime that crashed
 }
 
-// endedLife is a life of the server that has ended; its zero value is none.
+// crashedLifetime is a lifetime of the server that ended in a crash; its zero value is none.
 type crashedLifetime struct {
 	lifetime    string
-	firstBroken time.Time // when the first run broke off there: it had ended by then
-	confirmed   time.Time // when nobody listened yet: by then the next life hadn't begun
+	firstBroken time.Time // when its first connection broke; the server had crashed by then
+	confirmed   time.Time // when the server was found not listening; the next lifetime hadn't begun by then
 }
 
-// under tells how a run that broke off stands to the end.
+// relationTo returns when a run whose connection broke had started, relative to the crash.
 func (e crashedLifetime) relationTo(r *serverRun) crashRelation {
 	switch {
-	case e.lifetime == "" || e.lifetime != r.lifetime || r.begun.After(e.confirmed):
+	case e.lifetime == "" || e.lifetime != r.lifetime || r.started.After(e.confirmed):
 		return noCrash
-	case r.begun.Before(e.firstBroken):
+	case r.started.Before(e.firstBroken):
 		return startedBeforeCrash
 	default:
 		return startedAfterCrash
 	}
 }
 
-// endRelation is when a run began that broke off.
+// crashRelation is when a run whose connection broke had started, relative to a crash.
 type crashRelation uint8
 
 const (
-	noCrash            crashRelation = iota // the server goes on, or the next life may have taken it: it may have run
-	startedBeforeCrash                      // the server ended under it
-	startedAfterCrash                       // the server had ended and the next life hadn't begun: nobody took it
+	noCrash            crashRelation = iota // the server is still running, or the next lifetime may have received the run: it may have run
+	startedBeforeCrash                      // the server crashed during the run
+	startedAfterCrash                       // the server had crashed and the next lifetime hadn't begun: the run never reached a server
 )
 
-// begin notes a run that is about to be sent.
+// begin adds a run that is about to be sent.
 func (s *serverRuns) begin(r *serverRun) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,21 +87,22 @@
 	s.running[r] = struct{}{}
 }
 
-// end forgets a run that was answered or whose caller has gone.
+// end removes a run that was answered or whose caller has gone.
 func (s *serverRuns) end(r *serverRun) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.running, r)
 }
 
-// lastEnded returns the last life that ended.
+// lastCrashed returns the last lifetime that crashed.
 func (s *serverRuns) lastCrashed() crashedLifetime {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastCrash
 }
 
-// breakOff notes a run whose connection broke; it reports whether nobody looks for the server yet.
+// addBroken moves a run whose connection broke to the crash check in progress, or starts a check; first reports whether
+// it did, so that the caller has to do the check.
 func (s *serverRuns) addBroken(now time.Time, r *serverRun) (e *crashCheck, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,32 +115,34 @@
 	return s.checking, true
 }
 
-// goesOn tells whether a run that began before the time is still in progress.
+// hasRunFromBefore reports whether a run that began before the time is still in progress.
 func (s *serverRuns) hasRunFromBefore(before time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r := range s.running {
-		if r.begun.Before(before) {
+		if r.started.Before(before) {
 			return true
 		}
 	}
 	return false
 }
 
-// judge ends the judgement; it returns the runs that broke off meanwhile, but for those that began when the first one had broken off: of five servers that
-// ended together, under a popular request, some were found out 10 ms later, and took those who came on from the others.
-func (s *serverRuns) finishCheck(now time.Time, life string, ended bool) []*serverRun {
+// finishCheck ends the crash check. It returns the runs whose connections broke meanwhile, except for those that began
+// after the first one had broken: when five servers crashed together under a popular request, some crashes were
+// detected 10 ms late, and these servers meanwhile got requests from the others.
+func (s *serverRuns) finishCheck(now time.Time, lifetime string, crashed bool) []*serverRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from, broken := s.checking.firstBroken, s.broken
+	firstBroken, broken := s.checking.firstBroken, s.broken
 	s.checking, s.broken = nil, nil
-	if ended {
-		s.lastCrash = crashedLifetime{lifetime: life, firstBroken: from, confirmed: now}
+	if crashed {
+		s.lastCrash = crashedLifetime{lifetime: lifetime, firstBroken: firstBroken, confirmed: now}
 	}
-	return slices.DeleteFunc(broken, func(r *serverRun) bool { return !r.begun.Before(from) })
+	return slices.DeleteFunc(broken, func(r *serverRun) bool { return !r.started.Before(firstBroken) })
 }
 
-// brokeOff judges a run whose connection broke, once it is known whether the backend server has ended.
+// resolveBrokenRun returns the answer to a run whose connection broke, once it is known whether the backend server has
+// crashed.
 func (b *backend) resolveBrokenRun(r *serverRun, a *answer) *answer {
 	if b.runs.lastCrashed().relationTo(r) != noCrash {
 		b.runs.end(r)
@@ -146,18 +150,19 @@
 	}
 	e, first := b.runs.addBroken(b.n.clock.Now(), r)
 	if first {
-		ended := b.hasCrashed()
-		b.n.setNotListening(ended)
-		b.reportCrash(r.lifetime, ended, b.runs.finishCheck(b.n.clock.Now(), r.lifetime, ended))
-		close(e.done) // now that a copy of the guilty request that is sent on is known for one
+		crashed := b.hasCrashed()
+		b.n.setNotListening(crashed)
+		b.reportCrash(r.lifetime, crashed, b.runs.finishCheck(b.n.clock.Now(), r.lifetime, crashed))
+		close(e.done) // by now a retried copy of the poison request is recognized as a suspect
 	} else {
 		<-e.done
 	}
 	return b.brokenRunAnswer(r, a)
 }
 
-// endedUnder returns the answer to a run that broke off: with the server that ended under it, or that it hasn't run. That is said only of what was sent while
-// nobody was there: the next life may come under the same name, and what it lost may have run.
+// brokenRunAnswer returns the answer to a run whose connection broke: with the lifetime that crashed during it, or that
+// it hasn't run. The latter holds only for what was sent while no server was listening: the next lifetime may have the
+// same name, and the runs that it lost may have run.
 func (b *backend) brokenRunAnswer(r *serverRun, a *answer) *answer {
 	switch b.runs.lastCrashed().relationTo(r) {
 	case startedAfterCrash:
@@ -170,35 +175,36 @@
 	return a
 }
 
-// noteAway notes whether nobody is there beside this node.
+// setNotListening records whether the backend server on this VM isn't listening.
 func (n *Node) setNotListening(away bool) {
 	if n.away.Swap(away) != away {
 		own := n.view.Load().own
-		n.callLog.Warn("own server", "away", away, "instance", own.Instance)
+		n.callLog.Warn("local backend server listening state changed", "away", away, "instance", own.Instance)
 		if away {
 			n.peer(n.ip).serverEnded(n.clock.Now(), own.LifeName())
 		}
 	}
 }
 
-// announced tells whether the server had said that it leaves: its end is no surprise then.
+// stopAnnounced reports whether the server had announced its stop; its exit is then expected.
 func (b *backend) stopAnnounced() bool { return b.n.view.Load().own.Phase != directory.Serving }
 
-// hasEnded looks for the server. It has ended if nobody listens at its address any more and no run goes on: a server that
-// resets a connection, or all, takes a new one, and one that takes no more connections goes on with its runs. Who ends for
-// another reason than its server's end (a link, the client, this node) doesn't come here, or meets a server that listens.
+// hasCrashed checks whether the server has crashed: nothing listens at its address any more and no run is in progress.
+// A server that resets one or all connections still accepts a new one, and a server that accepts no more connections
+// still completes its runs. Runs that end for another reason than a crash (the network, the client, this node) aren't
+// checked, or the server is found listening.
 func (b *backend) hasCrashed() bool {
-	broke := b.n.clock.Now()
-	listens := 0
+	checkStart := b.n.clock.Now()
+	listening := 0
 	for range maxCrashChecks {
-		refused, goesOn := b.refusesConnections(), b.runs.hasRunFromBefore(broke)
-		if refused && !goesOn {
+		refused, running := b.refusesConnections(), b.runs.hasRunFromBefore(checkStart)
+		if refused && !running {
 			return true
 		}
 		if !refused {
-			listens++
+			listening++
 		}
-		if listens == listeningChecks || listens > 0 && goesOn {
+		if listening == listeningChecks || listening > 0 && running {
 			return false
 		}
 		clock.Sleep(context.Background(), crashCheckInterval)
@@ -206,48 +212,49 @@
 	return false
 }
 
-// refusesConnections tells whether nobody listens at the server's address.
+// refusesConnections reports whether nothing listens at the server's address.
 func (b *backend) refusesConnections() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), backendDialTime)
 	defer cancel()
 	conn, err := b.pool.Dial(ctx)
 	if err == nil {
-		_ = conn.Close() // it has shown what it was made for
+		_ = conn.Close() // only whether it opens matters
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// noteEnd takes note that the server has ended, and under which runs, and has it told to all nodes.
-func (b *backend) reportCrash(life string, ended bool, broken []*serverRun) {
-	if !ended || b.stopAnnounced() || len(broken) == 0 {
-		b.n.callLog.Debug("server goes on, or had said that it leaves", "instance", life, "broken", len(broken))
+// reportCrash records a crash of the server and the runs during it, and reports it to the other nodes. It does nothing
+// if the server didn't crash or had announced its stop.
+func (b *backend) reportCrash(lifetime string, crashed bool, broken []*serverRun) {
+	if !crashed || b.stopAnnounced() || len(broken) == 0 {
+		b.n.callLog.Debug("backend server did not crash or had announced its stop", "instance", lifetime, "broken", len(broken))
 		return
 	}
 	now := b.n.clock.Now()
-	e := poison.End{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: life}, Service: broken[0].q.Service}
+	e := poison.End{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: lifetime}, Service: broken[0].q.Service}
 	for _, r := range broken {
 		e.Runs = append(e.Runs, poison.Run{
 			Identity: r.q.identity(), Stages: r.q.Stages, Sound: b.recentGoodRuns.Of(now, r.q.fingerprintInput()), Route: r.q.Route, Request: r.q.id,
 		})
 	}
 	if !b.n.poison.TakeEnd(now, e) {
-		return // a run that was sent to the same life after its end
+		return // a run that was sent to the same lifetime after its crash
 	}
 	b.n.metrics.count("server_ends_total")
-	b.n.callLog.Warn("server ended", "instance", life, "runs", len(broken), "under", loggedRuns(now, broken, e))
+	b.n.callLog.Warn("backend server crashed", "instance", lifetime, "runs", len(broken), "under", loggedRuns(now, broken, e))
 	b.n.do(func() { b.n.reportServerCrash(e) })
 }
 
-// shownRunsOf returns the runs as the log shows them.
+// loggedRuns returns the first runs as the log shows them.
 func loggedRuns(now time.Time, broken []*serverRun, e poison.End) []loggedRun {
-	shown := make([]loggedRun, 0, min(len(broken), maxLoggedRuns))
+	logged := make([]loggedRun, 0, min(len(broken), maxLoggedRuns))
 	for i, r := range broken[:min(len(broken), maxLoggedRuns)] {
-		shown = append(shown, loggedRun{r.q.id, e.Runs[i].Identity.Widest().String(), now.Sub(r.begun).Milliseconds()})
+		logged = append(logged, loggedRun{r.q.id, e.Runs[i].Identity.Widest().String(), now.Sub(r.started).Milliseconds()})
 	}
-	return shown
+	return logged
 }
 
-// shownRun is a run as the log shows it.
+// loggedRun is a run as the log shows it.
 type loggedRun struct {
 	Request     string `json:"request"`
 	Fingerprint string `json:"fingerprint"`
--- a/pkg/mesh/server_crash_test.go
+++ b/pkg/mesh/server_crash_test.go
@@ -7,16 +7,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// 'Not run' is said only of what was sent when the server had ended and nobody listened yet. The next life may come under the same name: what was sent to it
-// and broke off may have run.
-func TestWhatWasSentToAServerThatHadEnded(t *testing.T) {
+// A run is reported as not run only if it was sent after the server had crashed and before the next lifetime was
+// listening. The next lifetime may have the same name, and what was sent to it before its connection broke may have
+// run.
+func TestRunsSentAfterACrashAreNotRunUntilNextLifetime(t *testing.T) {
 	c := qt.New(t)
-	from := time.Unix(1000, 0)
-	e := crashedLifetime{lifetime: "a/1", firstBroken: from, confirmed: from.Add(20 * time.Millisecond)}
+	firstBroken := time.Unix(1000, 0)
+	e := crashedLifetime{lifetime: "a/1", firstBroken: firstBroken, confirmed: firstBroken.Add(20 * time.Millisecond)}
 	for _, x := range []struct {
-		life  string
-		begun time.Duration
-		want  crashRelation
+		lifetime string
+		started  time.Duration
+		want     crashRelation
 	}{
 		{"a/1", -time.Millisecond, startedBeforeCrash},
 		{"a/1", 0, startedAfterCrash},
@@ -24,7 +25,7 @@
 		{"a/1", 21 * time.Millisecond, noCrash},
 		{"a/2", -time.Millisecond, noCrash},
 	} {
-		c.Check(e.relationTo(&serverRun{lifetime: x.life, begun: from.Add(x.begun)}), qt.Equals, x.want, qt.Commentf("%+v", x))
+		c.Check(e.relationTo(&serverRun{lifetime: x.lifetime, started: firstBroken.Add(x.started)}), qt.Equals, x.want, qt.Commentf("%+v", x))
 	}
-	c.Check(crashedLifetime{}.relationTo(&serverRun{begun: from}), qt.Equals, noCrash)
+	c.Check(crashedLifetime{}.relationTo(&serverRun{started: firstBroken}), qt.Equals, noCrash)
 }
--- a/pkg/mesh/store_quarantined.go
+++ b/pkg/mesh/store_quarantined.go
@@ -8,53 +8,56 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// keepHeldPeriod is the time between looks at whether what is held back has changed since it was stored. Other nodes know it within some hundredths of
-// a second; the store is for the loss of all nodes, after which three more servers would end before the same request is held back again.
+// storeQuarantinePeriod is the mean time between checks whether the quarantined requests have changed since they were
+// stored. Other nodes know them within some hundredths of a second. The store is for the loss of all nodes, after which
+// three more servers would crash before the same request is quarantined again.
 const storeQuarantinePeriod = time.Second
 
-// Quarantined is what is held back of the requests for one service.
+// Quarantined holds the cases of quarantined requests for one service.
 type Quarantined struct {
 	Service string        `json:"service"`
 	Cases   []poison.Case `json:"cases"`
 }
 
-// keepHeld stores what is held back of the requests for the own service, from one of its nodes.
+// storeQuarantined stores the quarantined requests of this node's service whenever they change; one node of the service
+// does it.
 func (n *Node) storeQuarantined(ctx context.Context) {
 	var stored uint64
 	var era int64
 	for clock.Sleep(ctx, jitter(storeQuarantinePeriod)) {
 		if n.era.left(&era) {
-			stored = 0 // what was written may be lost
+			stored = 0 // the store may have lost what was written
 		}
-		held := n.quarantinedOf(n.cfg.Service)
-		digest := digestOfCases(held)
+		cases := n.quarantinedOf(n.cfg.Service)
+		digest := digestOfCases(cases)
 		if digest == stored || !n.storesForService() {
 			continue
 		}
 		err := n.callStore(ctx, n.storeWatch.try(), writeHeldCall, storeCallTime, func(ctx context.Context) error {
-			return n.store.WriteHeld(ctx, Quarantined{Service: n.cfg.Service, Cases: held})
+			return n.store.WriteHeld(ctx, Quarantined{Service: n.cfg.Service, Cases: cases})
 		})
 		if err != nil {
-			n.controlLog.Warn("what is held back isn't stored", "err", err)
+			n.controlLog.Warn("storing quarantined requests failed", "err", err)
 			continue
 		}
 		stored = digest
-		n.controlLog.Info("what is held back is stored", "requests", len(held))
+		n.controlLog.Info("quarantined requests stored", "requests", len(cases))
 	}
 }
 
-// heldOf returns the cases of a service that are held back.
+// quarantinedOf returns the quarantined cases of a service.
 func (n *Node) quarantinedOf(service string) []poison.Case {
-	var held []poison.Case
+	var cases []poison.Case
 	for _, c := range n.poison.Held(n.clock.Now()) {
 		if c.Service == service {
-			held = append(held, c)
+			cases = append(cases, c)
 		}
 	}
-	return held
+	return cases
 }
 
-// recallHeld takes what the store kept: how long ago the node that wrote it knows, not this one, so the time starts as it was written.
+// restoreQuarantined applies the stored quarantined requests. Only the node that wrote them knows how long ago that
+// was, so their ages start as written.
 func (n *Node) restoreQuarantined(all []Quarantined) {
 	now := n.clock.Now()
 	for _, h := range all {
--- a/pkg/mesh/suspect_trial.go
+++ b/pkg/mesh/suspect_trial.go
@@ -10,23 +10,23 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The times of suspects that are tried one at a time.
+// Times of suspects that are tried one at a time.
 const (
-	// trialWait is how long one waits for another one's run to end. Most runs end well within it, and the copies of a popular request that
-	// wait are free then.
+	// trialWait is how long a suspect waits for another suspect's run to end. Most runs end well within it, and then
+	// the waiting copies of a popular request are cleared.
 	trialWait = 300 * time.Millisecond
-	// suspectPause is when one that has waited so long is told to come back.
+	// suspectRetryDelay is the retry delay given to a suspect that has waited that long.
 	suspectRetryDelay = 300 * time.Millisecond
 )
 
 // trial is held by the suspect that is tried alone at the server on this VM; its zero value is free.
-type suspectTrial struct {
+type trial struct {
 	mu   sync.Mutex
-	done chan struct{} // closed when the one in progress ends; nil: there is none
+	done chan struct{} // closed when the trial in progress ends; nil: none is in progress
 }
 
-// begin takes the trial; it returns nil, or a channel that is closed when the one in progress ends.
-func (t *suspectTrial) begin() <-chan struct{} {
+// begin starts a trial and returns nil, or returns a channel that is closed when the trial in progress ends.
+func (t *trial) begin() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.done != nil {
@@ -36,52 +36,55 @@
 	return nil
 }
 
-// end gives it back.
-func (t *suspectTrial) end() {
+// end ends the trial in progress.
+func (t *trial) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	close(t.done)
 	t.done = nil
 }
 
-// tryAtServer lets a request pass to the server on this VM: not one that is held back, and of suspects that are tried alone one at a time. It
-// returns the answer to one that may not pass; done must be called when the run has ended.
+// awaitTrialTurn waits until a request may go to the server on this VM: quarantined requests may not, and suspects that
+// are tried alone go one at a time. It returns a refusal for a request that may not go on; done must be called when the
+// run has ended.
 func (b *backend) awaitTrialTurn(ctx context.Context, q *request) (done func(), a *answer) {
 	if !q.Stages.Any() && !b.n.poison.Any() || b.n.off[settings.HeldBack] {
 		return func() {}, nil
 	}
 	wait := time.NewTimer(trialWait)
 	defer wait.Stop()
-	// The sender may have heard of an end that is news here: two copies that came just then ran side by side. Whoever has waited goes by what is known here, which
-	// the run that it waited for has settled. Of what has ended well here of late the sender's word counts for nothing.
-	told := q.Stages.Without(b.recentGoodRuns.Of(b.n.clock.Now(), q.fingerprintInput()))
+	// The sender may know of a crash that isn't known here yet; without its stages two copies that came at that moment ran
+	// side by side. A request that has waited goes by the local stages, which the run that it waited for has updated. The
+	// sender's stages don't count for requests that were recently successful here.
+	senderStages := q.Stages.Without(b.recentGoodRuns.Of(b.n.clock.Now(), q.fingerprintInput()))
 	for {
 		j := b.n.suspectDecision(q)
-		q.Stages = j.Stages.Max(told)
-		switch max(j.Treatment, told.Treatment()) {
+		q.Stages = j.Stages.Max(senderStages)
+		switch max(j.Treatment, senderStages.Treatment()) {
 		case poison.HeldBack:
 			return func() {}, b.n.quarantineRefusal(q, j)
 		case poison.Alone:
-			ended := b.trial.begin()
-			if ended == nil {
+			trialDone := b.trial.begin()
+			if trialDone == nil {
 				return b.trial.end, nil
 			}
-			if a := awaitTrial(ctx, ended, wait.C); a != nil {
+			if a := awaitTrial(ctx, trialDone, wait.C); a != nil {
 				return func() {}, a
 			}
-			told = poison.Stages{}
+			senderStages = poison.Stages{}
 		default:
 			return func() {}, nil
 		}
 	}
 }
 
-// awaitTrial waits for the end of another suspect's run; it returns the answer to one whose time to wait is up.
-func awaitTrial(ctx context.Context, ended <-chan struct{}, over <-chan time.Time) *answer {
+// awaitTrial waits for the end of another suspect's run. It returns a refusal if the timeout or the context ends first,
+// else nil.
+func awaitTrial(ctx context.Context, done <-chan struct{}, timeout <-chan time.Time) *answer {
 	select {
-	case <-ended:
+	case <-done:
 		return nil
-	case <-over:
+	case <-timeout:
 		a := notRunAnswer(wire.ReasonSuspect)
 		a.retryAfter = suspectRetryDelay
 		return a
--- a/pkg/mesh/suspect_updates.go
+++ b/pkg/mesh/suspect_updates.go
@@ -11,32 +11,35 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// The spreading of what is known of suspects. Each server that ends costs all requests in it, and a guilty request comes to the next one within
-// some hundredths of a second: the usual exchanges, a third of a second apart, are too late.
+// Constants of the dissemination of suspects. Each crash costs all requests at the server, and a poison request reaches
+// the next server within some hundredths of a second: the regular exchanges, a third of a second apart, are too late.
 const (
-	// endNear is how many nodes of the own zone are told of the end of a server at once, endFar how many of each other zone: they tell endRelay near
-	// ones in turn, when they first hear of it. With 14 nodes all know within two hops, with 194 most within four; the usual exchanges reach the rest.
+	// crashNearNodes is how many nodes of this zone a crash is reported to at once, and crashFarNodes how many of each other
+	// zone. Each of them relays it to crashRelayNodes nodes of its own zone when it first receives it. With 14 nodes all know
+	// within two hops, with 194 most within four; the regular exchanges reach the rest.
 	crashNearNodes  = 8
 	crashFarNodes   = 2
 	crashRelayNodes = 4
-	// clearPause is the time in which requests that were cleared are gathered, to be told at once: a popular one is held to one server until then.
+	// clearedBatchTime is how long cleared requests are collected before they are sent together. A popular request is
+	// confined to one server until then.
 	clearedBatchTime = 100 * time.Millisecond
-	// suspectNewsTime is how long news goes with every exchange.
+	// suspectUpdateTime is how long an update is sent with every exchange.
 	suspectUpdateTime = newsTime
-	// maxSuspectNews bounds the cases in one message, and maxNewsRuns the runs of all ends in it, some 90 bytes each: the newest go first.
+	// maxCaseUpdates bounds the cases in one message, and maxUpdateRuns the runs of all crashes in it, some 90 bytes
+	// each. The newest go first.
 	maxCaseUpdates = 64
 	maxUpdateRuns  = 512
 )
 
-// suspectNews is what is new of suspects; it belongs to the control goroutine and its zero value is empty.
+// suspectUpdates holds recent updates about suspects. It belongs to the control goroutine, and its zero value is empty.
 type suspectUpdates struct {
 	crashes       []crashUpdate
 	cases         []caseUpdate
-	cleared       []poison.Case // here, and not told yet
-	sendClearedAt time.Time     // when they are told; zero: there are none
+	cleared       []poison.Case // cleared here and not sent yet
+	sendClearedAt time.Time     // when they are sent; zero: there are none
 }
 
-// endNews and caseNews are what was heard or seen, and when; their own ages are from that time.
+// crashUpdate and caseUpdate are updates with the time when they were received or observed. Their ages count from then.
 type (
 	crashUpdate struct {
 		poison.End
@@ -48,17 +51,17 @@
 	}
 )
 
-// addEnd notes the end of a server.
+// addCrash adds the crash of a server.
 func (s *suspectUpdates) addCrash(now time.Time, e poison.End) {
 	s.crashes = append(s.crashes, crashUpdate{e, now})
 }
 
-// addCase notes a case that changed, as others told it.
+// addCase adds a case that changed, as another node sent it.
 func (s *suspectUpdates) addCase(now time.Time, c poison.Case) {
 	s.cases = append(s.cases, caseUpdate{c, now})
 }
 
-// addCleared notes a case that was cleared here.
+// addCleared adds a case that was cleared here.
 func (s *suspectUpdates) addCleared(now time.Time, c poison.Case) {
 	s.addCase(now, c)
 	s.cleared = append(s.cleared, c)
@@ -67,7 +70,7 @@
 	}
 }
 
-// recent returns what is news with its age now, and forgets the rest.
+// recent returns the recent updates with their current ages, and drops the older ones.
 func (s *suspectUpdates) recent(now time.Time) ([]poison.End, []poison.Case) {
 	for len(s.crashes) > 0 && now.Sub(s.crashes[0].receivedAt) >= suspectUpdateTime {
 		s.crashes = s.crashes[1:]
@@ -75,24 +78,24 @@
 	for len(s.cases) > 0 && now.Sub(s.cases[0].receivedAt) >= suspectUpdateTime {
 		s.cases = s.cases[1:]
 	}
-	var ends []poison.End
+	var crashes []poison.End
 	runs := 0
 	for _, x := range slices.Backward(s.crashes) {
-		if runs += len(x.Runs); runs > maxUpdateRuns && len(ends) > 0 {
+		if runs += len(x.Runs); runs > maxUpdateRuns && len(crashes) > 0 {
 			break
 		}
 		x.Age += now.Sub(x.receivedAt)
-		ends = append(ends, x.End)
+		crashes = append(crashes, x.End)
 	}
 	var cases []poison.Case
 	for _, x := range s.cases[max(len(s.cases)-maxCaseUpdates, 0):] {
 		x.Age += now.Sub(x.receivedAt)
 		cases = append(cases, x.Case)
 	}
-	return ends, cases
+	return crashes, cases
 }
 
-// serverEnded tells all nodes, in the control goroutine, that the server on this VM has ended.
+// reportServerCrash sends the crash of the server on this VM to other nodes. It runs in the control goroutine.
 func (n *Node) reportServerCrash(e poison.End) {
 	now := n.clock.Now()
 	n.control.suspects.addCrash(now, e)
@@ -100,8 +103,8 @@
 	n.sendSuspectUpdates(n.updateTargets(crashNearNodes, crashFarNodes), []poison.End{e}, nil)
 }
 
-// newsTargets returns some nodes of the own zone and some of each other one. Seeds aren't among them: they may be the same nodes
-// again, and others would hear of an end only with the next exchange.
+// updateTargets returns up to near random nodes of this zone and up to farOfEach of each other zone. Seeds are left
+// out: they may be the same nodes again, and other nodes would then receive a crash only with the next exchange.
 func (n *Node) updateTargets(near, farOfEach int) []talkTarget {
 	targets := someOf(n.knownTargets(nearOnly), near)
 	byZone := map[string][]talkTarget{}
@@ -114,30 +117,31 @@
 	return targets
 }
 
-// tellBriefly sends what can't wait, without what the usual exchanges carry.
-func (n *Node) sendSuspectUpdates(targets []talkTarget, ends []poison.End, cases []poison.Case) {
-	body := n.encode(n.newSuspectMessage(ends, cases))
+// sendSuspectUpdates sends urgent updates to the targets, without the content of regular exchanges.
+func (n *Node) sendSuspectUpdates(targets []talkTarget, crashes []poison.End, cases []poison.Case) {
+	body := n.encode(n.newSuspectMessage(crashes, cases))
 	for _, t := range targets {
 		go n.exchangeWith(context.Background(), t.host, body)
 	}
 }
 
-// newBrief is a message with nothing but news of suspects.
-func (n *Node) newSuspectMessage(ends []poison.End, cases []poison.Case) message {
+// newSuspectMessage returns a message with only updates about suspects.
+func (n *Node) newSuspectMessage(crashes []poison.End, cases []poison.Case) message {
 	return message{
 		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Digest: n.control.directory.Digest(), Stopping: n.stop.leaving(),
-		Brief: true, Ends: ends, Cases: cases,
+		Brief: true, Ends: crashes, Cases: cases,
 	}
 }
 
-// takeSuspects takes what a peer tells of suspects, and tells near nodes in turn what is news.
-func (n *Node) applySuspectUpdates(now time.Time, ends []poison.End, cases []poison.Case) {
-	var newEnds []poison.End
-	for _, e := range ends {
+// applySuspectUpdates applies a peer's updates about suspects, and relays the crashes that are new here to nodes of
+// this zone.
+func (n *Node) applySuspectUpdates(now time.Time, crashes []poison.End, cases []poison.Case) {
+	var newCrashes []poison.End
+	for _, e := range crashes {
 		if n.poison.TakeEnd(now, e) {
 			n.control.suspects.addCrash(now, e)
 			n.markServerCrashed(e)
-			newEnds = append(newEnds, e)
+			newCrashes = append(newCrashes, e)
 		}
 	}
 	for _, c := range cases {
@@ -145,12 +149,12 @@
 			n.control.suspects.addCase(now, c)
 		}
 	}
-	if len(newEnds) > 0 {
-		n.sendSuspectUpdates(n.updateTargets(crashRelayNodes, 0), newEnds, nil)
+	if len(newCrashes) > 0 {
+		n.sendSuspectUpdates(n.updateTargets(crashRelayNodes, 0), newCrashes, nil)
 	}
 }
 
-// noteEnded has requests pass by a server that ended.
+// markServerCrashed keeps requests away from a server that crashed.
 func (n *Node) markServerCrashed(e poison.End) {
 	n.peersMu.Lock()
 	p := n.peers[e.Lifetime.Host]
@@ -160,7 +164,8 @@
 	}
 }
 
-// tellCleared tells what was cleared here of late. Who hears it tells it on with the exchanges of its own zone only.
+// sendCleared sends the cases that were cleared here since the last batch. Receivers pass them on only with the
+// exchanges of their own zone.
 func (n *Node) sendCleared(now time.Time) {
 	s := &n.control.suspects
 	if s.sendClearedAt.IsZero() || now.Before(s.sendClearedAt) {
@@ -171,9 +176,10 @@
 	n.sendSuspectUpdates(n.updateTargets(crashRelayNodes, 1), nil, cases)
 }
 
-// heldDigest is the same where the same requests are held back.
+// quarantineDigest returns a digest that is the same at nodes with the same quarantined requests.
 func (n *Node) quarantineDigest(now time.Time) uint64 { return digestOfCases(n.poison.Held(now)) }
 
+// digestOfCases returns a digest of the cases' fingerprints and stages, in any order.
 func digestOfCases(cases []poison.Case) uint64 {
 	var sum uint64
 	for _, c := range cases {
--- a/pkg/mesh/suspect_updates_test.go
+++ b/pkg/mesh/suspect_updates_test.go
@@ -12,7 +12,7 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// endOfMany is the end of a server with so many runs, with names as long as usual.
+// crashWithRuns returns the crash of a server with the number of runs, with names of the usual length.
 func crashWithRuns(runs int) poison.End {
 	e := poison.End{Lifetime: poison.Lifetime{Host: "10.1.0.13", Instance: "i-5256e9e962/17"}, Service: "xati36a"}
 	for i := range runs {
@@ -22,8 +22,9 @@
 	return e
 }
 
-// The news of the end of a server is as large as what ran there: 46 runs, the most of eight ends in one played day.
-func TestNewsOfAnEndIsSmall(t *testing.T) {
+// The update about a crash grows with the runs at the server: 46 runs are the most among eight crashes in a simulated
+// day.
+func TestCrashUpdateIsSmall(t *testing.T) {
 	c := qt.New(t)
 	body, err := pack(message{Brief: true, Ends: []poison.End{crashWithRuns(46)}})
 	c.Assert(err, qt.IsNil)
@@ -34,8 +35,9 @@
 	c.Assert(back.Ends, qt.DeepEquals, []poison.End{crashWithRuns(46)})
 }
 
-// News ages while it is kept, is told for two seconds, and never more than a message holds; only what was cleared here is told by itself.
-func TestNewsOfSuspectsIsBounded(t *testing.T) {
+// Updates age while they are retained, are sent for two seconds, and never exceed the bounds of a message; only locally
+// cleared cases are sent on their own.
+func TestSuspectUpdatesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var s suspectUpdates
 	now := time.Unix(1000, 0)
@@ -56,8 +58,8 @@
 	c.Assert(len(ends)+len(cases), qt.Equals, 0)
 }
 
-// Between zones no exchange carries the news again.
-func TestNewsOfSuspectsCrossesZonesOnce(t *testing.T) {
+// Exchanges between zones don't repeat updates that were already sent across zones.
+func TestSuspectUpdatesAreNotExchangedAcrossZones(t *testing.T) {
 	c := qt.New(t)
 	a := newAsking()
 	a.control.suspects.addCrash(a.clock.Now(), crashWithRuns(3))
@@ -68,8 +70,9 @@
 	c.Assert(len(far.Ends)+len(far.Cases), qt.Equals, 0)
 }
 
-// News of an end goes to nodes, not to seeds, which may be the same ones again: of a zone of four all are told.
-func TestNewsOfAnEndGoesToEachNodeOnce(t *testing.T) {
+// A crash is sent to known nodes only, not to seeds, which may be the same nodes again: all nodes of a zone of four
+// receive it.
+func TestCrashIsSentToEachNodeOnce(t *testing.T) {
 	c := qt.New(t)
 	a := newAsking()
 	a.cfg.Seeds = []string{"n1:2", "n2:2", "n3:2"}
@@ -93,8 +96,8 @@
 	c.Assert(a.updateTargets(crashRelayNodes, 0), qt.HasLen, crashRelayNodes)
 }
 
-// News of ends that names servers nobody knows takes no memory beyond the table's bounds.
-func TestNewsOfUnknownServersMakesNoPeers(t *testing.T) {
+// Crash updates about unknown servers must not use memory beyond the bounds of the table.
+func TestCrashesOfUnknownServersCreateNoPeers(t *testing.T) {
 	c := qt.New(t)
 	a := newAsking()
 	var ends []poison.End
@@ -108,22 +111,23 @@
 	c.Assert(len(a.peers), qt.Equals, before)
 }
 
-// A server's node tries a copy alone where its sender knows of two ends in a row, though it doesn't know that itself; who has waited goes by what is known here.
-func TestWhatTheSenderKnowsCountsAtTheServer(t *testing.T) {
+// A node tries a copy alone if the sender knows of two crashes in a row, even if the node doesn't. A request that has
+// waited is treated by what the node itself knows.
+func TestSenderStagesCountAtTheServer(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		b := &backend{n: newAsking().Node}
-		told := func() *request { return &request{peerCall: peerCall{Stages: poison.Stages{0, 0, 2}}} }
-		done, refusal := b.awaitTrialTurn(t.Context(), told())
+		suspect := func() *request { return &request{peerCall: peerCall{Stages: poison.Stages{0, 0, 2}}} }
+		done, refusal := b.awaitTrialTurn(t.Context(), suspect())
 		c.Assert(refusal, qt.IsNil)
-		begun := time.Now()
+		started := time.Now()
 		time.AfterFunc(trialWait/2, done)
-		second := told()
+		second := suspect()
 		_, refusal = b.awaitTrialTurn(t.Context(), second)
 		c.Assert(refusal, qt.IsNil)
-		c.Assert(time.Since(begun), qt.Equals, trialWait/2)
-		c.Assert(second.Stages.Any(), qt.IsFalse, qt.Commentf("here nothing is known against it"))
+		c.Assert(time.Since(started), qt.Equals, trialWait/2)
+		c.Assert(second.Stages.Any(), qt.IsFalse, qt.Commentf("this node knows no case against it"))
 		_, refusal = b.awaitTrialTurn(t.Context(), &request{})
 		c.Assert(refusal, qt.IsNil)
 	})
--- a/pkg/mesh/suspects.go
+++ b/pkg/mesh/suspects.go
@@ -12,20 +12,20 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// lazyIdentity is what a request asks for, worked out when it is first needed, since beside suspects each request needs it several times. Its zero value isn't
-// worked out.
+// lazyIdentity caches a request's fingerprints. They are computed on first use, since a request needs them several
+// times while any request is a suspect. Its zero value isn't computed yet.
 type lazyIdentity struct {
 	once sync.Once
 	of   poison.Identity
 }
 
-// identity tells what the request asks for, whatever attempt it is.
+// identity returns the fingerprints of the request's content, which are the same for all its attempts.
 func (q *request) identity() poison.Identity {
 	q.cachedIdentity.once.Do(func() { q.cachedIdentity.of = q.fingerprintInput().Identity() })
 	return q.cachedIdentity.of
 }
 
-// asked returns what the request asks for.
+// fingerprintInput returns the parts of the request that its fingerprints are computed from.
 func (q *request) fingerprintInput() poison.Asked {
 	a := poison.Asked{
 		Service: q.Service, Method: q.method, Host: q.host, URI: q.uri, Caller: q.Caller, Body: q.body,
@@ -36,7 +36,8 @@
 	return a
 }
 
-// judge returns what is to be done with a request, by what ended under it anywhere. While nothing is under suspicion it costs one look.
+// suspectDecision returns how to treat a request, by the crashes during its runs at any node. It is one atomic load
+// while there are no suspects.
 func (n *Node) suspectDecision(q *request) poison.Judgement {
 	if !n.poison.Any() || n.off[settings.HeldBack] {
 		return poison.Judgement{}
@@ -44,17 +45,18 @@
 	return n.poison.Judge(n.clock.Now(), q.identity())
 }
 
-// heldBack answers a request that is held back, at once: this attempt hasn't run, and it may come back when it is tried again.
+// quarantineRefusal returns the immediate refusal of a quarantined request: this attempt hasn't run, and it may be
+// retried when the request is next tried.
 func (n *Node) quarantineRefusal(q *request, j poison.Judgement) *answer {
 	n.metrics.count("held_back_total", "route", q.Route)
-	n.callLog.Info("held back", "request", q.id, "route", q.Route, "service", q.Service, "fingerprint", q.identity().Widest(),
+	n.callLog.Info("request quarantined", "request", q.id, "route", q.Route, "service", q.Service, "fingerprint", q.identity().Widest(),
 		"stages", j.Stages, "sound", j.Sound, "for", j.For, "ended", loggedLifetimes(j.Ends))
 	a := notRunAnswer(wire.ReasonHeldBack)
 	a.retryAfter = j.For
 	return a
 }
 
-// lifetimes shows servers that ended in a log line.
+// loggedLifetimes are server lifetimes as a log line shows them.
 type loggedLifetimes []poison.Lifetime
 
 // LogValue lists the instances.
@@ -66,14 +68,14 @@
 	return slog.AnyValue(names)
 }
 
-// next returns the server to send to, or the answer if the request isn't to be sent on; both are nil if there is no server. A suspect goes to one
-// server only, the same for all its copies at whatever node: it may end that one too.
+// nextServer returns the server to send to, or the answer if the request must not be sent; both are nil if there is no
+// server. All copies of a suspect at all nodes go to the same single server, since it may crash that one too.
 func (d *delivery) nextServer(now time.Time, servers []*peer) (*peer, *answer) {
 	j := d.n.suspectDecision(d.q)
 	d.q.Stages = j.Stages
 	switch j.Treatment {
 	case poison.Free:
-		return chooseServer(now, servers, d.tried, d.n.comparisonOptions()), nil
+		return chooseServer(now, servers, d.tried, d.n.comparisonSettings()), nil
 	case poison.HeldBack:
 		return nil, d.n.quarantineRefusal(d.q, j)
 	default:
@@ -81,7 +83,8 @@
 	}
 }
 
-// noteEnded takes the word of the node beside a server that this has ended under the request, without waiting for the news of it.
+// recordCrash records at once that the server of the node crashed during the request, as the reply says, without
+// waiting for the update about it.
 func (d *delivery) recordCrash(p *peer, r peerReply) {
 	if r.CrashedLifetime == "" {
 		return
@@ -97,52 +100,53 @@
 	}
 }
 
-// placeSuspect returns the server that a suspect goes to. The last one that is there is spared for a moment, for the sake of all other
-// requests, but from those whose runs have ended well of late.
+// serverForSuspect returns the server that a suspect goes to, or a refusal. The last server left is spared for a while
+// for the sake of all other requests, except from suspects that were recently successful.
 func (d *delivery) serverForSuspect(now time.Time, servers []*peer, j poison.Judgement) (*peer, *answer) {
-	there := filterPeers(servers, func(p *peer) bool { return p.acceptsRequests(now, false) })
-	if len(there) == 1 && len(servers) > 1 && j.For > 0 && !j.Sound {
+	available := filterPeers(servers, func(p *peer) bool { return p.acceptsRequests(now, false) })
+	if len(available) == 1 && len(servers) > 1 && j.For > 0 && !j.Sound {
 		a := notRunAnswer(wire.ReasonSuspect)
 		a.retryAfter = j.For
 		return nil, a
 	}
 	if j.Treatment == poison.Alone {
-		there = settledPeers(now, there)
+		available = settledPeers(now, available)
 	}
-	there = filterPeers(there, func(p *peer) bool { return !slices.Contains(d.tried, p) })
-	hosts := make([]string, 0, len(there))
-	for _, p := range there {
+	available = filterPeers(available, func(p *peer) bool { return !slices.Contains(d.tried, p) })
+	hosts := make([]string, 0, len(available))
+	for _, p := range available {
 		hosts = append(hosts, p.host)
 	}
 	i := poison.Place(d.q.identity().Widest(), hosts)
 	if i < 0 {
 		return nil, nil
 	}
-	return there[i], nil
+	return available[i], nil
 }
 
-// settled returns the peers whose servers all nodes know, or all if there are none. While news of a server spreads nodes would choose differently, and two
-// copies that are tried at once may end two servers.
+// settledPeers returns the peers whose servers all nodes know, or all peers if there are none. While the record of a
+// new server spreads, nodes would choose differently, and two copies that run at once may crash two servers.
 func settledPeers(now time.Time, list []*peer) []*peer {
-	old := filterPeers(list, func(p *peer) bool { return p.settled(now) })
-	if len(old) == 0 {
+	known := filterPeers(list, func(p *peer) bool { return p.settled(now) })
+	if len(known) == 0 {
 		return list
 	}
-	return old
+	return known
 }
 
-// those returns the peers of a list that are meant.
-func filterPeers(list []*peer, meant func(p *peer) bool) []*peer {
+// filterPeers returns the peers of the list for which keep returns true.
+func filterPeers(list []*peer, keep func(p *peer) bool) []*peer {
 	var found []*peer
 	for _, p := range list {
-		if meant(p) {
+		if keep(p) {
 			found = append(found, p)
 		}
 	}
 	return found
 }
 
-// noteSurvived clears a request whose run ended well. A server's own failure says too little: the run may have been cut short before it could do harm.
+// recordGoodRun clears a request whose run ended well. A server failure (5xx) doesn't clear it: the run may have been
+// cut short before it could do harm.
 func (b *backend) recordGoodRun(q *request, a *answer) {
 	if a.outcome != wire.Ran || a.status >= http.StatusInternalServerError || b.n.off[settings.HeldBack] {
 		return
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -11,7 +11,7 @@
    4.6012 node-1 {"time":"2026-01-01T00:00:02Z","level":"INFO","msg":"call: not served","request":"abc","route":"r","outcome":"not-run","reason":"queue","repeated":4}
 not a line at all
 {"time":"2026-01-01T00:00:02Z","msg":"cut
-{"time":"2026-01-01T00:00:01.5Z","level":"INFO","msg":"call: sent again","request":"abc.1","route":"s","outcome":"unknown","reason":"lost"}
+{"time":"2026-01-01T00:00:01.5Z","level":"INFO","msg":"call: request retried","request":"abc.1","route":"s","outcome":"unknown","reason":"lost"}
 {"time":"2026-01-01T00:00:09Z","level":"INFO","msg":"call: not served","request":"abcd","route":"r","outcome":"not-run","reason":"queue"}
 {"some":"other program"}
 `
@@ -32,7 +32,7 @@
 	for _, l := range Story(lines, "abc") {
 		got = append(got, l.Msg)
 	}
-	c.Assert(got, qt.DeepEquals, []string{"control: admission", "call: sent again", "call: not served"})
+	c.Assert(got, qt.DeepEquals, []string{"control: admission", "call: request retried", "call: not served"})
 	c.Assert(Story(lines, "nobody"), qt.HasLen, 0)
 }
 
