--- a/pkg/mesh/server_crash.go
+++ b/pkg/mesh/server_crash.go
@@ -160,9 +160,9 @@
 	return b.brokenRunAnswer(r, a)
 }
 
-// brokenRunAnswer returns the answer to a run whose connection broke: with the lifetime that crashed during it, or that
-// it hasn't run. The latter holds only for what was sent while no server was listening: the next lifetime may have the
-// same name, and the runs that it lost may have run.
+// brokenRunAnswer returns the answer to a run whose connection broke: a, with the lifetime that crashed during the run if
+// one did, or that it hasn't run. The latter holds only for what was sent while no server was listening: the next
+// lifetime may have the same name, and the runs that it lost may have run.
 func (b *backend) brokenRunAnswer(r *serverRun, a *answer) *answer {
 	switch b.runs.lastCrashed().relationTo(r) {
 	case startedAfterCrash:
