--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -44,9 +44,9 @@
 	n.control.retainedRuns.Update(now, reports)
 	all := n.control.retainedRuns.WithRetained(reports)
 	places := loads.Placements(all)
-	n.judgeRoutes(now)
+	n.updateInternalRoutes(now)
 	plan := &admissionPlan{
-		inner: maps.Clone(n.control.internalRoutes.called), runs: make(map[string]map[string]float64), holds: loads.HoldTimes(places),
+		inner: maps.Clone(n.control.internalRoutes.internal), runs: make(map[string]map[string]float64), holds: loads.HoldTimes(places),
 	}
 	costs := callgraph.Costs(loads.CallGraph(all), places)
 	for route, c := range costs {
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -15,87 +15,88 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// backend is the way to the backend server on this VM.
+// backend sends requests to the backend server on this VM.
 type backend struct {
-	n     *Node
-	pool  *httpconn.Pool
-	runs  serverRuns
-	trial trial
-	good  poison.SuccessTracker
+	n              *Node
+	pool           *httpconn.Pool
+	runs           serverRuns
+	trial          trial
+	recentGoodRuns poison.SuccessTracker
 }
 
+// newBackend returns the backend of a node.
 func newBackend(n *Node) *backend {
 	return &backend{n: n, pool: &httpconn.Pool{
 		Dial: n.network.dialFunc(n.ip, n.cfg.Backend.Address, backendDialTimeout), Clock: n.clock, SilentSends: minUnansweredSends,
 	}}
 }
 
-// serve puts a request through the gate and hands it to the backend server.
+// serve passes a request through the gate to the backend server and returns the answer.
 func (b *backend) serve(ctx context.Context, q *request) *answer {
-	a := b.run(ctx, q)
+	a := b.admitAndRun(ctx, q)
 	b.n.metrics.count("arrivals_total", "service", q.Service, "outcome", string(a.outcome), "reason", string(a.reason))
 	return a
 }
 
-// run lets a request pass, or tells why it may not.
-func (b *backend) run(ctx context.Context, q *request) *answer {
+// admitAndRun runs a request at the server, or returns a refusal if it may not run.
+func (b *backend) admitAndRun(ctx context.Context, q *request) *answer {
 	own := b.n.view.Load().localServer
 	if own.Service != q.Service || own.Instance == "" {
-		return refused(wire.ReasonNoServer)
+		return notRunAnswer(wire.ReasonNoServer)
 	}
-	done, refusal := b.tryAtServer(ctx, q)
+	done, refusal := b.awaitTrialTurn(ctx, q)
 	defer done()
 	if refusal != nil {
 		return refusal
 	}
-	reason := b.enter(ctx, q)
-	if !q.TurnedAway {
-		b.n.stats.atGate(b.n.clock.Now(), q.Inner, reason == wire.ReasonQueue)
+	reason := b.waitAtGate(ctx, q)
+	if !q.RejectedElsewhere {
+		b.n.stats.atGate(b.n.clock.Now(), q.Internal, reason == wire.ReasonQueue)
 	}
 	if reason != wire.ReasonNone {
-		return refused(reason)
+		return notRunAnswer(reason)
 	}
-	a := b.runHere(ctx, q, own)
-	b.noteSurvived(q, a)
+	a := b.runAtServer(ctx, q, own)
+	b.recordGoodRun(q, a)
 	return a
 }
 
-// runHere hands a request that holds a slot to the server, and counts what became of it.
-func (b *backend) runHere(ctx context.Context, q *request, own directory.Record) *answer {
-	begun := b.n.clock.Now()
-	run := b.n.stats.begin(begun, q.Route, q.deadline.Add(-answerMargin))
-	at := &serverRun{q: q, life: own.LifeName(), begun: begun}
+// runAtServer sends a request that holds a slot to the server, and counts its outcome.
+func (b *backend) runAtServer(ctx context.Context, q *request, own directory.Record) *answer {
+	started := b.n.clock.Now()
+	run := b.n.stats.begin(started, q.Route, q.deadline.Add(-answerMargin))
+	at := &serverRun{q: q, lifetime: own.LifeName(), started: started}
 	b.runs.begin(at)
 	a, outcome := b.send(ctx, q, own.Instance)
 	if a.broken {
-		a = b.brokeOff(at, a)
+		a = b.resolveBrokenRun(at, a)
 	} else {
 		b.runs.end(at)
 	}
-	if a.unreachable && !b.runs.goesOn(begun) {
-		b.n.noteAway(true)
+	if a.connRefused && !b.runs.hasRunFromBefore(started) {
+		b.n.setNotListening(true)
 	}
 	now := b.n.clock.Now()
-	held := min(now.Sub(begun), max(q.deadline.Sub(begun), 0)) // while the VM was suspended the run held nothing
+	holdTime := min(now.Sub(started), max(q.deadline.Sub(started), 0)) // a run holds no slot while the VM is suspended
 	b.n.gateMu.Lock()
-	b.n.gate.Finish(now, held, b.n.usualHold(q.Route), outcome)
+	b.n.gate.Finish(now, holdTime, b.n.usualHold(q.Route), outcome)
 	b.n.gateMu.Unlock()
 	if a.outcome == wire.NotRun {
 		b.n.stats.drop(now, run)
-		a.gone = b.n.serverNotListening.Load()
+		a.notListening = b.n.serverNotListening.Load()
 		return a
 	}
-	b.n.stats.end(now, q.Route, run, held, outcome)
+	b.n.stats.end(now, q.Route, run, holdTime, outcome)
 	b.n.metrics.count("runs_total", "route", q.Route, "outcome", outcome.String())
-	b.n.metrics.add(held.Milliseconds(), "slot_ms_total", "route", q.Route, "outcome", outcome.String())
+	b.n.metrics.add(holdTime.Milliseconds(), "slot_ms_total", "route", q.Route, "outcome", outcome.String())
 	return a
 }
 
-// enter waits for the gate; it returns why the request was refused, or ReasonNone once it may start.
-func (b *backend) enter(ctx context.Context, q *request) wire.Reason {
+// waitAtGate waits for a slot. It returns why the request was refused, or ReasonNone once it may start.
+func (b *backend) waitAtGate(ctx context.Context, q *request) wire.Reason {
 	verdicts := make(chan gate.Decision, 1)
 	t := &gate.Ticket{
-		Internal: q.Inner, Priority: q.Priority, Deadline: q.deadline, TypicalHold: b.n.usualHold(q.Route), Age: b.n.ageOf(q),
+		Internal: q.Internal, Priority: q.Priority, Deadline: q.deadline, TypicalHold: b.n.usualHold(q.Route), Age: b.n.minWorkAge(q),
 		Notify: func(v gate.Decision) { verdicts <- v },
 	}
 	b.n.gateMu.Lock()
@@ -105,7 +106,7 @@
 		select {
 		case v = <-verdicts:
 		case <-ctx.Done():
-			return b.withdraw(t, verdicts)
+			return b.withdrawTicket(t, verdicts)
 		}
 	}
 	if v.Start {
@@ -114,18 +115,18 @@
 	return v.Reason
 }
 
-// ageOf returns how long ago the work began that a call belongs to, at least: calls of its route that are made at once
-// have so much more time left.
-func (n *Node) ageOf(q *request) time.Duration {
-	if !q.Inner {
+// minWorkAge returns the least time since the work that a call belongs to began. Calls of the same route that are made
+// right when work begins have that much more time left.
+func (n *Node) minWorkAge(q *request) time.Duration {
+	if !q.Internal {
 		return 0
 	}
 	now := n.clock.Now()
 	return n.stats.callAge(now, q.Route, q.deadline.Sub(now))
 }
 
-// withdraw takes back a ticket whose caller has gone.
-func (b *backend) withdraw(t *gate.Ticket, verdicts <-chan gate.Decision) wire.Reason {
+// withdrawTicket cancels the ticket of a request whose caller has gone, and returns why it didn't run.
+func (b *backend) withdrawTicket(t *gate.Ticket, verdicts <-chan gate.Decision) wire.Reason {
 	b.n.gateMu.Lock()
 	queued := b.n.gate.Cancel(t)
 	b.n.gateMu.Unlock()
@@ -142,15 +143,15 @@
 	return wire.ReasonDeadline
 }
 
-// answerMargin is taken off the time that a backend server is given, so that its own answer at the end of
-// it still arrives in time.
+// answerMargin is taken off the time that a backend server is given, so that an answer at the end of that time still
+// arrives before the deadline.
 const answerMargin = 20 * time.Millisecond
 
-// send hands a request to the server and judges what comes back.
+// send sends a request to the server, and returns the answer and its outcome for the gate.
 func (b *backend) send(ctx context.Context, q *request, instance string) (*answer, gate.Outcome) {
 	left := q.deadline.Sub(b.n.clock.Now()) - answerMargin
 	if left < time.Millisecond {
-		return refused(wire.ReasonDeadline), gate.Abandoned
+		return notRunAnswer(wire.ReasonDeadline), gate.Abandoned
 	}
 	h := q.header.Clone()
 	h.Set(b.n.names.Instance, instance)
@@ -158,25 +159,25 @@
 	h.Set(b.n.names.TimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
 	res, err := b.pool.Do(ctx, &httpconn.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Header: h,
-		Body: q.body, Stream: q.stream, StreamLen: q.length, Patience: b.patience(q),
+		Body: q.body, Stream: q.stream, StreamLen: q.streamLength, Patience: b.answerPatience(q),
 	})
 	if err != nil {
-		return b.failed(err)
+		return b.failedAnswer(err)
 	}
 	if res.Header.Get(b.n.names.AttemptID) != q.id {
-		_ = res.Body.Close() // it belongs to another request, and so does what follows on the connection
+		_ = res.Body.Close() // the response belongs to another request, and so would later ones on the connection
 		if notExecuted(res, b.n.names) && res.Header.Get(b.n.names.AttemptID) == "" {
-			return b.shed(res), gate.Shed
+			return b.shedAnswer(res), gate.Shed
 		}
-		return lost(wire.ReasonLost), gate.Failed
+		return unknownAnswer(wire.ReasonLost), gate.Failed
 	}
 	if notExecuted(res, b.n.names) {
-		_ = drainBody(res) // the refusal itself is known; its text isn't used
-		return b.shed(res), gate.Shed
+		_ = drainBody(res) // only the refusal counts; its text isn't used
+		return b.shedAnswer(res), gate.Shed
 	}
-	a := &answer{outcome: wire.Ran, arrived: true, status: res.Status, header: endToEnd(res.Header)}
-	if err := a.readWhole(res); err != nil {
-		return b.failed(err)
+	a := &answer{outcome: wire.Ran, arrived: true, status: res.Status, header: endToEndHeaders(res.Header)}
+	if err := a.bufferBody(res); err != nil {
+		return b.failedAnswer(err)
 	}
 	if a.status >= http.StatusInternalServerError {
 		return a, gate.Failed
@@ -184,41 +185,43 @@
 	return a, gate.Answered
 }
 
-// patience returns in which time the server's answer can be expected.
-func (b *backend) patience(q *request) time.Duration {
+// answerPatience returns the time within which the server's answer to the request is expected.
+func (b *backend) answerPatience(q *request) time.Duration {
 	b.n.gateMu.Lock()
 	pace := b.n.gate.Snapshot().Slowdown
 	b.n.gateMu.Unlock()
 	return b.n.expectedResponseTime(expectedHoldTime(pace, b.n.usualHold(q.Route)))
 }
 
-// notExecuted tells whether the server says that it hasn't run the request.
+// notExecuted reports whether the server says that it hasn't run the request.
 func notExecuted(res *httpconn.Response, names HeaderNames) bool {
 	return res.Header.Get(names.NotRun) != "" || res.Status == http.StatusMisdirectedRequest
 }
 
-func (b *backend) shed(res *httpconn.Response) *answer {
+// shedAnswer returns the answer for a request that the server refused without running it.
+func (b *backend) shedAnswer(res *httpconn.Response) *answer {
 	reason := wire.ReasonRefused
 	if res.Status == http.StatusMisdirectedRequest {
 		reason = wire.ReasonNoServer
 	}
-	a := refused(reason)
+	a := notRunAnswer(reason)
 	a.arrived = res.Status != http.StatusMisdirectedRequest
 	return a
 }
 
-func (b *backend) failed(err error) (*answer, gate.Outcome) {
+// failedAnswer returns the answer for a failed exchange with the server, and its outcome for the gate.
+func (b *backend) failedAnswer(err error) (*answer, gate.Outcome) {
 	switch {
-	case unsent(err):
-		a := refused(wire.ReasonNoServer)
-		a.unreachable = errors.Is(err, syscall.ECONNREFUSED)
+	case isUnsent(err):
+		a := notRunAnswer(wire.ReasonNoServer)
+		a.connRefused = errors.Is(err, syscall.ECONNREFUSED)
 		return a, gate.Failed
-	case ended(err):
-		a := lost(wire.ReasonDeadline)
+	case isCanceled(err):
+		a := unknownAnswer(wire.ReasonDeadline)
 		a.canceled = true
 		return a, gate.Abandoned
 	default:
-		a := lost(wire.ReasonLost)
+		a := unknownAnswer(wire.ReasonLost)
 		a.broken = true
 		return a, gate.Failed
 	}
--- a/pkg/mesh/choose_server.go
+++ b/pkg/mesh/choose_server.go
@@ -8,82 +8,84 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// The constants of the choice.
+// Constants of the choice of a server.
 const (
-	// crowded is the use from which on servers of other zones are looked at: below it a request waits for
-	// nothing, and bytes between zones are paid for.
-	crowded = 0.95
-	// farPenalty is the score by which a server of another zone has to be better.
-	farPenalty = 0.4
-	// slowRatio is how much slower than those of other zones a near server may be: the servers of one
-	// service differ in speed by about that much when all is well.
-	slowRatio = 4.0
-	// overUse weighs use beyond all slots, where requests wait.
-	overUse = 4.0
+	// crowdedUse is the use from which servers of other zones are considered. Below it requests don't queue, and
+	// traffic between zones is charged for.
+	crowdedUse = 0.95
+	// otherZonePenalty is how much lower the score of a server of another zone has to be for it to be chosen.
+	otherZonePenalty = 0.4
+	// maxNearSlowdown is how many times slower than the fastest server a server of this zone may be before other zones
+	// are considered. Healthy servers of one service differ in speed by about that much.
+	maxNearSlowdown = 4.0
+	// overUseWeight weighs use beyond all slots, where requests queue.
+	overUseWeight = 4.0
 )
 
-// comparison says what servers are not compared by; the zero value compares them by all.
-type comparison struct{ noZone, noPace, noSuccess bool }
+// comparisonOptions says which factors a comparison of servers ignores; the zero value ignores none.
+type comparisonOptions struct{ ignoreZone, ignoreSlowdown, ignoreSuccess bool }
 
-// compared returns what this node's settings switch off.
-func (n *Node) compared() comparison {
-	return comparison{noZone: n.off[settings.NearFirst], noPace: n.off[settings.Pace], noSuccess: n.off[settings.Success]}
+// comparisonSettings returns the factors that this node's settings switch off.
+func (n *Node) comparisonSettings() comparisonOptions {
+	return comparisonOptions{ignoreZone: n.off[settings.NearFirst], ignoreSlowdown: n.off[settings.Pace], ignoreSuccess: n.off[settings.Success]}
 }
 
-// standard is the best that is believed of any server of a service; the others are measured against it.
-type standard struct {
-	comparison
-	success float64
-	pace    float64
+// baseline is the best success share and slowdown factor of any server of a service. Servers are scored relative to it.
+type baseline struct {
+	comparisonOptions
+	success  float64
+	slowdown float64
 }
 
-func standardOf(now time.Time, list []*peer, c comparison) standard {
-	s := standard{comparison: c, success: minSuccessRate}
+// newBaseline returns the baseline of the servers in the list.
+func newBaseline(now time.Time, list []*peer, c comparisonOptions) baseline {
+	s := baseline{comparisonOptions: c, success: minSuccessRate}
 	for _, p := range list {
 		e := p.loadEstimate(now)
 		s.success = max(s.success, e.success)
-		if e.slowdown > 0 && (s.pace == 0 || e.slowdown < s.pace) {
-			s.pace = e.slowdown
+		if e.slowdown > 0 && (s.slowdown == 0 || e.slowdown < s.slowdown) {
+			s.slowdown = e.slowdown
 		}
 	}
 	return s
 }
 
-// slowness is how many times longer than the fastest a server takes, at least 1.
-func (s standard) slowness(e loadEstimate) float64 {
-	if s.noPace || s.pace == 0 || e.slowdown == 0 {
+// relativeSlowdown returns how many times slower than the fastest server a server is, at least 1; it is 1 if either is
+// unknown.
+func (s baseline) relativeSlowdown(e loadEstimate) float64 {
+	if s.ignoreSlowdown || s.slowdown == 0 || e.slowdown == 0 {
 		return 1
 	}
-	return e.slowdown / s.pace
+	return e.slowdown / s.slowdown
 }
 
-// score is lower for a better server. One that fails fast looks idle, so its use counts as much more; a slow
-// one gets fewer requests than its slots would take, since each holds the callers' slots too.
-func (s standard) score(e loadEstimate) float64 {
+// score returns a server's score; lower is better. A server that fails fast looks idle, so failures multiply its use. A
+// slow server gets fewer requests than its slots could take, since each request also holds the slots of its callers.
+func (s baseline) score(e loadEstimate) float64 {
 	failing := s.success / e.success
-	if s.noSuccess {
+	if s.ignoreSuccess {
 		failing = 1
 	}
-	return e.utilization*failing*failing*math.Sqrt(s.slowness(e)) + overUse*max(e.utilization-1, 0)
+	return e.utilization*failing*failing*math.Sqrt(s.relativeSlowdown(e)) + overUseWeight*max(e.utilization-1, 0)
 }
 
-// choose returns the server to send to, or nil if all were tried or there is none. Servers that are set
-// aside or stopping are taken only if there is no other, and those that have ended only if nothing was tried.
-func choose(now time.Time, list []*peer, tried []*peer, c comparison) *peer {
+// chooseServer returns the server to send to, or nil if there is none or all were tried. Servers that are backed off or
+// stopping are chosen only if there is no other, and crashed ones only if nothing was tried yet.
+func chooseServer(now time.Time, list []*peer, tried []*peer, c comparisonOptions) *peer {
 	if len(list) == 0 {
 		return nil
 	}
-	s := standardOf(now, list, c)
-	for _, last := range []bool{false, true} {
-		near, nearScore := s.best(now, list, tried, true, last)
-		if near != nil && nearScore < crowded && s.slowness(near.loadEstimate(now)) < slowRatio {
+	s := newBaseline(now, list, c)
+	for _, lastResort := range []bool{false, true} {
+		near, nearScore := s.bestOfSample(now, list, tried, true, lastResort)
+		if near != nil && nearScore < crowdedUse && s.relativeSlowdown(near.loadEstimate(now)) < maxNearSlowdown {
 			return near
 		}
-		far, farScore := s.best(now, list, tried, false, last)
+		far, farScore := s.bestOfSample(now, list, tried, false, lastResort)
 		switch {
 		case near == nil && far != nil:
 			return far
-		case near != nil && (far == nil || nearScore <= farScore+farPenalty):
+		case near != nil && (far == nil || nearScore <= farScore+otherZonePenalty):
 			return near
 		case far != nil:
 			return far
@@ -92,9 +94,10 @@
 	return nil
 }
 
-// open tells whether a peer may be sent to. One that has been stopping for a while refuses, and soon closes its
-// connections: a request that crosses the close would count as lost.
-func (p *peer) open(now time.Time, lastResort bool) bool {
+// acceptsRequests reports whether requests may be sent to the peer; as a last resort a backed off peer and one that
+// began to stop a short while ago count too. A peer that has been stopping for longer refuses requests and soon closes
+// its connections, and a request that crosses the close would count as lost.
+func (p *peer) acceptsRequests(now time.Time, lastResort bool) bool {
 	since, stopping := p.stoppingFor(now)
 	if lastResort {
 		return !stopping || since < peerServingTime
@@ -102,7 +105,7 @@
 	return !stopping && p.usable(now)
 }
 
-// anyStopping tells whether one of the peers is stopping.
+// anyStopping reports whether one of the peers is stopping.
 func anyStopping(now time.Time, list []*peer) bool {
 	return slices.ContainsFunc(list, func(p *peer) bool {
 		_, stopping := p.stoppingFor(now)
@@ -110,26 +113,27 @@
 	})
 }
 
-// best returns the best of a few servers taken at random, so that nodes with the same news don't all go to one. Each
-// server is as likely to be among the few: the list is in the order of hosts, so those of one zone stand together, and
-// neighbours of a random place would mostly be the first ones of a zone.
-func (s standard) best(now time.Time, list, tried []*peer, near, lastResort bool) (*peer, float64) {
-	var few peerSample
+// bestOfSample returns the best of a small random sample of servers and its score, or nil. Sampling keeps nodes with
+// the same information from all choosing the same server. Every server is equally likely to be sampled: the list is
+// ordered by host, so the servers of a zone are adjacent, and a sample of neighbours of a random position would mostly
+// hold the first servers of a zone.
+func (s baseline) bestOfSample(now time.Time, list, tried []*peer, near, lastResort bool) (*peer, float64) {
+	var sample peerSample
 	for _, p := range list {
-		if (p.sameZone.Load() || s.noZone) != near || slices.Contains(tried, p) || !p.open(now, lastResort) {
+		if (p.sameZone.Load() || s.ignoreZone) != near || slices.Contains(tried, p) || !p.acceptsRequests(now, lastResort) {
 			continue
 		}
 		if len(tried) > 0 && p.isServerDown(now) {
 			continue
 		}
-		few.add(p)
+		sample.add(p)
 	}
-	var found *peer
-	var least float64
-	for _, p := range few.shuffled() {
-		if score := s.score(p.loadEstimate(now)); found == nil || score < least {
-			found, least = p, score
+	var best *peer
+	var bestScore float64
+	for _, p := range sample.shuffled() {
+		if score := s.score(p.loadEstimate(now)); best == nil || score < bestScore {
+			best, bestScore = p, score
 		}
 	}
-	return found, least
+	return best, bestScore
 }
--- a/pkg/mesh/choose_server_test.go
+++ b/pkg/mesh/choose_server_test.go
@@ -10,146 +10,148 @@
 
 var chooseTime = time.Unix(1_000_000, 0)
 
-func server(host string, near bool, running int, pace, success int) *peer {
+// testPeer returns a peer with 20 slots whose server has just reported the load; slowdown and success are percentages.
+func testPeer(host string, near bool, running int, slowdown, success int) *peer {
 	p := &peer{host: host}
 	p.sameZone.Store(near)
 	p.slots.Store(20)
-	p.receivedReply(chooseTime, reply{Running: running, Limit: 20, Pace: pace, Success: success})
+	p.receivedReply(chooseTime, peerReply{Running: running, Limit: 20, Slowdown: slowdown, Success: success})
 	return p
 }
 
-// share returns how many of 1000 choices fall on the peer.
-func share(p *peer, list ...*peer) int {
+// choicesOf returns how many of 1000 choices from the list are the peer.
+func choicesOf(p *peer, list ...*peer) int {
 	n := 0
 	for range 1000 {
-		if choose(chooseTime, list, nil, comparison{}) == p {
+		if chooseServer(chooseTime, list, nil, comparisonOptions{}) == p {
 			n++
 		}
 	}
 	return n
 }
 
-func TestNearServersAreTakenWhileTheyArentCrowded(t *testing.T) {
+func TestNearServersAreChosenUntilCrowded(t *testing.T) {
 	c := qt.New(t)
-	near, far := server("n", true, 10, 100, 100), server("f", false, 0, 100, 100)
-	c.Assert(share(near, near, far), qt.Equals, 1000)
-	full := server("n", true, 20, 100, 100)
-	c.Assert(share(far, full, far), qt.Equals, 1000)
+	near, far := testPeer("n", true, 10, 100, 100), testPeer("f", false, 0, 100, 100)
+	c.Assert(choicesOf(near, near, far), qt.Equals, 1000)
+	full := testPeer("n", true, 20, 100, 100)
+	c.Assert(choicesOf(far, full, far), qt.Equals, 1000)
 }
 
-// A near server that is many times slower holds the slots of all who call it; it used to get every request
-// until it was three quarters full.
-func TestASlowNearServerIsLeft(t *testing.T) {
+// A near server that is many times slower holds the slots of all its callers. It used to get every request until three
+// quarters of its slots were in use.
+func TestMuchSlowerNearServerIsNotChosen(t *testing.T) {
 	c := qt.New(t)
-	slow, far := server("n", true, 5, 1200, 100), server("f", false, 5, 100, 100)
-	c.Assert(share(far, slow, far), qt.Equals, 1000)
-	usual := server("n", true, 5, 240, 100)
-	c.Assert(share(usual, usual, far), qt.Equals, 1000)
+	slow, far := testPeer("n", true, 5, 1200, 100), testPeer("f", false, 5, 100, 100)
+	c.Assert(choicesOf(far, slow, far), qt.Equals, 1000)
+	usual := testPeer("n", true, 5, 240, 100)
+	c.Assert(choicesOf(usual, usual, far), qt.Equals, 1000)
 }
 
-// A server that fails fast looks idle.
-func TestAFailingServerIsntTakenForAnIdleOne(t *testing.T) {
+// A server that fails fast has few requests in progress and so looks idle.
+func TestFastFailingServerIsNotTreatedAsIdle(t *testing.T) {
 	c := qt.New(t)
-	grey, far := server("n", true, 2, 25, 30), server("f", false, 10, 100, 100)
-	c.Assert(share(far, grey, far), qt.Equals, 1000)
-	allGrey := server("f", false, 2, 25, 30)
-	c.Assert(share(grey, grey, allGrey), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
+	grey, far := testPeer("n", true, 2, 25, 30), testPeer("f", false, 10, 100, 100)
+	c.Assert(choicesOf(far, grey, far), qt.Equals, 1000)
+	allGrey := testPeer("f", false, 2, 25, 30)
+	c.Assert(choicesOf(grey, grey, allGrey), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
 }
 
-func TestSetAsideServersAreTheLastResort(t *testing.T) {
+func TestBackedOffServersAreTheLastResort(t *testing.T) {
 	c := qt.New(t)
-	a, b := server("a", true, 0, 100, 100), server("b", true, 15, 100, 100)
+	a, b := testPeer("a", true, 0, 100, 100), testPeer("b", true, 15, 100, 100)
 	a.backOff(chooseTime)
-	c.Assert(share(b, a, b), qt.Equals, 1000)
+	c.Assert(choicesOf(b, a, b), qt.Equals, 1000)
 	b.receivedExchange(chooseTime, true)
-	c.Assert(choose(chooseTime, []*peer{a}, nil, comparison{}), qt.Equals, a)
-	c.Assert(choose(chooseTime, []*peer{a}, []*peer{a}, comparison{}), qt.IsNil)
-	c.Assert(choose(chooseTime, nil, nil, comparison{}), qt.IsNil)
+	c.Assert(chooseServer(chooseTime, []*peer{a}, nil, comparisonOptions{}), qt.Equals, a)
+	c.Assert(chooseServer(chooseTime, []*peer{a}, []*peer{a}, comparisonOptions{}), qt.IsNil)
+	c.Assert(chooseServer(chooseTime, nil, nil, comparisonOptions{}), qt.IsNil)
 	c.Assert(a.usable(chooseTime.Add(minPeerBackoff)), qt.IsTrue)
 }
 
 func BenchmarkChoose(b *testing.B) {
 	var list []*peer
 	for i := range 12 {
-		list = append(list, server("x", i < 4, i, 100, 100))
+		list = append(list, testPeer("x", i < 4, i, 100, 100))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		choose(chooseTime, list, nil, comparison{})
+		chooseServer(chooseTime, list, nil, comparisonOptions{})
 	}
 }
 
-// A soak lost a request on a connection that a stopping node closed just then: it was the only server left, and
-// had refused for two seconds.
-func TestANodeThatHasBeenStoppingForLongGetsNothing(t *testing.T) {
+// A stopping node was the only server left and had refused requests for two seconds. A request sent to it as a last
+// resort was lost when the node closed the connection at that moment.
+func TestLongStoppingNodeGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
-	p := server("n", true, 0, 100, 100)
+	p := testPeer("n", true, 0, 100, 100)
 	p.receivedExchange(chooseTime, true)
 	list := []*peer{p}
-	c.Assert(choose(chooseTime.Add(peerServingTime-time.Millisecond), list, nil, comparison{}), qt.Equals, p, qt.Commentf("it still serves, and there is no other"))
+	c.Assert(chooseServer(chooseTime.Add(peerServingTime-time.Millisecond), list, nil, comparisonOptions{}), qt.Equals, p, qt.Commentf("it still serves, and there is no other"))
 	p.receivedExchange(chooseTime.Add(time.Second), true)
-	c.Assert(choose(chooseTime.Add(peerServingTime), list, nil, comparison{}), qt.IsNil)
+	c.Assert(chooseServer(chooseTime.Add(peerServingTime), list, nil, comparisonOptions{}), qt.IsNil)
 	p.receivedExchange(chooseTime.Add(3*time.Second), false)
-	c.Assert(choose(chooseTime.Add(3*time.Second), list, nil, comparison{}), qt.Equals, p, qt.Commentf("it has started again"))
+	c.Assert(chooseServer(chooseTime.Add(3*time.Second), list, nil, comparisonOptions{}), qt.Equals, p, qt.Commentf("it has started again"))
 }
 
-// evenly holds the choices of many requests against each server's part of them: at most half as much again, in a zone of
-// twenty servers that are all as busy.
-func evenly(c *qt.C, list []*peer, taken func(*peer) bool) {
+// checkEvenChoices checks that the open servers share many choices evenly: none gets more than half as much again as
+// its part, in a zone of twenty equally busy servers. open reports the servers that may be chosen.
+func checkEvenChoices(c *qt.C, list []*peer, open func(*peer) bool) {
 	const perServer = 400
 	chosen := map[*peer]int{}
-	open := 0
+	openCount := 0
 	for _, p := range list {
-		if taken(p) {
-			open++
+		if open(p) {
+			openCount++
 		}
 	}
-	for range open * perServer {
-		chosen[choose(chooseTime, list, nil, comparison{})]++
+	for range openCount * perServer {
+		chosen[chooseServer(chooseTime, list, nil, comparisonOptions{})]++
 	}
-	c.Assert(chosen, qt.HasLen, open)
+	c.Assert(chosen, qt.HasLen, openCount)
 	for p, n := range chosen {
 		c.Check(n < perServer*3/2, qt.IsTrue, qt.Commentf("%s: %d, %d are even", p.host, n, perServer))
 	}
 }
 
-// zonesOf returns servers in the order of their hosts, as the directory has them: those of one zone stand together.
-func zonesOf(zones, perZone int, near func(zone int) bool, running func(zone int) int) []*peer {
+// peersInZones returns servers ordered by host as the directory orders them, so that the servers of a zone are
+// adjacent.
+func peersInZones(zones, perZone int, near func(zone int) bool, running func(zone int) int) []*peer {
 	var list []*peer
 	for zone := range zones {
 		for i := range perZone {
-			list = append(list, server(fmt.Sprintf("10.0.%d.%02d", zone, i), near(zone), running(zone), 100, 100))
+			list = append(list, testPeer(fmt.Sprintf("10.0.%d.%02d", zone, i), near(zone), running(zone), 100, 100))
 		}
 	}
 	return list
 }
 
-// Of five zones with twenty servers each the first server of the own zone got 6,447 of 8,000 calls while all were as busy.
-func TestCallsGoEvenlyToTheServersOfAZone(t *testing.T) {
-	list := zonesOf(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
-	evenly(qt.New(t), list, func(p *peer) bool { return p.sameZone.Load() })
+// With five zones of twenty equally busy servers, the first server of the own zone got 6,447 of 8,000 calls.
+func TestCallsAreEvenAcrossServersOfOwnZone(t *testing.T) {
+	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
+	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.sameZone.Load() })
 }
 
-func TestCallsGoEvenlyToTheServersOfOtherZones(t *testing.T) {
+func TestCallsAreEvenAcrossServersOfOtherZones(t *testing.T) {
 	inZone2 := func(zone int) bool { return zone == 2 }
-	list := zonesOf(5, 20, inZone2, func(zone int) int { return map[bool]int{true: 40, false: 5}[inZone2(zone)] })
-	evenly(qt.New(t), list, func(p *peer) bool { return !p.sameZone.Load() })
+	list := peersInZones(5, 20, inZone2, func(zone int) int { return map[bool]int{true: 40, false: 5}[inZone2(zone)] })
+	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return !p.sameZone.Load() })
 }
 
-// Those that are set aside don't leave their part to their neighbours.
-func TestCallsGoEvenlyToTheServersThatAreLeft(t *testing.T) {
-	list := zonesOf(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
+// The share of backed off servers must not go to their neighbours in the list.
+func TestCallsAreEvenWhenServersAreBackedOff(t *testing.T) {
+	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	for i := 44; i < 52; i++ {
 		list[i].backOff(chooseTime)
 	}
-	evenly(qt.New(t), list, func(p *peer) bool { return p.sameZone.Load() && p.usable(chooseTime) })
+	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.sameZone.Load() && p.usable(chooseTime) })
 }
 
-// BenchmarkChooseOfMany is a choice in a service of 95 servers in five zones.
+// BenchmarkChooseOfMany measures a choice in a service of 95 servers in five zones.
 func BenchmarkChooseOfMany(b *testing.B) {
-	list := zonesOf(5, 19, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
+	list := peersInZones(5, 19, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	b.ReportAllocs()
 	for b.Loop() {
-		choose(chooseTime, list, nil, comparison{})
+		chooseServer(chooseTime, list, nil, comparisonOptions{})
 	}
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -30,12 +30,12 @@
 	retainedRuns        loads.RetainedRuns
 	retainedDemand      loads.RetainedDemand
 	attemptRates        map[string]float64 // first attempts a second by kind, as last counted
-	internalRoutes      judgedRoutes
+	internalRoutes      internalRoutes
 	localZoneLoad       zoneLoad // aggregate load of this zone, as last sent
 	zoneHosts           []string // known VMs of this zone
 	reportSeq           int64
 	usableFraction      overload.UsableFractionController
-	suspects            suspectNews
+	suspects            suspectUpdates
 	gateUtilization     float64 // utilization of the local gate's slots, smoothed
 	nextStatsUpdate     time.Time
 	members             zoneMembers
@@ -114,9 +114,9 @@
 	n.gate.Expire(now)
 	n.gateMu.Unlock()
 	n.backOffUnresponsivePeers(now)
-	n.askForAwaited(ctx, now)
+	n.queryOverdueRequests(ctx, now)
 	n.fetchNewer(now)
-	n.tellCleared(now)
+	n.sendCleared(now)
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
 		n.forEachPool((*httpconn.Pool).Sweep)
@@ -172,7 +172,7 @@
 	}
 	n.view.Store(v)
 	n.knownNodes.Store(int64(len(all)))
-	n.tuneBudget()
+	n.updateRetryBudget()
 }
 
 // localServerChanged applies a change of the local backend server, first at the gate, then for other nodes.
@@ -240,7 +240,7 @@
 			n.localServerChanged(before.Since != n.control.localServer.Record().Since)
 		}
 		if n.control.localServer.Record().Lifetime() == r.Lifetime() {
-			n.noteAway(false)
+			n.setNotListening(false)
 		}
 		generation = n.control.localServer.Record().Generation
 	})
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -7,7 +7,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// inboundHandler serves other nodes: their requests to this VM's backend server, and exchanges.
+// inboundHandler returns the handler for other nodes: their requests to this VM's backend server, exchanges and
+// queries.
 func (n *Node) inboundHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headerCall) != "" {
@@ -31,10 +32,11 @@
 	})
 }
 
+// serveInbound passes a peer's request to this VM's backend server and writes the answer.
 func (n *Node) serveInbound(w http.ResponseWriter, r *http.Request) {
 	c, err := parseCall(r.Header.Get(headerCall))
 	if err != nil {
-		n.callLog.Warn("peer request refused", "err", err, "peer", r.RemoteAddr)
+		n.callLog.Warn("invalid peer request", "err", err, "peer", r.RemoteAddr)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -43,33 +45,33 @@
 	defer n.peerRequests.Start(r.Header.Get(n.names.AttemptID))()
 	n.noticeVersion(r.RemoteAddr, c.Version)
 	if n.stop.refusesPeers() {
-		n.reply(w, refused(wire.ReasonLeaving))
+		n.writeReply(w, notRunAnswer(wire.ReasonLeaving))
 		return
 	}
 	q, err := n.newRequest(r, c, 0)
 	var a *answer
 	if err != nil {
-		a = refused(wire.ReasonBadRequest)
+		a = notRunAnswer(wire.ReasonBadRequest)
 	} else {
 		ctx, cancel := n.timeLimits.Context(r.Context(), n.clock, q.deadline.Add(inboundGrace))
 		defer cancel()
 		a = n.backend.serve(ctx, q)
 	}
-	n.reply(w, a)
+	n.writeReply(w, a)
 }
 
-// inboundGrace is how long past a request's deadline the answer is still awaited: the sender's own clock
-// ends it, and a little delay on the way must not break off what is just ready.
+// inboundGrace is how long after a request's deadline its answer is still awaited. The sender's own clock ends the
+// request, and a small network delay must not cut off an answer that is just ready.
 const inboundGrace = 100 * time.Millisecond
 
-// reply answers the node that sent a request.
-func (n *Node) reply(w http.ResponseWriter, a *answer) {
+// writeReply writes the answer to the node that sent the request.
+func (n *Node) writeReply(w http.ResponseWriter, a *answer) {
 	w.Header().Set(headerReply, n.replyHeader(a).encode())
 	if n.stop.stopping() {
 		w.Header().Set("Connection", "close")
 	}
 	if a.outcome == wire.Ran {
-		a.header.Del(n.names.AttemptID) // the other side knows it
+		a.header.Del(n.names.AttemptID) // the sender knows it
 		a.write(w)
 		return
 	}
@@ -78,30 +80,30 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// replyHeader puts the load of this VM's server beside what became of a request.
-func (n *Node) replyHeader(a *answer) reply {
+// replyHeader returns the metadata for an answer, with the current load of this VM's server.
+func (n *Node) replyHeader(a *answer) peerReply {
 	n.gateMu.Lock()
 	g := n.gate.Snapshot()
 	n.gateMu.Unlock()
-	return reply{
-		Outcome: a.outcome, Reason: a.reason, ByServer: a.arrived,
-		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Pace: int(g.Slowdown*100 + 0.5),
-		Success: int(g.SuccessShare*(1-g.ShedShare)*100 + 0.5), Stopping: n.stop.stopping(), Gone: a.gone, Version: n.version(),
-		Ended: a.ended, ComeBack: a.comeBack,
+	return peerReply{
+		Outcome: a.outcome, Reason: a.reason, RefusedByServer: a.arrived,
+		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Slowdown: int(g.Slowdown*100 + 0.5),
+		Success: int(g.SuccessShare*(1-g.ShedShare)*100 + 0.5), Stopping: n.stop.stopping(), NotListening: a.notListening, Version: n.version(),
+		CrashedLifetime: a.crashedLifetime, RetryAfter: a.retryAfter,
 	}
 }
 
-// newRequest reads a request; most bounds its body, 0 for no bound.
-func (n *Node) newRequest(r *http.Request, c call, most int64) (*request, error) {
+// newRequest reads a request; maxBytes bounds its body, 0 for no bound. The error is a *bodyError.
+func (n *Node) newRequest(r *http.Request, c peerCall, maxBytes int64) (*request, error) {
 	q := &request{
-		call: c, id: r.Header.Get(n.names.AttemptID), method: r.Method, uri: r.RequestURI, host: r.Host,
-		header: endToEnd(r.Header),
+		peerCall: c, id: r.Header.Get(n.names.AttemptID), method: r.Method, uri: r.RequestURI, host: r.Host,
+		header: endToEndHeaders(r.Header),
 	}
-	left := millis(r.Header.Get(n.names.TimeLeft))
+	left := parseMillis(r.Header.Get(n.names.TimeLeft))
 	if left == 0 {
 		left = defaultTimeLeft
 	}
 	q.deadline = n.clock.Now().Add(left)
 	q.clientDeadline = q.deadline
-	return q, q.readBody(r, most)
+	return q, q.readBody(r, maxBytes)
 }
--- a/pkg/mesh/keep_learned.go
+++ b/pkg/mesh/keep_learned.go
@@ -73,7 +73,7 @@
 		if run, known := runs[route]; known {
 			l.Times[route] = loads.RunTiming{Rate: run.Rate, HoldSeconds: run.HoldSeconds}
 		}
-		if n.control.internalRoutes.called[route] {
+		if n.control.internalRoutes.internal[route] {
 			l.InternalRoutes = append(l.InternalRoutes, route)
 		}
 	}
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/keep_learned_test.go
@@ -115,7 +115,7 @@
 	low.halt()
 	s.start(1)
 	low = s.nodes[1]
-	s.waitFor("the restarted node knows the calls", func() bool { return low.isInner("called") })
+	s.waitFor("the restarted node knows the calls", func() bool { return low.isInternalRoute("called") })
 	c.Assert(low.knowledge.complete.Load(), qt.IsTrue)
 	low.stats.drop(time.Now(), low.stats.begin(time.Now(), "called", time.Now()))
 	low.stats.mu.Lock()
@@ -183,10 +183,10 @@
 		n.control.reports = map[string]*heldReport{"x": {heard: now, Report: loads.Report{
 			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, WithoutCaller: 90}, "root": {Fresh: 100, WithoutCaller: 90}},
 		}}}
-		n.judgeRoutes(now)
-		soon := n.control.internalRoutes.called["called"] && !n.control.internalRoutes.called["root"]
-		n.judgeRoutes(now.Add(judgedBefore))
-		judged <- [2]bool{soon, n.control.internalRoutes.called["called"]}
+		n.updateInternalRoutes(now)
+		soon := n.control.internalRoutes.internal["called"] && !n.control.internalRoutes.internal["root"]
+		n.updateInternalRoutes(now.Add(restoredDecisionTime))
+		judged <- [2]bool{soon, n.control.internalRoutes.internal["called"]}
 	})
 	c.Assert(<-judged, qt.Equals, [2]bool{true, false})
 }
--- a/pkg/mesh/mesh_options.go
+++ b/pkg/mesh/mesh_options.go
@@ -45,7 +45,7 @@
 	// WriteLearned stores what was learned about the runs of one service; any node of the service may write it.
 	WriteLearned func(ctx context.Context, l loads.Learned) error
 	// WriteQuarantined replaces the stored quarantined requests of one service.
-	WriteQuarantined func(ctx context.Context, h HeldBack) error
+	WriteQuarantined func(ctx context.Context, h Quarantined) error
 }
 
 // Cursor is a position in the store's history. Versions of different epochs can't be compared: a store restored from a copy
@@ -59,7 +59,7 @@
 type Stored struct {
 	Records     []directory.Record
 	Learned     []loads.Learned
-	Quarantined []HeldBack
+	Quarantined []Quarantined
 	// Unreadable has an error for each row that isn't a node's or can't be decoded; the other rows are valid.
 	Unreadable []error
 }
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -119,7 +119,7 @@
 	n.roles.Store(&teamRoles{})
 	n.knowledge.told = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
-	n.tuneBudget()
+	n.updateRetryBudget()
 	n.view.Store(&view{})
 	n.servers = n.newServers(o.Settings.Listen, o.Control(n))
 	return n, nil
@@ -147,7 +147,7 @@
 	n.startBackground(func() { n.syncRecords(ctx) })
 	n.startBackground(func() { n.writeRecords(ctx) })
 	n.startBackground(func() { n.keepLearned(ctx) })
-	n.startBackground(func() { n.keepHeld(ctx) })
+	n.startBackground(func() { n.storeQuarantined(ctx) })
 	n.startBackground(func() { n.keepProofFresh(ctx) })
 	n.controlLog.Info("started", "host", n.ip, "zone", n.cfg.Zone, "service", n.cfg.Service, "epoch", n.epoch, "off", n.cfg.Mesh.Off)
 	return nil
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -98,7 +98,7 @@
 // operatorsHandler serves operators: the quarantined requests at HeldBackPath, and the metrics at any other path.
 func (n *Node) operatorsHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(HeldBackPath, n.heldBackHandler())
+	mux.Handle(QuarantinePath, n.quarantineHandler())
 	mux.Handle("/", n.metricsHandler())
 	return mux
 }
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -11,10 +11,10 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// outboundHandler serves clients and the backend server on this VM.
+// outboundHandler returns the handler for clients and for the backend server on this VM.
 func (n *Node) outboundHandler() http.Handler { return http.HandlerFunc(n.serveOutbound) }
 
-// serveOutbound finds the route of a request.
+// serveOutbound matches the request to a route, authenticates it, checks quota and admission, and forwards it.
 func (n *Node) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	done := n.stop.beginRequest()
 	defer done()
@@ -29,7 +29,7 @@
 	n.awaitLearned(r.Context())
 	route := state.Match(r.Host, r.RequestURI)
 	if route == nil {
-		n.noRoute(w, r)
+		n.refuseNoRoute(w, r)
 		return
 	}
 	if r.Header.Get(n.names.AttemptID) == "" {
@@ -38,7 +38,7 @@
 	}
 	state, route = n.awaitFreshnessProof(r, state, route)
 	if route == nil {
-		n.noRoute(w, r)
+		n.refuseNoRoute(w, r)
 		return
 	}
 	team, refusal := n.authenticate(r, state, route)
@@ -46,7 +46,7 @@
 		n.refuseKey(w, r, route, refusal)
 		return
 	}
-	q, err := n.newRequest(r, n.callOf(state, route), state.Limits.BodyBytes)
+	q, err := n.newRequest(r, n.newPeerCall(state, route), state.Limits.BodyBytes)
 	if err != nil {
 		n.refuseBody(w, r, err)
 		return
@@ -57,10 +57,10 @@
 		return
 	}
 	n.stats.begins(n.clock.Now(), q.kind(), q.clientDeadline)
-	if q.Inner {
+	if q.Internal {
 		n.stats.called(n.clock.Now(), route.Name, q.clientDeadline)
 	}
-	if a := n.refuseEntry(q); a != nil {
+	if a := n.entryRefusal(q); a != nil {
 		n.returnQuotaToken(q)
 		n.writeFinal(w, q, a)
 		return
@@ -68,32 +68,32 @@
 	n.serveRouted(w, r, q, route)
 }
 
-// callOf returns what the chosen server's node is told of a request of the route.
-func (n *Node) callOf(state *desired.State, route *desired.Route) call {
-	return call{
-		Service: pickTarget(route), Route: route.Name, Caller: n.cfg.Service, Priority: route.Priority,
-		Inner: n.isInner(route.Name), Once: route.Kind == desired.Once, Version: state.Version,
+// newPeerCall returns the metadata that is sent with a request of the route to the node of the chosen server.
+func (n *Node) newPeerCall(state *desired.State, route *desired.Route) peerCall {
+	return peerCall{
+		Service: pickTargetService(route), Route: route.Name, Caller: n.cfg.Service, Priority: route.Priority,
+		Internal: n.isInternalRoute(route.Name), Once: route.Kind == desired.Once, Version: state.Version,
 	}
 }
 
-// refuseEntry returns the answer to a request that isn't taken in, or nil: new ones are turned away late in
-// a planned stop, and by admission.
-func (n *Node) refuseEntry(q *request) *answer {
-	if n.stop.refusesClients() && !q.Inner {
-		return refused(wire.ReasonLeaving)
+// entryRefusal returns the answer to a request that isn't admitted, or nil if it is. New requests are rejected late in
+// a planned stop, when they are quarantined, and by admission.
+func (n *Node) entryRefusal(q *request) *answer {
+	if n.stop.refusesClients() && !q.Internal {
+		return notRunAnswer(wire.ReasonLeaving)
 	}
-	if j := n.judge(q); j.Treatment == poison.Quarantined {
-		return n.heldBack(q, j)
+	if j := n.suspectDecision(q); j.Treatment == poison.Quarantined {
+		return n.quarantineRefusal(q, j)
 	}
 	if !n.admit(q, q.deadline.Sub(n.clock.Now())) {
-		a := refused(wire.ReasonLevel)
+		a := notRunAnswer(wire.ReasonLevel)
 		a.overloaded = true
 		return a
 	}
 	return nil
 }
 
-// serveRouted sends a request that was taken in.
+// serveRouted forwards an admitted request and writes its answer.
 func (n *Node) serveRouted(w http.ResponseWriter, r *http.Request, q *request, route *desired.Route) {
 	if route.Timeout > 0 {
 		if end := n.clock.Now().Add(route.Timeout); end.Before(q.deadline) {
@@ -102,22 +102,23 @@
 	}
 	ctx, cancel := n.timeLimits.Context(r.Context(), n.clock, q.deadline)
 	defer cancel()
-	n.earnRepeats(q)
-	begun := n.clock.Now()
+	n.earnRetryBudget(q)
+	started := n.clock.Now()
 	d := &delivery{n: n, q: q, route: route}
 	a := d.run(ctx)
 	if a.outcome == wire.Ran {
-		n.metrics.observe(n.clock.Now().Sub(begun), "request_seconds", "route", route.Name)
+		n.metrics.observe(n.clock.Now().Sub(started), "request_seconds", "route", route.Name)
 	}
 	if a.outcome != wire.Ran && r.Context().Err() == nil {
 		n.callLog.Info("not served", "request", q.id, "route", route.Name, "service", q.Service, "outcome", a.outcome,
-			"reason", a.reason, "arrivals", d.arrivals, "tried", len(d.tried), "version", q.Version, "inner", q.Inner)
+			"reason", a.reason, "arrivals", d.arrivals, "tried", len(d.tried), "version", q.Version, "inner", q.Internal)
 	}
 	n.writeFinal(w, q, a)
 }
 
-// noRoute answers a request that no route matches; where the desired state may be old, the route may well exist.
-func (n *Node) noRoute(w http.ResponseWriter, r *http.Request) {
+// refuseNoRoute answers a request that no route matches: with 404, or with 503 while the desired state may be out of
+// date, since a newer one may have the route.
+func (n *Node) refuseNoRoute(w http.ResponseWriter, r *http.Request) {
 	if !n.sureOfState() {
 		n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusServiceUnavailable)
 		return
@@ -125,7 +126,7 @@
 	n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusNotFound)
 }
 
-// refuseBody answers a request whose body is too long or broke off.
+// refuseBody answers a request whose body is too long or ended early.
 func (n *Node) refuseBody(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	var b *bodyError
@@ -135,19 +136,19 @@
 	n.refuseUnrouted(w, r, wire.ReasonBadRequest, status)
 }
 
-// oldStateRetry is when those should come back, on average, whose key can't be judged: the store is away, which takes longer to pass
-// than an overload.
-const oldStateRetry = time.Second
+// oldStateRetryDelay is the mean retry delay for a request whose key can't be checked. The store is then unavailable,
+// which lasts longer than an overload.
+const oldStateRetryDelay = time.Second
 
-// retryAfterOf returns when to come back after a refusal, on average.
-func retryAfterOf(reason wire.Reason) time.Duration {
+// retryDelayFor returns the mean delay after which a client should retry a refusal for the reason.
+func retryDelayFor(reason wire.Reason) time.Duration {
 	if reason == wire.ReasonOldState {
-		return oldStateRetry
+		return oldStateRetryDelay
 	}
-	return retryBase
+	return minRetryDelay
 }
 
-// refuseUnrouted answers a request that can't be sent anywhere.
+// refuseUnrouted refuses a request before it is routed to a service, with the reason and HTTP status.
 func (n *Node) refuseUnrouted(w http.ResponseWriter, r *http.Request, reason wire.Reason, status int) {
 	id := r.Header.Get(n.names.AttemptID)
 	n.callLog.Info("refused", "request", id, "host", r.Host, "path", r.URL.Path, "reason", reason, "status", status)
@@ -156,7 +157,7 @@
 		h.Set(n.names.AttemptID, id)
 	}
 	if status == http.StatusServiceUnavailable {
-		h.Set("Retry-After", retryAfter(jitter(retryAfterOf(reason))))
+		h.Set("Retry-After", formatRetryAfter(jitter(retryDelayFor(reason))))
 	}
 	if n.stop.stopping() {
 		h.Set("Connection", "close")
@@ -165,8 +166,8 @@
 	w.WriteHeader(status)
 }
 
-// pickTarget chooses the service of a split route by weight.
-func pickTarget(r *desired.Route) string {
+// pickTargetService returns one of the route's target services, chosen at random by weight.
+func pickTargetService(r *desired.Route) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -134,12 +134,12 @@
 }
 
 // receivedReply takes over the load that came with an answer and ends the backoff.
-func (p *peer) receivedReply(now time.Time, r reply) {
+func (p *peer) receivedReply(now time.Time, r peerReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.load = serverLoad{
 		otherRequests: max(int64(r.Running+r.Queued)-p.inflight.Load(), 0),
-		limit:         float64(r.Limit), slowdown: float64(r.Pace) / 100, success: float64(r.Success) / 100, receivedAt: now,
+		limit:         float64(r.Limit), slowdown: float64(r.Slowdown) / 100, success: float64(r.Success) / 100, receivedAt: now,
 	}
 	p.endBackoff()
 	p.setStopping(now, r.Stopping)
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -16,26 +16,26 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// The site of these tests has servers of one service in three availability zones, and in each zone a node beside a server of
-// another service where requests come in. Reads take 60 ms, of which 200 come in a second, each for something else.
+// The site of these tests has servers of one service in three availability zones, and in each zone an entry node beside a
+// server of another service, where requests arrive. There are 200 reads a second of 60 ms each, all with different paths.
 const (
 	poisonSlots   = 40
 	poisonEntries = 3
 	readWork      = 60 * time.Millisecond
 	readsPerS     = 200
-	// firstLife is how long a server that ended is away, at least; some take up to a second more.
-	firstLife = 2 * time.Second
-	// poisonPath begins the path of each request that ends the servers that run it, popularPath is one that many callers send.
+	// minRestartDelay is the least time until a crashed server is back; some take up to a second more.
+	minRestartDelay = 2 * time.Second
+	// poisonPath is the path prefix of poison requests; popularPath is a path that many callers request.
 	poisonPath  = "/read/poison"
 	popularPath = "/read/popular"
 )
 
-// poisonSite is that site, with what became of its servers.
+// poisonSite is that site, with counts of crashes and served reads.
 type poisonSite struct {
 	*site
-	sameID  bool          // servers come back under the instance that they had
-	queries bool          // every second poison request has a query, another one each time
-	fuse    time.Duration // from the begin of a run of the poison request to the end of its server
+	sameID     bool          // servers restart under their old instance name
+	queries    bool          // every second poison request has a query, each a different one
+	crashDelay time.Duration // from the start of a poison run to the crash of its server
 
 	mu     sync.Mutex
 	poison map[string]*poisonRuns // by path
@@ -44,49 +44,50 @@
 	work   sync.WaitGroup
 }
 
-// poisonRuns are the times at which a poison request reached a server, and at which servers ended under it.
-type poisonRuns struct{ sent, ended []time.Time }
+// poisonRuns are the times when a poison request reached a server, and when servers crashed during it.
+type poisonRuns struct{ sent, crashes []time.Time }
 
-// of returns the runs of a poison request; p.mu is held.
-func (p *poisonSite) of(path string) *poisonRuns {
+// runsFor returns the runs of a poison request; the caller holds p.mu.
+func (p *poisonSite) runsFor(path string) *poisonRuns {
 	if p.poison[path] == nil {
 		p.poison[path] = &poisonRuns{}
 	}
 	return p.poison[path]
 }
 
-// noteSent and noteEnded note that a poison request reached a server, and that one ended under it.
-func (p *poisonSite) noteSent(path string) {
+// recordSend records that a poison request reached a server.
+func (p *poisonSite) recordSend(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.of(path)
+	r := p.runsFor(path)
 	r.sent = append(r.sent, time.Now())
 }
 
-func (p *poisonSite) noteEnded(path string) {
+// recordCrash records that a server crashed during a poison request.
+func (p *poisonSite) recordCrash(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.of(path)
-	r.ended = append(r.ended, time.Now())
+	r := p.runsFor(path)
+	r.crashes = append(r.crashes, time.Now())
 }
 
-// ends returns how many servers ended under any request.
-func (p *poisonSite) ends() int {
+// crashCount returns how many servers crashed during any poison request.
+func (p *poisonSite) crashCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, r := range p.poison {
-		n += len(r.ended)
+		n += len(r.crashes)
 	}
 	return n
 }
 
-// readCount is what became of the reads that were sent in one second.
+// readCount counts the outcomes of the reads that were sent in one second.
 type readCount struct{ sent, served, refused int }
 
-// newPoisonSite starts the site with some servers of the service.
-func newPoisonSite(t *testing.T, servers int, fuse time.Duration) *poisonSite {
-	p := &poisonSite{site: newMemorySite(t), fuse: fuse, poison: map[string]*poisonRuns{}, reads: map[int]*readCount{}, from: time.Now()}
+// newPoisonSite starts the site with the number of servers of the service.
+func newPoisonSite(t *testing.T, servers int, crashDelay time.Duration) *poisonSite {
+	p := &poisonSite{site: newMemorySite(t), crashDelay: crashDelay, poison: map[string]*poisonRuns{}, reads: map[int]*readCount{}, from: time.Now()}
 	p.seeds = []string{p.at(p.base+"1", 2), p.at(p.base+"2", 2), p.at(p.base+"3", 2)}
 	for i := range poisonEntries {
 		p.addFor("e", i, nil)
@@ -101,7 +102,7 @@
 	return p
 }
 
-// addFor adds a node beside a server of the service in one of three zones.
+// addFor adds a node beside a server of the service in one of three zones; serve handles its requests if set.
 func (p *poisonSite) addFor(service string, i int, serve func(*fakeServer, http.ResponseWriter, *http.Request)) {
 	_, f := p.add(service, fmt.Sprint("z", i%3), poisonSlots)
 	p.t.Cleanup(f.client.CloseIdleConnections)
@@ -110,26 +111,26 @@
 	}
 }
 
-// serve runs one request; the poison request ends the server after a while, answered or not.
+// serve runs one request; a poison request crashes the server after crashDelay, whether or not it was answered.
 func (p *poisonSite) serve(f *fakeServer, w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if path := r.URL.Path; strings.HasPrefix(path, poisonPath) {
-		p.noteSent(path)
+		p.recordSend(path)
 		life := f.lifetimeNumber.Load()
-		time.Sleep(p.fuse)
-		if p.endServer(f, life) {
-			p.noteEnded(path)
+		time.Sleep(p.crashDelay)
+		if p.crashServer(f, life) {
+			p.recordCrash(path)
 		}
-		closeConnection(w) // a server that has ended answers nothing, not even a copy that ran there in the same instant
+		closeConnection(w) // a crashed server answers nothing, not even a copy that ran there at the same time
 		return
 	}
 	time.Sleep(around(readWork))
 	fmt.Fprint(w, "ok")
 }
 
-// endServer ends one life of a server, which starts anew under another id after some seconds; it reports whether that life went on
-// until now.
-func (p *poisonSite) endServer(f *fakeServer, life int64) bool {
+// crashServer ends the given lifetime of a server, which restarts after some seconds, under a new instance unless
+// sameID is set. It reports whether that lifetime was still running.
+func (p *poisonSite) crashServer(f *fakeServer, life int64) bool {
 	if f.down.Load() || !f.lifetimeNumber.CompareAndSwap(life, life+1) {
 		return false
 	}
@@ -139,7 +140,7 @@
 	f.mu.Unlock()
 	srv.Close()
 	p.work.Go(func() {
-		time.Sleep(firstLife + rand.N(time.Second))
+		time.Sleep(minRestartDelay + rand.N(time.Second))
 		next := &http.Server{Addr: srv.Addr, Handler: f}
 		f.mu.Lock()
 		f.srv = next
@@ -162,11 +163,11 @@
 	return true
 }
 
-// differentReads gives each read something else to ask for.
+// differentReads returns a different path for each read.
 func differentReads(i int) string { return fmt.Sprint("/read/", i) }
 
-// askReads sends reads to the entry nodes for a time; path gives what each asks for.
-func (p *poisonSite) askReads(span time.Duration, path func(i int) string) {
+// sendReads sends reads to the entry nodes for the time span; path returns the path of each.
+func (p *poisonSite) sendReads(span time.Duration, path func(i int) string) {
 	for i := range int(span.Seconds() * readsPerS) {
 		p.work.Go(func() {
 			second := int(time.Since(p.from) / time.Second)
@@ -190,13 +191,13 @@
 	}
 }
 
-// askPoison sends the poison request so many times a second, for a time, to the entry nodes that are named in turn.
-func (p *poisonSite) askPoison(span time.Duration, perS int, entries ...int) {
-	p.askFor(poisonPath, span, perS, entries...)
+// sendPoison sends the poison request perS times a second for the time span, to the entry nodes in turn.
+func (p *poisonSite) sendPoison(span time.Duration, perS int, entries ...int) {
+	p.sendPath(poisonPath, span, perS, entries...)
 }
 
-// askFor does the same with the request for a path.
-func (p *poisonSite) askFor(path string, span time.Duration, perS int, entries ...int) {
+// sendPath does the same with requests for the path.
+func (p *poisonSite) sendPath(path string, span time.Duration, perS int, entries ...int) {
 	for i := range int(span.Seconds() * float64(perS)) {
 		p.work.Go(func() {
 			uri := path
@@ -209,7 +210,7 @@
 	}
 }
 
-// finish waits for all that was asked and tells what became of it by second.
+// finish waits for all requests and logs the outcomes by second.
 func (p *poisonSite) finish() {
 	p.work.Wait()
 	var line strings.Builder
@@ -222,12 +223,12 @@
 		}
 	}
 	for path, r := range p.poison {
-		p.t.Logf("%s: %d servers ended, %d sends", path, len(r.ended), len(r.sent))
+		p.t.Logf("%s: %d servers crashed, %d sends", path, len(r.crashes), len(r.sent))
 	}
 	p.t.Logf("reads served by second:%s", line.String())
 }
 
-// sharesServed returns what part of the reads of some seconds was served.
+// shareServed returns the share of the reads sent in seconds from to to-1 that were served.
 func (p *poisonSite) shareServed(from, to int) float64 {
 	var all readCount
 	for s := from; s < to; s++ {
@@ -239,8 +240,9 @@
 	return float64(all.served) / float64(max(all.sent, 1))
 }
 
-// cutZone cuts a zone off from the others for as long as the value is true; it closes what is open between them.
-func (p *poisonSite) cutZone(zone string) *atomic.Bool {
+// partitionZone partitions a zone from the others while the returned value is true, and closes the open connections
+// between them.
+func (p *poisonSite) partitionZone(zone string) *atomic.Bool {
 	zones := map[string]string{}
 	for _, f := range p.servers {
 		zones[f.ip] = f.zone
@@ -266,25 +268,25 @@
 	return cut
 }
 
-// sendsBeforeFirstEnd counts the times that the request reached a server before any ended.
-func (r *poisonRuns) sendsBeforeFirstEnd() int {
+// sendsBeforeFirstCrash counts the times that the request reached a server before the first crash.
+func (r *poisonRuns) sendsBeforeFirstCrash() int {
 	n := 0
 	for _, at := range r.sent {
-		if len(r.ended) == 0 || at.Before(r.ended[0]) {
+		if len(r.crashes) == 0 || at.Before(r.crashes[0]) {
 			n++
 		}
 	}
 	return n
 }
 
-// sendsAfterThirdEnd counts the times that the request reached a server later than some time after its third end.
-func (r *poisonRuns) sendsAfterThirdEnd(late time.Duration) int {
-	if len(r.ended) < 3 {
+// sendsAfterThirdCrash counts the times that the request reached a server more than delay after the third crash.
+func (r *poisonRuns) sendsAfterThirdCrash(delay time.Duration) int {
+	if len(r.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range r.sent {
-		if at.After(r.ended[2].Add(late)) {
+		if at.After(r.crashes[2].Add(delay)) {
 			n++
 		}
 	}
--- a/pkg/mesh/query_node.go
+++ b/pkg/mesh/query_node.go
@@ -42,7 +42,7 @@
 	res, err := p.post(ctx, since, path, body)
 	if err != nil {
 		// Back off only an unreachable node: one that is busy for a moment can still serve requests.
-		if unsent(err) && ctx.Err() == nil && p.backOff(n.clock.Now()) {
+		if isUnsent(err) && ctx.Err() == nil && p.backOff(n.clock.Now()) {
 			n.controlLog.Warn("peer doesn't answer", "peer", host, "path", path, "err", err)
 		}
 		return err
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -89,7 +89,7 @@
 		whole := len(parts) == 0 // a part may lack the own record, and has some of what was learned
 		if whole {
 			n.recallStored(stored.Learned)
-			n.recallHeld(stored.Quarantined)
+			n.restoreQuarantined(stored.Quarantined)
 			n.noteStored(stored.Records)
 		}
 		n.mergeRecords("store", stored.Records)
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -99,9 +99,9 @@
 
 // overQuotaAnswer returns the refusal of a request for which there is no token; reached reports whether an owner answered.
 func (n *Node) overQuotaAnswer(q *request, reached bool) *answer {
-	a := refused(wire.ReasonQuota)
+	a := notRunAnswer(wire.ReasonQuota)
 	if !reached {
-		a = refused(wire.ReasonNoOwner)
+		a = notRunAnswer(wire.ReasonNoOwner)
 	}
 	a.overloaded = true // the next tokens also go to other waiting requests
 	n.callLog.Info("over quota", "request", q.id, "route", q.Route, "team", q.team.Name, "owner_heard", reached)
--- a/pkg/mesh/unresponsive_peer_test.go
+++ b/pkg/mesh/unresponsive_peer_test.go
@@ -11,14 +11,14 @@
 // all requests of the other zones failed for two seconds.
 func TestUnresponsivePeerIsBackedOff(t *testing.T) {
 	c := qt.New(t)
-	cut, healthy := server("cut", true, 0, 100, 100), server("sound", true, 10, 100, 100)
+	cut, healthy := testPeer("cut", true, 0, 100, 100), testPeer("sound", true, 10, 100, 100)
 	now, usual := chooseTime, 40*time.Millisecond
 	for range minUnansweredSends {
 		cut.recordSend(now, usual)
 		healthy.recordSend(now, usual)
 		now = now.Add(10 * time.Millisecond)
 	}
-	healthy.receivedReply(now, reply{Limit: 20, Pace: 100, Success: 100})
+	healthy.receivedReply(now, peerReply{Limit: 20, Slowdown: 100, Success: 100})
 	c.Assert(cut.becameUnresponsive(now), qt.IsFalse, qt.Commentf("answers may still come"))
 	now = now.Add(minUnresponsiveTime + unresponsiveHoldFactor*usual)
 	c.Assert(healthy.becameUnresponsive(now), qt.IsFalse)
@@ -29,7 +29,7 @@
 	c.Assert(cut.usable(now.Add(maxPeerBackoff)), qt.IsTrue)
 	cut.recordSend(now.Add(maxPeerBackoff), usual)
 	c.Assert(cut.usable(now.Add(maxPeerBackoff)), qt.IsFalse, qt.Commentf("one at a time"))
-	cut.receivedReply(now.Add(maxPeerBackoff), reply{Limit: 20, Pace: 100, Success: 100})
+	cut.receivedReply(now.Add(maxPeerBackoff), peerReply{Limit: 20, Slowdown: 100, Success: 100})
 	c.Assert(cut.usable(now.Add(maxPeerBackoff)), qt.IsTrue)
 }
 
