--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -12,13 +12,13 @@
 const (
 	// planLogPeriod is the time between lines about a plan that holds something down, or lacks costs.
 	planLogPeriod = time.Second
-	// missedRate is the rate a second from which a kind without a known cost is written down: a few requests on a
+	// minUncostedRate is the rate a second from which a kind without a known cost is written down: a few requests on a
 	// route that nobody else asks for are no loss to the plan.
-	missedRate = 5.0
+	minUncostedRate = 5.0
 )
 
-// holdsDown tells whether the plan lets in only a part of some kind.
-func holdsDown(roots []overload.Root, plan *admissionPlan) bool {
+// limitsAnyKind tells whether the plan lets in only a part of some kind.
+func limitsAnyKind(roots []overload.Root, plan *admissionPlan) bool {
 	return slices.ContainsFunc(roots, func(r overload.Root) bool { return plan.shares[r.Route].Fresh < 1 })
 }
 
@@ -28,13 +28,13 @@
 		return
 	}
 	n.control.shown.nextPlan = now.Add(planLogPeriod)
-	demand, costs := demandOf(roots)
-	n.controlLog.Info("admission", "shares", shownShares(plan.shares), "demand", demand, "costs", costs, "capacity", capacity,
-		"without_cost", missing, "reports", len(n.control.reports), "zones", len(n.otherZones(now)))
+	demand, costs := demandAndCosts(roots)
+	n.controlLog.Info("admission", "shares", sharesByDisplayName(plan.shares), "demand", demand, "costs", costs, "capacity", capacity,
+		"without_cost", missing, "reports", len(n.control.reports), "zones", len(n.packedOtherZones(now)))
 }
 
-// shownShares returns the shares by names for people.
-func shownShares(shares map[string]overload.Share) map[string]overload.Share {
+// sharesByDisplayName returns the shares by names for people.
+func sharesByDisplayName(shares map[string]overload.Share) map[string]overload.Share {
 	shown := make(map[string]overload.Share, len(shares))
 	for kind, s := range shares {
 		shown[loads.ShowKind(kind)] = s
@@ -42,11 +42,11 @@
 	return shown
 }
 
-// withoutCost returns the kinds that are asked for and take nothing by what is known.
-func withoutCost(roots []overload.Root) []string {
+// kindsWithoutCost returns the kinds that are asked for and take nothing by what is known.
+func kindsWithoutCost(roots []overload.Root) []string {
 	var routes []string
 	for _, r := range roots {
-		if len(r.Slots) == 0 && r.Fresh+r.Returning >= missedRate {
+		if len(r.Slots) == 0 && r.Fresh+r.Returning >= minUncostedRate {
 			routes = append(routes, loads.ShowKind(r.Route))
 		}
 	}
@@ -54,8 +54,8 @@
 	return routes
 }
 
-// showShares sets the metric of each kind that is held down, or ever was.
-func (n *Node) showShares(plan *admissionPlan) {
+// setShareMetrics sets the metric of each kind that is held down, or ever was.
+func (n *Node) setShareMetrics(plan *admissionPlan) {
 	for route, s := range plan.shares {
 		if s.Fresh < 1 || n.control.shown.shares[route] {
 			n.control.shown.shares[route] = true
@@ -64,9 +64,9 @@
 	}
 }
 
-// demandOf returns the slots that first attempts would take of each service, and the slot seconds of one request
+// demandAndCosts returns the slots that first attempts would take of each service, and the slot seconds of one request
 // of each kind.
-func demandOf(roots []overload.Root) (demand map[string]float64, costs map[string]map[string]float64) {
+func demandAndCosts(roots []overload.Root) (demand map[string]float64, costs map[string]map[string]float64) {
 	demand, costs = map[string]float64{}, map[string]map[string]float64{}
 	for _, r := range roots {
 		costs[loads.ShowKind(r.Route)] = r.Slots
--- a/pkg/mesh/admission_plan_test.go
+++ b/pkg/mesh/admission_plan_test.go
@@ -25,19 +25,19 @@
 	n.control.zones, n.control.shown.shares = map[string]*zoneLoad{}, map[string]bool{}
 	near, far := &peer{host: "n", zone: "a"}, &peer{host: "f", zone: "b"}
 	n.view.Store(&view{services: map[string][]*peer{"top": {near}, "low": {far}}})
-	own := &heldReport{heard: now.Add(time.Hour), Report: loads.Report{
+	own := &nodeReport{receivedAt: now.Add(time.Hour), Report: loads.Report{
 		Host: "n", Service: "top", Room: 10,
 		Entries: map[string]loads.Entry{"root": {Fresh: 10}, "local": {Fresh: 10}},
 		Runs:    map[string]loads.Run{"root": {Rate: 10, Hold: 0.1, Calls: callgraph.Rates{"called": 2}}, "local": {Rate: 10, Hold: 0.1}},
 	}}
-	n.control.reports = map[string]*heldReport{"n": own}
+	n.control.reports = map[string]*nodeReport{"n": own}
 	low := loads.Report{Service: "low", Room: 10, Runs: map[string]loads.Run{"called": {Rate: 20, Hold: 0.1}}}
-	n.takeZones(now, "f", []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: low}})}})
+	n.mergeZoneLoads(now, "f", []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: low}})}})
 	n.replan(now)
 	c.Assert(n.plan.Load().shares["root"].Fresh, qt.Equals, 1.0)
-	n.replan(now.Add(zoneLifeLeast + time.Second))
+	n.replan(now.Add(minZoneLoadTTL + time.Second))
 	c.Assert(n.plan.Load().shares["root"].Fresh, qt.Equals, 0.0)
 	c.Assert(n.plan.Load().shares["local"].Fresh, qt.Equals, 1.0, qt.Commentf("what needs nothing from there is served"))
-	n.replan(now.Add(zoneLifeLeast + loads.KeptTime + 2*time.Second))
+	n.replan(now.Add(minZoneLoadTTL + loads.KeptTime + 2*time.Second))
 	c.Assert(n.plan.Load().shares["root"].Fresh, qt.Equals, 1.0, qt.Commentf("it may have moved"))
 }
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -50,7 +50,7 @@
 	}
 	reason := b.enter(ctx, q)
 	if !q.TurnedAway {
-		b.n.stats.atGate(b.n.clock.Now(), q.Inner, reason == wire.ReasonQueue)
+		b.n.stats.noteGateArrival(b.n.clock.Now(), q.Inner, reason == wire.ReasonQueue)
 	}
 	if reason != wire.ReasonNone {
 		return refused(reason)
@@ -63,7 +63,7 @@
 // runHere hands a request that holds a slot to the server, and counts what became of it.
 func (b *backend) runHere(ctx context.Context, q *request, own directory.Record) *answer {
 	begun := b.n.clock.Now()
-	run := b.n.stats.begin(begun, q.Route, q.deadline.Add(-answerMargin))
+	run := b.n.stats.beginRun(begun, q.Route, q.deadline.Add(-answerMargin))
 	at := &serverRun{q: q, life: own.LifeName(), begun: begun}
 	b.runs.begin(at)
 	a, outcome := b.send(ctx, q, own.Instance)
@@ -78,14 +78,14 @@
 	now := b.n.clock.Now()
 	held := min(now.Sub(begun), max(q.deadline.Sub(begun), 0)) // while the VM was suspended the run held nothing
 	b.n.gateMu.Lock()
-	b.n.gate.Done(now, held, b.n.usualHold(q.Route), outcome)
+	b.n.gate.Done(now, held, b.n.slotHoldTime(q.Route), outcome)
 	b.n.gateMu.Unlock()
 	if a.outcome == wire.NotRun {
-		b.n.stats.drop(now, run)
+		b.n.stats.dropRun(now, run)
 		a.gone = b.n.away.Load()
 		return a
 	}
-	b.n.stats.end(now, q.Route, run, held, outcome)
+	b.n.stats.endRun(now, q.Route, run, held, outcome)
 	b.n.metrics.count("runs_total", "route", q.Route, "outcome", outcome.String())
 	b.n.metrics.add(held.Milliseconds(), "slot_ms_total", "route", q.Route, "outcome", outcome.String())
 	return a
@@ -95,7 +95,7 @@
 func (b *backend) enter(ctx context.Context, q *request) wire.Reason {
 	verdicts := make(chan gate.Verdict, 1)
 	t := &gate.Ticket{
-		Inner: q.Inner, Priority: q.Priority, Deadline: q.deadline, Usual: b.n.usualHold(q.Route), Age: b.n.ageOf(q),
+		Inner: q.Inner, Priority: q.Priority, Deadline: q.deadline, Usual: b.n.slotHoldTime(q.Route), Age: b.n.ageOf(q),
 		Notify: func(v gate.Verdict) { verdicts <- v },
 	}
 	b.n.gateMu.Lock()
@@ -189,7 +189,7 @@
 	b.n.gateMu.Lock()
 	pace := b.n.gate.Read().Pace
 	b.n.gateMu.Unlock()
-	return b.n.connPatience(usualAt(pace, b.n.usualHold(q.Route)))
+	return b.n.connPatience(usualAt(pace, b.n.slotHoldTime(q.Route)))
 }
 
 // notExecuted tells whether the server says that it hasn't run the request.
--- a/pkg/mesh/capacity_of_services.go
+++ b/pkg/mesh/capacity_of_services.go
@@ -8,21 +8,21 @@
 	c := map[string]float64{}
 	for service, peers := range n.view.Load().services {
 		c[service] = 0 // one whose servers can't be reached has no room; that isn't the same as not being known
-		near, far := n.nearAndFar(peers)
+		near, far := n.splitByZone(peers)
 		for _, p := range near {
-			if room, known := n.nearRoom(p); known {
+			if room, known := n.usableSlotsOf(p); known {
 				c[service] += room
 			}
 		}
 		for zone, peers := range far {
-			c[service] += n.control.zones[zone].room(service, peers)
+			c[service] += n.control.zones[zone].usableSlots(service, peers)
 		}
 	}
 	return c
 }
 
-// nearAndFar returns the peers of this availability zone, and those of each other one.
-func (n *Node) nearAndFar(peers []*peer) (near []*peer, far map[string][]*peer) {
+// splitByZone returns the peers of this availability zone, and those of each other one.
+func (n *Node) splitByZone(peers []*peer) (near []*peer, far map[string][]*peer) {
 	far = map[string][]*peer{}
 	for _, p := range peers {
 		if zone := p.inZone(); zone == n.cfg.Zone {
@@ -34,22 +34,22 @@
 	return near, far
 }
 
-// nearRoom returns the slots of a server of this zone: as its node reports, or else all of them while it can be
+// usableSlotsOf returns the slots of a server of this zone: as its node reports, or else all of them while it can be
 // reached. It isn't known for one that neither reports nor can be reached.
-func (n *Node) nearRoom(p *peer) (room float64, known bool) {
+func (n *Node) usableSlotsOf(p *peer) (room float64, known bool) {
 	if r := n.control.reports[p.host]; r != nil && (r.Room > 0 || r.Away) {
 		return r.Room, true
 	}
 	return float64(p.slots.Load()), p.reachable()
 }
 
-// room returns the slots of a service's servers in the zone: as many as have reported count by the sum, the
+// usableSlots returns the slots of a service's servers in the zone: as many as have reported count by the sum, the
 // others by their slots where they can be reached. A zone that was heard once and isn't any more has none.
-func (z *zoneLoad) room(service string, peers []*peer) float64 {
+func (z *zoneLoad) usableSlots(service string, peers []*peer) float64 {
 	if z != nil && len(z.services) == 0 {
 		return 0
 	}
-	sum := z.service(service)
+	sum := z.serviceSum(service)
 	left := len(peers)
 	room := 0.0
 	if sum.Nodes > 0 {
@@ -74,8 +74,8 @@
 	return slots
 }
 
-// service returns the sum of one service; a zone that told nothing has none.
-func (z *zoneLoad) service(name string) loads.ServiceSum {
+// serviceSum returns the sum of one serviceSum; a zone that told nothing has none.
+func (z *zoneLoad) serviceSum(name string) loads.ServiceSum {
 	if z != nil {
 		for _, s := range z.services {
 			if s.Load.Service == name {
--- a/pkg/mesh/capacity_of_services_test.go
+++ b/pkg/mesh/capacity_of_services_test.go
@@ -22,11 +22,11 @@
 		p.slots.Store(20)
 	}
 	z := &zoneLoad{services: []loads.ServiceSum{{Nodes: 2, Load: loads.Report{Service: "s", Room: 18}}}}
-	c.Assert(z.room("s", peers), qt.Equals, 18.0+20)
-	c.Assert(z.room("s", peers[:1]), qt.Equals, 9.0, qt.Commentf("one of the two has left since"))
-	c.Assert((*zoneLoad)(nil).room("s", peers), qt.Equals, 60.0)
+	c.Assert(z.usableSlots("s", peers), qt.Equals, 18.0+20)
+	c.Assert(z.usableSlots("s", peers[:1]), qt.Equals, 9.0, qt.Commentf("one of the two has left since"))
+	c.Assert((*zoneLoad)(nil).usableSlots("s", peers), qt.Equals, 60.0)
 	peers[2].failed(time.Unix(100, 0))
-	c.Assert((*zoneLoad)(nil).room("s", peers), qt.Equals, 40.0, qt.Commentf("one can't be reached"))
+	c.Assert((*zoneLoad)(nil).usableSlots("s", peers), qt.Equals, 40.0, qt.Commentf("one can't be reached"))
 }
 
 // A zone that was cut off was planned with for three seconds by its last report, and later by its slots whenever it
@@ -43,13 +43,13 @@
 	n.control.zones = map[string]*zoneLoad{}
 	n.view.Store(&view{services: map[string][]*peer{"s": {far}}})
 	c.Assert(n.capacity()["s"], qt.Equals, 20.0, qt.Commentf("it wasn't heard yet"))
-	n.takeZones(now, "f", told(18))
-	n.forgetLoads(now.Add(time.Second))
+	n.mergeZoneLoads(now, "f", told(18))
+	n.expireLoads(now.Add(time.Second))
 	c.Assert(n.capacity()["s"], qt.Equals, 18.0)
-	n.forgetLoads(now.Add(zoneLifeLeast + time.Millisecond))
+	n.expireLoads(now.Add(minZoneLoadTTL + time.Millisecond))
 	c.Assert(n.capacity()["s"], qt.Equals, 0.0)
-	c.Assert(n.loads(), qt.HasLen, 0, qt.Commentf("nor is its demand"))
-	n.takeZones(now.Add(5*time.Second), "f", told(17))
+	c.Assert(n.currentReports(), qt.HasLen, 0, qt.Commentf("nor is its demand"))
+	n.mergeZoneLoads(now.Add(5*time.Second), "f", told(17))
 	c.Assert(n.capacity()["s"], qt.Equals, 17.0)
 }
 
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -17,15 +17,15 @@
 type controlState struct {
 	own         directory.OwnServer
 	directory   directory.Directory
-	news        recordNews
+	news        recentRecords
 	newer       newerState
 	nextTalk    time.Time
 	newsUrgent  bool    // news has to spread sooner than usually
 	usualComing float64 // requests a second that came to this node, over some seconds
 	nextPlan    time.Time
 	shown       shownLines
-	reports     map[string]*heldReport // newest of each node of this zone, by host
-	lapsed      map[string]*heldReport // the last that counted of nodes that fell silent, without what it said
+	reports     map[string]*nodeReport // newest of each node of this zone, by host
+	lapsed      map[string]*nodeReport // the last that counted of nodes that fell silent, without what it said
 	zones       map[string]*zoneLoad   // newest sum of each other zone
 	kept        loads.KeptRuns
 	demand      loads.KeptDemand
@@ -114,7 +114,7 @@
 	n.gateMu.Unlock()
 	n.leaveSilentPeers(now)
 	n.askForAwaited(ctx, now)
-	n.fetchNewer(now)
+	n.fetchDueState(now)
 	n.tellCleared(now)
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
@@ -122,12 +122,12 @@
 		n.poison.Sweep(now)
 	}
 	if !now.Before(n.control.nextLook) {
-		n.control.nextLook = now.Add(lookPeriod)
-		n.stats.look(now)
+		n.control.nextLook = now.Add(learnPeriod)
+		n.stats.updateLearner(now)
 	}
 	if !now.Before(n.control.nextPlan) {
 		n.control.nextPlan = now.Add(planPeriod)
-		n.reportOwn(now)
+		n.reportLocalLoad(now)
 		n.electFollowers(now)
 		n.chooseTeamRoles(now)
 		n.replan(now)
@@ -135,8 +135,8 @@
 	if now.Before(n.control.nextTalk) {
 		return
 	}
-	n.control.nextTalk = now.Add(jitter(n.talkPeriod()))
-	n.talk(ctx)
+	n.control.nextTalk = now.Add(jitter(n.exchangePeriod()))
+	n.gossip(ctx)
 }
 
 // sweepPeriod is the time between closings of connections that have rested too long.
@@ -188,7 +188,7 @@
 	n.publish()
 	n.controlLog.Info("own server changed", "instance", r.Instance, "service", r.Service, "phase", r.Phase.String(),
 		"generation", r.Generation, "slots", r.Slots)
-	n.records.want(r)
+	n.records.requestWrite(r)
 	n.announce()
 }
 
@@ -201,7 +201,7 @@
 		if r.Phase == directory.Serving {
 			// An earlier life of this node told them and stored it at the same time; the next reading of all records shows
 			// whether that is so. A server that is leaving isn't left to that.
-			n.records.done(r.Generation)
+			n.records.markDurable(r.Generation)
 		}
 		n.ownChanged(true)
 	}
@@ -244,7 +244,7 @@
 		generation = n.control.own.Record().Generation
 	})
 	if done && r.Draining {
-		n.records.await(ctx, generation)
+		n.records.awaitDurable(ctx, generation)
 	}
 }
 
@@ -258,7 +258,7 @@
 		generation = n.control.own.Record().Generation
 	})
 	if done {
-		n.records.await(ctx, generation)
+		n.records.awaitDurable(ctx, generation)
 	}
 }
 
--- a/pkg/mesh/dump.go
+++ b/pkg/mesh/dump.go
@@ -23,7 +23,7 @@
 
 // Dump returns the state of the node.
 func (n *Node) Dump() Dump {
-	d := Dump{Host: n.ip, Epoch: n.epoch, Version: n.version(), Stopping: n.stop.leaving(), InUse: n.stop.busy.Load(), Off: n.cfg.Mesh.Off}
+	d := Dump{Host: n.ip, Epoch: n.epoch, Version: n.stateVersion(), Stopping: n.stop.leaving(), InUse: n.stop.busy.Load(), Off: n.cfg.Mesh.Off}
 	n.gateMu.Lock()
 	d.Gate = n.gate.Read()
 	n.gateMu.Unlock()
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -14,54 +14,54 @@
 
 // The bounds of exchanges.
 const (
-	nearFanout = 2 // peers of the own availability zone that are told at a time
+	ownZoneFanout = 2 // peers of the own availability zone that are told at a time
 	// announceFanout is how many peers hear of news at once; they tell others in turn.
 	announceFanout = 3
-	// farTalkShare of the exchanges go to a peer of another zone as well, and farTalks of all exchanges of a zone in
+	// crossZoneShare of the exchanges go to a peer of another zone as well, and farTalks of all exchanges of a zone in
 	// one period at the most: bytes between zones are paid for, and news of a zone spreads in it by itself. With
 	// less, sums of other zones were often older than zoneLifeLeast: of the worth of all answers in a minute with a zone
 	// cut off, 14 nodes earned 0.707 and 0.675 with one near peer and a quarter, 0.748 with two (one play each).
-	farTalkShare = 0.35
-	farTalks     = 4.0
-	// talkTime bounds one exchange.
-	talkTime = 800 * time.Millisecond
-	// maxMessage bounds a message in bytes: a desired state of thousands of routes fits.
-	maxMessage = 8 << 20
+	crossZoneShare     = 0.35
+	crossZoneExchanges = 4.0
+	// exchangeTimeout bounds one exchange.
+	exchangeTimeout = 800 * time.Millisecond
+	// maxMessageBytes bounds a message in bytes: a desired state of thousands of routes fits.
+	maxMessageBytes = 8 << 20
 )
 
-// talk exchanges with some peers taken at random.
-func (n *Node) talk(ctx context.Context) {
-	targets := n.talkTargets(nearFanout, nearOnly)
-	if rand.Float64() < min(farTalkShare, farTalks/float64(max(len(n.control.zoneHosts), 1))) {
-		targets = append(targets, n.talkTargets(1, farOnly)...)
+// gossip exchanges with some peers taken at random.
+func (n *Node) gossip(ctx context.Context) {
+	targets := n.exchangeTargets(ownZoneFanout, ownZoneOnly)
+	if rand.Float64() < min(crossZoneShare, crossZoneExchanges/float64(max(len(n.control.zoneHosts), 1))) {
+		targets = append(targets, n.exchangeTargets(1, otherZonesOnly)...)
 	}
-	n.tell(ctx, targets)
+	n.exchangeWithAll(ctx, targets)
 }
 
-// tell exchanges with the given peers.
-func (n *Node) tell(ctx context.Context, targets []talkTarget) {
+// exchangeWithAll exchanges with the given peers.
+func (n *Node) exchangeWithAll(ctx context.Context, targets []exchangeTarget) {
 	bodies := map[string][]byte{} // by zone
 	for _, t := range targets {
 		body, ok := bodies[t.zone]
 		if !ok {
-			body = n.encode(n.newMessage(t.zone))
+			body = n.encodeMessage(n.newMessage(t.zone))
 			bodies[t.zone] = body
 		}
-		n.tellAndComplete(ctx, t.host, body)
+		n.exchangeAndComplete(ctx, t.host, body)
 	}
 }
 
-// tellAndComplete sends a message to a peer, which is told all records if its answer shows that it lacks some.
-func (n *Node) tellAndComplete(ctx context.Context, host string, body []byte) {
+// exchangeAndComplete sends a message to a peer, which is told all records if its answer shows that it lacks some.
+func (n *Node) exchangeAndComplete(ctx context.Context, host string, body []byte) {
 	go func() {
 		if n.exchangeWith(ctx, host, body) {
-			n.do(func() { n.completeRecords(ctx, host) })
+			n.do(func() { n.sendMissing(ctx, host) })
 		}
 	}()
 }
 
-// encode writes a message of this node's.
-func (n *Node) encode(m message) []byte {
+// encodeMessage writes a message of this node's.
+func (n *Node) encodeMessage(m message) []byte {
 	body, err := pack(m)
 	if err != nil {
 		n.controlLog.Error("message can't be written", "err", err)
@@ -70,16 +70,16 @@
 }
 
 // announce tells news to some peers at once.
-func (n *Node) announce() { n.announceTo(anywhere) }
+func (n *Node) announce() { n.announceTo(anyZone) }
 
 // announceTo tells news to some peers of the zones that are meant.
-func (n *Node) announceTo(where reach) {
-	n.tell(context.Background(), n.talkTargets(announceFanout, where))
+func (n *Node) announceTo(where zoneScope) {
+	n.exchangeWithAll(context.Background(), n.exchangeTargets(announceFanout, where))
 }
 
 // exchangeWith sends a message to a peer and takes its answer; it reports whether there was one.
 func (n *Node) exchangeWith(ctx context.Context, host string, body []byte) bool {
-	ctx, cancel := context.WithTimeout(ctx, talkTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	p := n.peer(host)
 	res, err := p.post(ctx, time.Time{}, exchangePath, body)
@@ -89,22 +89,22 @@
 		}
 		return false
 	}
-	data, err := readAll(res.Body, maxMessage)
+	data, err := readAll(res.Body, maxMessageBytes)
 	if err != nil {
 		n.controlLog.Warn("exchange broke off", "peer", host, "err", err)
 		return false
 	}
-	return n.takeMessage(host, data) != nil
+	return n.mergeMessage(host, data) != nil
 }
 
 // serveExchange answers a peer's message with what this node knows.
 func (n *Node) serveExchange(w http.ResponseWriter, r *http.Request) {
-	data, err := readAll(r.Body, maxMessage)
+	data, err := readAll(r.Body, maxMessageBytes)
 	if err != nil {
 		n.controlLog.Debug("exchange broke off", "peer", r.RemoteAddr, "err", err)
 		return
 	}
-	m := n.takeMessage(r.RemoteAddr, data)
+	m := n.mergeMessage(r.RemoteAddr, data)
 	if m == nil {
 		http.Error(w, "not a message", http.StatusBadRequest)
 		return
@@ -122,52 +122,52 @@
 	}
 }
 
-// takeMessage takes over what a peer knows better; it returns nil if the message can't be read.
-func (n *Node) takeMessage(from string, data []byte) *message {
+// mergeMessage takes over what a peer knows better; it returns nil if the message can't be read.
+func (n *Node) mergeMessage(from string, data []byte) *message {
 	var m message
 	if err := unpack(data, &m); err != nil {
 		n.controlLog.Warn("message can't be read", "peer", from, "err", err)
 		return nil
 	}
 	n.peer(m.From).alive(n.clock.Now(), m.Stopping)
-	n.noteEra(m.From, m.Era)
+	n.noteStoreEpoch(m.From, m.StoreEpoch)
 	switch {
-	case m.Version <= n.version(): // a state of which it is known that it isn't newer needn't be read
+	case m.Version <= n.stateVersion(): // a state of which it is known that it isn't newer needn't be read
 	case len(m.State) > 0:
-		n.takeState(m.From, m.State)
+		n.applyState(m.From, m.State)
 	default:
-		n.noticeVersion(m.From, m.Version)
+		n.noteVersion(m.From, m.Version)
 	}
-	if m.Sure {
-		n.watch.with(func(w *follow.Watch) { w.Hear(n.clock.Now(), n.version(), m.Version, m.Age) })
+	if m.StateAgeKnown {
+		n.watch.with(func(w *follow.Watch) { w.Hear(n.clock.Now(), n.stateVersion(), m.Version, m.StateAge) })
 	}
 	n.do(func() {
 		now := n.clock.Now()
-		n.recallTold(m.From, m.Learned)
+		n.restoreFromPeer(m.From, m.Learned)
 		n.merge(m.From, m.Records)
-		n.takeReports(now, m.From, m.Reports)
-		n.takeZones(now, m.From, m.Zones)
-		n.takeSuspects(now, m.Ends, m.Cases)
+		n.mergeReports(now, m.From, m.Reports)
+		n.mergeZoneLoads(now, m.From, m.Zones)
+		n.takeSuspects(now, m.Crashes, m.Cases)
 		p := n.peer(m.From)
-		p.digest, p.unlearned = m.Digest, m.Unlearned
+		p.digest, p.unlearned = m.Digest, m.WantsLearned
 	})
 	return &m
 }
 
-// completeRecords tells a peer all records, and what was learned, if its answer showed that it lacks some of it.
-func (n *Node) completeRecords(ctx context.Context, host string) {
+// sendMissing tells a peer all records, and what was learned, if its answer showed that it lacks some of it.
+func (n *Node) sendMissing(ctx context.Context, host string) {
 	p := n.peer(host)
 	lacksLearned := p.unlearned && !n.control.kept.Empty()
 	if p.digest == n.control.directory.Digest() && !lacksLearned {
 		return
 	}
-	body := n.encode(n.newRecords(lacksLearned))
+	body := n.encodeMessage(n.newRecordsMessage(lacksLearned))
 	go n.exchangeWith(ctx, host, body)
 }
 
-// fetchState asks a peer for its newer desired state.
-func (n *Node) fetchState(host string) {
+// requestState asks a peer for its newer desired state.
+func (n *Node) requestState(host string) {
 	m := n.newMessage("")
-	m.Wants = true
-	n.tellAndComplete(context.Background(), host, n.encode(m))
+	m.WantsState = true
+	n.exchangeAndComplete(context.Background(), host, n.encodeMessage(m))
 }
--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -24,23 +24,23 @@
 	Reports []packedReport     `codec:"l,omitempty"` // of the zone's nodes, for one of them
 	Zones   []packedZone       `codec:"o,omitempty"`
 	State   []byte             `codec:"s,omitempty"` // desired state, for a peer that has an older one
-	// Unlearned tells that the sender lacks what was learned before its start; Learned is what it is then told of all services.
-	Unlearned bool            `codec:"u,omitempty"`
-	Learned   []loads.Learned `codec:"k,omitempty"`
-	// Age is how long ago the desired state was last known to be the newest, if Sure.
-	Sure bool          `codec:"c,omitempty"`
-	Age  time.Duration `codec:"a,omitempty"`
-	// Ends and Cases are news of requests that may end servers; Held is a digest of those that the sender holds back, which
+	// WantsLearned tells that the sender lacks what was learned before its start; Learned is what it is then told of all services.
+	WantsLearned bool            `codec:"u,omitempty"`
+	Learned      []loads.Learned `codec:"k,omitempty"`
+	// Age is how long ago the desired state was last known to be the newest, if StateAgeKnown.
+	StateAgeKnown bool          `codec:"c,omitempty"`
+	StateAge      time.Duration `codec:"a,omitempty"`
+	// Crashes and Cases are news of requests that may end servers; Held is a digest of those that the sender holds back, which
 	// a peer with another one tells.
-	Ends  []poison.End  `codec:"e,omitempty"`
-	Cases []poison.Case `codec:"p,omitempty"`
-	Held  uint64        `codec:"h,omitempty"`
-	// Wants tells that the sender asks for the desired state.
-	Wants bool `codec:"w,omitempty"`
-	// Brief tells that the message has only such news, and is answered as briefly.
-	Brief bool `codec:"b,omitempty"`
-	// Era is the newest of the store that the sender knows of: nodes that don't read the store write again what it lost.
-	Era int64 `codec:"n,omitempty"`
+	Crashes          []poison.End  `codec:"e,omitempty"`
+	Cases            []poison.Case `codec:"p,omitempty"`
+	QuarantineDigest uint64        `codec:"h,omitempty"`
+	// WantsState tells that the sender asks for the desired state.
+	WantsState bool `codec:"w,omitempty"`
+	// SuspectsOnly tells that the message has only such news, and is answered as briefly.
+	SuspectsOnly bool `codec:"b,omitempty"`
+	// StoreEpoch is the newest of the store that the sender knows of: nodes that don't read the store write again what it lost.
+	StoreEpoch int64 `codec:"n,omitempty"`
 }
 
 // packedReport is a report as its node wrote it. It is passed on as it is, and read only where it is news:
@@ -81,16 +81,16 @@
 func (n *Node) newMessage(zone string) message {
 	now := n.clock.Now()
 	m := message{
-		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Stopping: n.stop.leaving(), Zones: n.ownZone(now),
-		Digest: n.control.directory.Digest(), Records: n.control.news.recent(now),
-		Unlearned: n.unlearned(now), Held: n.heldDigest(now), Era: n.era.now(),
+		From: n.ip, Zone: n.cfg.Zone, Version: n.stateVersion(), Stopping: n.stop.leaving(), Zones: n.packedOwnZone(now),
+		Digest: n.control.directory.Digest(), Records: n.control.news.current(now),
+		WantsLearned: n.wantsLearned(now), QuarantineDigest: n.heldDigest(now), StoreEpoch: n.era.current(),
 	}
-	n.watch.with(func(w *follow.Watch) { m.Age, m.Sure = w.Age(now) })
+	n.watch.with(func(w *follow.Watch) { m.StateAge, m.StateAgeKnown = w.Age(now) })
 	if zone == n.cfg.Zone {
 		// Other zones are told once, by who saw it: with these in each exchange between zones, 57 of 95 servers that ended together, four times in half a
 		// minute, were 0.374 GB between zones at 194 nodes, 0.148 without (one play each).
-		m.Ends, m.Cases = n.control.suspects.recent(now)
-		m.Zones = n.otherZones(now) // this one's own reports are beside them
+		m.Crashes, m.Cases = n.control.suspects.recent(now)
+		m.Zones = n.packedOtherZones(now) // this one's own reports are beside them
 		for _, r := range n.control.reports {
 			m.Reports = append(m.Reports, packedReport{Host: r.Host, Epoch: r.Epoch, Seq: r.Seq, Body: r.packed})
 		}
@@ -100,35 +100,35 @@
 
 // newAnswer answers a message with what its sender lacks.
 func (n *Node) newAnswer(to *message) message {
-	if to.Brief {
+	if to.SuspectsOnly {
 		return n.newBrief(nil, nil)
 	}
 	m := n.newMessage(to.Zone)
 	if m.Digest != to.Digest {
 		m.Records = n.control.directory.All()
 	}
-	if s := n.state.Load(); s != nil && to.Version < s.Version && n.givesState(to) {
+	if s := n.state.Load(); s != nil && to.Version < s.Version && n.sendsStateTo(to) {
 		m.State = s.Source
 	}
-	if to.Unlearned {
+	if to.WantsLearned {
 		m.Learned = n.allLearned()
 	}
-	if to.Held != m.Held {
+	if to.QuarantineDigest != m.QuarantineDigest {
 		m.Cases = append(m.Cases, n.poison.Held(n.clock.Now())...)
 	}
 	return m
 }
 
-// givesState tells whether a node that has an older state is given this one with the answer. Between large zones only who asks for it is, or has none: the
+// sendsStateTo tells whether a node that has an older state is given this one with the answer. Between large zones only who asks for it is, or has none: the
 // others have followers of their own, and a state of 1,160 routes went with the answer to each exchange that crossed. In a minute of 194 VMs with restarts 0.239 GB went
 // between zones, 0.138 with this (one play each).
-func (n *Node) givesState(to *message) bool {
-	return to.Wants || to.Version == 0 || to.Zone == n.cfg.Zone || !n.leavesStateToFollowers()
+func (n *Node) sendsStateTo(to *message) bool {
+	return to.WantsState || to.Version == 0 || to.Zone == n.cfg.Zone || !n.hasZoneFollowers()
 }
 
-// newRecords is a message with all records, for a peer that was found to lack some, and with what was learned for one
+// newRecordsMessage is a message with all records, for a peer that was found to lack some, and with what was learned for one
 // that lacks that.
-func (n *Node) newRecords(unlearned bool) message {
+func (n *Node) newRecordsMessage(unlearned bool) message {
 	m := n.newMessage("")
 	m.Zones = nil
 	m.Records = n.control.directory.All()
--- a/pkg/mesh/exchange_peers.go
+++ b/pkg/mesh/exchange_peers.go
@@ -5,45 +5,45 @@
 	"net"
 )
 
-// talkTarget is a peer to exchange with; the zone of a seed isn't known.
-type talkTarget struct{ host, zone string }
+// exchangeTarget is a peer to exchange with; the zone of a seed isn't known.
+type exchangeTarget struct{ host, zone string }
 
-// reach says in which availability zones peers are looked for.
-type reach uint8
+// zoneScope says in which availability zones peers are looked for.
+type zoneScope uint8
 
 const (
-	anywhere reach = iota
-	nearOnly       // in the own zone
-	farOnly        // in the others
+	anyZone        zoneScope = iota
+	ownZoneOnly              // in the own zone
+	otherZonesOnly           // in the others
 )
 
-// covers tells whether a zone is looked at.
-func (w reach) covers(near bool) bool { return w == anywhere || (w == nearOnly) == near }
+// includes tells whether a zone is looked at.
+func (w zoneScope) includes(near bool) bool { return w == anyZone || (w == ownZoneOnly) == near }
 
-// talkTargets returns peers taken at random, and seeds while few others are known.
-func (n *Node) talkTargets(fanout int, where reach) []talkTarget {
+// exchangeTargets returns peers taken at random, and seeds while few others are known.
+func (n *Node) exchangeTargets(fanout int, where zoneScope) []exchangeTarget {
 	targets := n.knownTargets(where)
 	if len(targets) < fanout {
 		for _, h := range n.seedHosts() {
-			targets = append(targets, talkTarget{host: h})
+			targets = append(targets, exchangeTarget{host: h})
 		}
 	}
-	return someOf(targets, fanout)
+	return randomTargets(targets, fanout)
 }
 
 // knownTargets returns all peers that are known.
-func (n *Node) knownTargets(where reach) []talkTarget {
-	var targets []talkTarget
+func (n *Node) knownTargets(where zoneScope) []exchangeTarget {
+	var targets []exchangeTarget
 	for _, r := range n.control.directory.All() {
-		if r.Host != n.ip && where.covers(r.Zone == n.cfg.Zone) {
-			targets = append(targets, talkTarget{r.Host, r.Zone})
+		if r.Host != n.ip && where.includes(r.Zone == n.cfg.Zone) {
+			targets = append(targets, exchangeTarget{r.Host, r.Zone})
 		}
 	}
 	return targets
 }
 
-// someOf returns so many of the targets, taken at random.
-func someOf(targets []talkTarget, most int) []talkTarget {
+// randomTargets returns so many of the targets, taken at random.
+func randomTargets(targets []exchangeTarget, most int) []exchangeTarget {
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 	return targets[:min(most, len(targets))]
 }
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -33,8 +33,8 @@
 	return m
 }
 
-func sampleReport(host string) heldReport {
-	r := heldReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", Room: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.Run{}}}
+func sampleReport(host string) nodeReport {
+	r := nodeReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", Room: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.Run{}}}
 	for k := range 8 {
 		r.Entries[fmt.Sprintf("r-n2ctnf%d", k)] = loads.Entry{Fresh: 12.3456, Returning: 1.2345}
 	}
@@ -81,7 +81,7 @@
 	c := qt.New(t)
 	length := func(nodes int) int {
 		n := &Node{ip: "10.0.0.1", clock: clock.Real{}, cfg: settings.Settings{Zone: "a"}}
-		n.control.reports = map[string]*heldReport{}
+		n.control.reports = map[string]*nodeReport{}
 		for i := range nodes {
 			r := sampleReport(fmt.Sprint("10.0.0.", i))
 			n.control.reports[r.Host] = &r
@@ -118,8 +118,8 @@
 	for _, r := range []directory.Record{{Host: "a1", Zone: "a"}, {Host: "a2", Zone: "a"}, {Host: "b1", Zone: "b"}} {
 		n.control.directory.Merge(r)
 	}
-	near, far := n.talkTargets(5, nearOnly), n.talkTargets(5, farOnly)
-	c.Assert(slices.Equal(near, []talkTarget{{"a2", "a"}}), qt.IsTrue, qt.Commentf("%v", near))
-	c.Assert(slices.Equal(far, []talkTarget{{"b1", "b"}}), qt.IsTrue, qt.Commentf("%v", far))
-	c.Assert(n.talkTargets(5, anywhere), qt.HasLen, 2)
+	near, far := n.exchangeTargets(5, ownZoneOnly), n.exchangeTargets(5, otherZonesOnly)
+	c.Assert(slices.Equal(near, []exchangeTarget{{"a2", "a"}}), qt.IsTrue, qt.Commentf("%v", near))
+	c.Assert(slices.Equal(far, []exchangeTarget{{"b1", "b"}}), qt.IsTrue, qt.Commentf("%v", far))
+	c.Assert(n.exchangeTargets(5, anyZone), qt.HasLen, 2)
 }
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -16,7 +16,7 @@
 type stateWatch struct {
 	mu sync.Mutex
 	follow.Watch
-	mayBegin chan struct{} // closed once peers were asked after a restart
+	peersQueried chan struct{} // closed once peers were asked after a restart
 }
 
 // with looks at or changes the watch.
@@ -30,31 +30,31 @@
 const (
 	// followPoll is the time between looks at whether the node has to go to the store.
 	followPoll = 50 * time.Millisecond
-	// firstLook after the first start of the whole system is when nodes choose who follows: by then the backend servers
+	// firstElectionDelay after the first start of the whole system is when nodes choose who follows: by then the backend servers
 	// have sent their first heartbeats, and most nodes know each other.
-	firstLook = 2500 * time.Millisecond
-	// aloneRetryFirst and aloneRetryMost bound the wait between calls of a node that isn't one of its zone's followers, and
+	firstElectionDelay = 2500 * time.Millisecond
+	// fallbackRetryFirst and aloneRetryMost bound the wait between calls of a node that isn't one of its zone's followers, and
 	// reads only since nobody tells it anything: where the store is down for all, the followers find out when it is back.
-	aloneRetryFirst = 600 * time.Millisecond
-	aloneRetryMost  = 3 * time.Second
+	fallbackRetryFirst = 600 * time.Millisecond
+	fallbackRetryMax   = 3 * time.Second
 )
 
 // followState keeps the desired state as new as the store tells, where it isn't kept so by others.
 func (n *Node) followState(ctx context.Context) {
-	if !n.beginFollowing(ctx) {
+	if !n.awaitFollowStart(ctx) {
 		return
 	}
 	var next *Cursor // nil: the whole state has to be read first
 	var wait backoff
 	for ctx.Err() == nil {
-		follows, chosen := n.followsNow()
+		follows, chosen := n.followRole()
 		if !follows {
 			next = nil
 			clock.Sleep(ctx, followPoll)
 			continue
 		}
 		var err error
-		t := n.storeWatch.try()
+		t := n.storeWatch.newAttempt()
 		next, err = n.followOnce(ctx, t, next)
 		if err == nil {
 			wait = 0
@@ -62,23 +62,23 @@
 			continue
 		}
 		next = nil
-		n.noteFollowing(err)
-		t.sleep(ctx, jitter(wait.next(followRetries(chosen))))
+		n.noteFollowFailure(err)
+		t.sleep(ctx, jitter(wait.next(followRetryBounds(chosen))))
 	}
 }
 
-// beginFollowing waits until the node may know what others can tell it; it reports false if ctx ends first.
-func (n *Node) beginFollowing(ctx context.Context) bool {
+// awaitFollowStart waits until the node may know what others can tell it; it reports false if ctx ends first.
+func (n *Node) awaitFollowStart(ctx context.Context) bool {
 	patience := time.Duration(0)
 	if n.cfg.Mesh.FirstStart {
 		// The followers read the state now, and their word takes some exchanges.
 		patience = n.cfg.Mesh.Apply
-		if !clock.Sleep(ctx, firstLook) {
+		if !clock.Sleep(ctx, firstElectionDelay) {
 			return false
 		}
 	} else {
 		select {
-		case <-n.watch.mayBegin:
+		case <-n.watch.peersQueried:
 		case <-ctx.Done():
 			return false
 		}
@@ -87,8 +87,8 @@
 	return true
 }
 
-// followsNow tells whether the node goes to the store, and whether it is one of its zone's followers.
-func (n *Node) followsNow() (follows, chosen bool) {
+// followRole tells whether the node goes to the store, and whether it is one of its zone's followers.
+func (n *Node) followRole() (follows, chosen bool) {
 	n.watch.with(func(w *follow.Watch) {
 		now := n.clock.Now()
 		follows, chosen = w.Follows(now), w.Chosen()
@@ -99,36 +99,36 @@
 	return follows, chosen
 }
 
-// sureOfState tells whether the desired state in force may be taken for the newest.
-func (n *Node) sureOfState() (sure bool) {
+// stateIsFresh tells whether the desired state in force may be taken for the newest.
+func (n *Node) stateIsFresh() (sure bool) {
 	n.watch.with(func(w *follow.Watch) { sure = w.Sure(n.clock.Now()) })
 	return sure
 }
 
-// followRetries bounds the wait between calls that fail.
-func followRetries(chosen bool) (first, most time.Duration) {
+// followRetryBounds bounds the wait between calls that fail.
+func followRetryBounds(chosen bool) (first, most time.Duration) {
 	if chosen {
-		return storeRetryFirst, storeRetryMost
+		return storeRetryFirst, storeRetryMax
 	}
-	return aloneRetryFirst, aloneRetryMost
+	return fallbackRetryFirst, fallbackRetryMax
 }
 
-// noteFollowing writes down that the store isn't heard any more.
-func (n *Node) noteFollowing(err error) {
+// noteFollowFailure writes down that the store isn't heard any more.
+func (n *Node) noteFollowFailure(err error) {
 	n.watch.with(func(w *follow.Watch) { w.Lost(n.clock.Now()) })
 	n.controlLog.Warn("desired state not followed", "err", err)
 }
 
 // followOnce makes one call and returns from where to go on.
-func (n *Node) followOnce(ctx context.Context, t storeTry, next *Cursor) (*Cursor, error) {
+func (n *Node) followOnce(ctx context.Context, t storeAttempt, next *Cursor) (*Cursor, error) {
 	var data []byte
 	var after Cursor
-	kind, span, read := readStateCall, storeCallTime, n.store.ReadState
+	kind, span, read := readStateCall, storeCallTimeout, n.store.ReadState
 	if next != nil {
-		kind, span = followStateCall, followTime
+		kind, span = followStateCall, followCallTimeout
 		read = func(ctx context.Context) ([]byte, Cursor, error) { return n.store.FollowState(ctx, *next) }
 	}
-	sent, own := clock.Boot(n.clock), n.version()
+	sent, own := clock.Boot(n.clock), n.stateVersion()
 	err := n.callStore(ctx, t, kind, span, func(ctx context.Context) (err error) {
 		data, after, err = read(ctx)
 		return err
@@ -136,7 +136,7 @@
 	if err != nil {
 		return next, err
 	}
-	version := n.takeStored(data)
+	version := n.applyStored(data)
 	n.watch.with(func(w *follow.Watch) { w.Fed(n.clock.Now()) })
 	if kind == readStateCall {
 		n.proven(sent, own, version)
@@ -144,26 +144,26 @@
 	return &after, nil
 }
 
-// takeStored takes the desired state that the store has, if there is one, and returns its version, 0 if it can't be read. Most often it is the one in force,
+// applyStored takes the desired state that the store has, if there is one, and returns its version, 0 if it can't be read. Most often it is the one in force,
 // which needn't be read again.
-func (n *Node) takeStored(data []byte) int64 {
+func (n *Node) applyStored(data []byte) int64 {
 	if data == nil {
 		return 0
 	}
 	if s := n.state.Load(); s != nil && bytes.Equal(s.Source, data) {
 		return s.Version
 	}
-	return n.takeState("store", data)
+	return n.applyState("store", data)
 }
 
-// takeState puts a newer desired state in force, and returns the version of the one that was told; one that can't be read leaves the last good one.
-func (n *Node) takeState(from string, data []byte) int64 {
+// applyState puts a newer desired state in force, and returns the version of the one that was told; one that can't be read leaves the last good one.
+func (n *Node) applyState(from string, data []byte) int64 {
 	s, err := n.decode(data)
 	if err != nil {
 		n.controlLog.Error("desired state can't be read, the last good one stays", "from", from, "err", err)
 		return 0
 	}
-	if n.raiseState(s) {
+	if n.publishState(s) {
 		n.forgetTeams(s)
 		n.controlLog.Info("desired state", "version", s.Version, "routes", len(s.Routes), "from", from)
 		n.do(n.announceState)
@@ -171,8 +171,8 @@
 	return s.Version
 }
 
-// raiseState publishes a state unless a newer one is in force.
-func (n *Node) raiseState(s *desired.State) bool {
+// publishState publishes a state unless a newer one is in force.
+func (n *Node) publishState(s *desired.State) bool {
 	for {
 		old := n.state.Load()
 		if old != nil && old.Version >= s.Version {
@@ -184,14 +184,14 @@
 		n.proofs.with(func(k *freshness.Keeper) { k.Raised(s.Version) })
 		if old == nil {
 			now := n.clock.Now()
-			n.knowledge.stateSince.Store(&now)
+			n.knowledge.firstStateAt.Store(&now)
 		}
 		return true
 	}
 }
 
-// version returns that of the desired state in force, 0 if there is none.
-func (n *Node) version() int64 {
+// stateVersion returns that of the desired state in force, 0 if there is none.
+func (n *Node) stateVersion() int64 {
 	if s := n.state.Load(); s != nil {
 		return s.Version
 	}
@@ -203,7 +203,7 @@
 func (n *Node) electFollowers(now time.Time) {
 	var alive []string
 	for _, host := range n.control.zoneHosts {
-		if n.control.reports[host] != nil || now.Sub(n.started) < reportLifeLeast {
+		if n.control.reports[host] != nil || now.Sub(n.started) < minReportTTL {
 			alive = append(alive, host)
 		}
 	}
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -41,7 +41,7 @@
 	begun := time.Now()
 	s.until("the state is in force", func() bool {
 		for i, n := range s.nodes {
-			if !left[i] && n.version() < version {
+			if !left[i] && n.stateVersion() < version {
 				return false
 			}
 		}
@@ -174,7 +174,7 @@
 		s.seeds = nil
 	}
 	for _, n := range s.nodes {
-		n.do(func() { n.recallLearned("test", sampleLearned()) })
+		n.do(func() { n.restoreLearned("test", sampleLearned()) })
 	}
 	i := 3
 	for followers := s.followersOf(); followers[i]; {
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -123,7 +123,7 @@
 // send hands the request to one server, through the node beside it.
 func (d *delivery) send(ctx context.Context, p *peer) *answer {
 	life := p.lifeKnown()
-	usual := p.sending(d.n.clock.Now(), d.n.usualHold(d.route.Name))
+	usual := p.sending(d.n.clock.Now(), d.n.slotHoldTime(d.route.Name))
 	defer p.inflight.Add(-1)
 	if p.local {
 		a := d.n.backend.serve(ctx, d.q)
@@ -154,7 +154,7 @@
 	if r.Gone {
 		p.serverEnded(d.n.clock.Now(), life)
 	}
-	d.n.noticeVersion(p.host, r.Version)
+	d.n.noteVersion(p.host, r.Version)
 	return d.read(p, res, r)
 }
 
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -41,7 +41,7 @@
 	done := n.stop.begin()
 	defer done()
 	defer n.present.Begin(r.Header.Get(n.names.AttemptID))()
-	n.noticeVersion(r.RemoteAddr, c.Version)
+	n.noteVersion(r.RemoteAddr, c.Version)
 	if n.stop.refusesPeers() {
 		n.reply(w, refused(wire.ReasonLeaving))
 		return
@@ -86,7 +86,7 @@
 	return reply{
 		Outcome: a.outcome, Reason: a.reason, ByServer: a.arrived,
 		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Pace: int(g.Pace*100 + 0.5),
-		Success: int(g.Success*(1-g.Shed)*100 + 0.5), Stopping: n.stop.leaving(), Gone: a.gone, Version: n.version(),
+		Success: int(g.Success*(1-g.Shed)*100 + 0.5), Stopping: n.stop.leaving(), Gone: a.gone, Version: n.stateVersion(),
 		Ended: a.ended, ComeBack: a.comeBack,
 	}
 }
--- a/pkg/mesh/inner_routes.go
+++ b/pkg/mesh/inner_routes.go
@@ -12,7 +12,7 @@
 // isInner tells whether only backend servers call the route, as far as it is known.
 func (n *Node) isInner(route string) bool {
 	p := n.plan.Load()
-	return p != nil && p.inner[route]
+	return p != nil && p.internalRoutes[route]
 }
 
 // judgedRoutes is which routes only backend servers call, as last judged; its zero value has judged none.
--- a/pkg/mesh/keep_held.go
+++ b/pkg/mesh/keep_held.go
@@ -23,15 +23,15 @@
 	var stored uint64
 	var era int64
 	for clock.Sleep(ctx, jitter(keepHeldPeriod)) {
-		if n.era.left(&era) {
+		if n.era.changed(&era) {
 			stored = 0 // what was written may be lost
 		}
 		held := n.heldOf(n.cfg.Service)
 		digest := digestOf(held)
-		if digest == stored || !n.storesForService() {
+		if digest == stored || !n.isServiceWriter() {
 			continue
 		}
-		err := n.callStore(ctx, n.storeWatch.try(), writeHeldCall, storeCallTime, func(ctx context.Context) error {
+		err := n.callStore(ctx, n.storeWatch.newAttempt(), writeHeldCall, storeCallTimeout, func(ctx context.Context) error {
 			return n.store.WriteHeld(ctx, HeldBack{Service: n.cfg.Service, Cases: held})
 		})
 		if err != nil {
--- a/pkg/mesh/keep_learned.go
+++ b/pkg/mesh/keep_learned.go
@@ -14,34 +14,34 @@
 
 // The constants of keeping what was learned.
 const (
-	// keepPeriod is the time between looks at whether what was learned has changed since it was stored.
-	keepPeriod = 4 * time.Second
-	// keepChange is the change of the calls of a run that is worth a write, as a share and in calls.
-	keepChange = 0.25
-	keepLeast  = 0.2
-	// keepHoldChange is how many times longer or shorter runs hold a slot for it to be worth a write: holds vary with the
+	// storeLearnedPeriod is the time between looks at whether what was learned has changed since it was stored.
+	storeLearnedPeriod = 4 * time.Second
+	// minCallsChangeRatio is the change of the calls of a run that is worth a write, as a share and in calls.
+	minCallsChangeRatio = 0.25
+	minCallsChange      = 0.2
+	// holdChangeFactor is how many times longer or shorter runs hold a slot for it to be worth a write: holds vary with the
 	// load, and the first runs after a start correct them.
-	keepHoldChange = 2.0
-	// keepAskedChange is the same for how often a kind is asked for, which sets what is taken in right after a start.
-	keepAskedChange = 1.5
+	holdChangeFactor = 2.0
+	// demandChangeFactor is the same for how often a kind is asked for, which sets what is taken in right after a start.
+	demandChangeFactor = 1.5
 )
 
-// keepLearned stores what was learned of the own service's runs, from one of its nodes.
-func (n *Node) keepLearned(ctx context.Context) {
+// storeLearned stores what was learned of the own service's runs, from one of its nodes.
+func (n *Node) storeLearned(ctx context.Context) {
 	var stored loads.Learned
 	var era int64
-	for clock.Sleep(ctx, jitter(keepPeriod)) {
-		if n.era.left(&era) {
+	for clock.Sleep(ctx, jitter(storeLearnedPeriod)) {
+		if n.era.changed(&era) {
 			stored = loads.Learned{} // what was written may be lost
 		}
-		if !n.storesForService() {
+		if !n.isServiceWriter() {
 			continue
 		}
-		known, ok := n.learnedNow(ctx)
-		if !ok || !differ(known, stored) {
+		known, ok := n.collectLearned(ctx)
+		if !ok || !learnedDiffers(known, stored) {
 			continue
 		}
-		err := n.callStore(ctx, n.storeWatch.try(), writeLearnedCall, storeCallTime, func(ctx context.Context) error {
+		err := n.callStore(ctx, n.storeWatch.newAttempt(), writeLearnedCall, storeCallTimeout, func(ctx context.Context) error {
 			return n.store.WriteLearned(ctx, known)
 		})
 		if err != nil {
@@ -54,19 +54,19 @@
 	}
 }
 
-// learnedNow returns what is known well of the own service's runs; it reports false if ctx ends first.
-func (n *Node) learnedNow(ctx context.Context) (loads.Learned, bool) {
-	calls := n.stats.known()
+// collectLearned returns what is known well of the own service's runs; it reports false if ctx ends first.
+func (n *Node) collectLearned(ctx context.Context) (loads.Learned, bool) {
+	calls := n.stats.knownCalls()
 	var known loads.Learned
-	if !n.ask(ctx, func() { known = n.learnedOf(n.cfg.Service, calls, n.control.asked) }) {
+	if !n.ask(ctx, func() { known = n.learnedOfService(n.cfg.Service, calls, n.control.asked) }) {
 		return loads.Learned{}, false
 	}
 	return known, true
 }
 
-// learnedOf puts what the control goroutine knows of a service's routes, and how often they are asked for, beside the calls
+// learnedOfService puts what the control goroutine knows of a service's routes, and how often they are asked for, beside the calls
 // that their runs make.
-func (n *Node) learnedOf(service string, calls map[string]callgraph.Rates, asked map[string]float64) loads.Learned {
+func (n *Node) learnedOfService(service string, calls map[string]callgraph.Rates, asked map[string]float64) loads.Learned {
 	l := loads.Learned{Service: service, Calls: calls, Times: map[string]loads.RunTimes{}, Asked: map[string]float64{}}
 	runs := n.control.kept.Services()[service]
 	for route := range calls {
@@ -102,13 +102,13 @@
 		for route, run := range runs {
 			calls[route] = run.Calls
 		}
-		all = append(all, n.learnedOf(service, calls, missing))
+		all = append(all, n.learnedOfService(service, calls, missing))
 	}
 	return all
 }
 
-// storesForService tells whether this node is the first of those beside its service's servers: what nodes know together of a service one of them stores.
-func (n *Node) storesForService() bool {
+// isServiceWriter tells whether this node is the first of those beside its service's servers: what nodes know together of a service one of them stores.
+func (n *Node) isServiceWriter() bool {
 	v := n.view.Load()
 	if v.own.Service == "" {
 		return false
@@ -121,31 +121,31 @@
 	return true
 }
 
-// differ tells whether what is known of a route differs clearly from what is stored.
-func differ(known, stored loads.Learned) bool {
+// learnedDiffers tells whether what is known of a route differs clearly from what is stored.
+func learnedDiffers(known, stored loads.Learned) bool {
 	for route, calls := range known.Calls {
-		if differInCalls(calls, stored.Calls[route]) ||
-			differBy(keepHoldChange, known.Times[route].Hold, stored.Times[route].Hold) {
+		if callsDiffer(calls, stored.Calls[route]) ||
+			differByFactor(holdChangeFactor, known.Times[route].Hold, stored.Times[route].Hold) {
 			return true
 		}
 	}
 	for _, kind := range slices.Concat(slices.Collect(maps.Keys(known.Asked)), slices.Collect(maps.Keys(stored.Asked))) {
-		if differBy(keepAskedChange, known.Asked[kind], stored.Asked[kind]) {
+		if differByFactor(demandChangeFactor, known.Asked[kind], stored.Asked[kind]) {
 			return true
 		}
 	}
 	return !slices.Equal(known.Inner, stored.Inner)
 }
 
-// differInCalls tells whether a run makes clearly more or fewer calls.
-func differInCalls(known, stored callgraph.Rates) bool {
+// callsDiffer tells whether a run makes clearly more or fewer calls.
+func callsDiffer(known, stored callgraph.Rates) bool {
 	for _, called := range slices.Concat(slices.Collect(maps.Keys(known)), slices.Collect(maps.Keys(stored))) {
-		if n := known[called]; math.Abs(n-stored[called]) > max(keepLeast, keepChange*n) {
+		if n := known[called]; math.Abs(n-stored[called]) > max(minCallsChange, minCallsChangeRatio*n) {
 			return true
 		}
 	}
 	return false
 }
 
-// differBy tells whether one of two values is more than so many times the other.
-func differBy(times, a, b float64) bool { return max(a, b) > times*min(a, b) }
+// differByFactor tells whether one of two values is more than so many times the other.
+func differByFactor(times, a, b float64) bool { return max(a, b) > times*min(a, b) }
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/keep_learned_test.go
@@ -31,12 +31,12 @@
 	s.store.learned["b"] = loads.Learned{Service: "b", Calls: map[string]callgraph.Rates{"r": {"called": 9}}}
 	n, _ := s.add("a", "z", 10)
 	s.until("it is recalled", func() bool {
-		n.stats.drop(time.Now(), n.stats.begin(time.Now(), "r", time.Now()))
+		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
-		return n.stats.callsOf("r")["called"] == 4
+		return n.stats.callsPerRun("r")["called"] == 4
 	})
-	c.Assert(n.storesForService(), qt.IsTrue)
+	c.Assert(n.isServiceWriter(), qt.IsTrue)
 }
 
 func TestOneNodeOfAServiceKeepsWhatWasLearned(t *testing.T) {
@@ -44,7 +44,7 @@
 	s := three(t)
 	keepers := 0
 	for _, n := range s.nodes {
-		if n.storesForService() {
+		if n.isServiceWriter() {
 			keepers++
 		}
 	}
@@ -64,16 +64,16 @@
 	}
 	called := calls(4)
 	called.Inner = []string{"r"}
-	c.Assert(differ(calls(4), none), qt.IsTrue)
-	c.Assert(differ(calls(4), calls(3.5)), qt.IsFalse)
-	c.Assert(differ(calls(4), calls(2)), qt.IsTrue)
-	c.Assert(differ(calls(0.1), none), qt.IsFalse)
-	c.Assert(differ(none, calls(4)), qt.IsFalse)
-	c.Assert(differ(loads.Learned{Calls: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that isn't made any more"))
-	c.Assert(differ(holds(0.03), holds(0.05)), qt.IsFalse)
-	c.Assert(differ(holds(0.03), holds(0.1)), qt.IsTrue)
-	c.Assert(differ(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a time that isn't stored yet"))
-	c.Assert(differ(called, calls(4)), qt.IsTrue, qt.Commentf("a route that only servers call"))
+	c.Assert(learnedDiffers(calls(4), none), qt.IsTrue)
+	c.Assert(learnedDiffers(calls(4), calls(3.5)), qt.IsFalse)
+	c.Assert(learnedDiffers(calls(4), calls(2)), qt.IsTrue)
+	c.Assert(learnedDiffers(calls(0.1), none), qt.IsFalse)
+	c.Assert(learnedDiffers(none, calls(4)), qt.IsFalse)
+	c.Assert(learnedDiffers(loads.Learned{Calls: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that isn't made any more"))
+	c.Assert(learnedDiffers(holds(0.03), holds(0.05)), qt.IsFalse)
+	c.Assert(learnedDiffers(holds(0.03), holds(0.1)), qt.IsTrue)
+	c.Assert(learnedDiffers(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a time that isn't stored yet"))
+	c.Assert(learnedDiffers(called, calls(4)), qt.IsTrue, qt.Commentf("a route that only servers call"))
 }
 
 // Every restart wrote the record twice and read all others three times, though nothing had changed.
@@ -104,7 +104,7 @@
 	s.settled(1)
 	known := make(chan struct{})
 	top.do(func() {
-		top.recallLearned("test", []loads.Learned{{
+		top.restoreLearned("test", []loads.Learned{{
 			Service: "b", Calls: map[string]callgraph.Rates{"called": {"x": 5}},
 			Times: map[string]loads.RunTimes{"called": {Rate: 10, Hold: 0.1}}, Inner: []string{"called"},
 		}})
@@ -117,10 +117,10 @@
 	low = s.nodes[1]
 	s.until("the restarted node knows the calls", func() bool { return low.isInner("called") })
 	c.Assert(low.knowledge.complete.Load(), qt.IsTrue)
-	low.stats.drop(time.Now(), low.stats.begin(time.Now(), "called", time.Now()))
+	low.stats.dropRun(time.Now(), low.stats.beginRun(time.Now(), "called", time.Now()))
 	low.stats.mu.Lock()
 	defer low.stats.mu.Unlock()
-	c.Assert(low.stats.callsOf("called")["x"], qt.Equals, 5.0)
+	c.Assert(low.stats.callsPerRun("called")["x"], qt.Equals, 5.0)
 }
 
 // Requests that came between the first desired state and what was learned were taken in whatever they cost.
@@ -130,7 +130,7 @@
 		c := qt.New(t)
 		n := &Node{clock: clock.Real{}}
 		begun := time.Now()
-		n.knowledge.stateSince.Store(&begun)
+		n.knowledge.firstStateAt.Store(&begun)
 		go func() {
 			time.Sleep(learnedWait / 2)
 			n.knowledge.complete.Store(true)
@@ -139,7 +139,7 @@
 		c.Assert(time.Since(begun) < learnedWait/2+2*startPoll, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 		n = &Node{clock: clock.Real{}}
 		begun = time.Now()
-		n.knowledge.stateSince.Store(&begun)
+		n.knowledge.firstStateAt.Store(&begun)
 		n.awaitLearned(t.Context())
 		c.Assert(time.Since(begun) < learnedWait+2*startPoll, qt.IsTrue, qt.Commentf("nobody has it: %v", time.Since(begun)))
 		c.Assert(n.knowledge.complete.Load(), qt.IsTrue)
@@ -160,12 +160,12 @@
 	}
 	taken := make(chan float64)
 	n.do(func() {
-		n.recallTold("peer", told(1))
-		n.recallTold("peer", told(8))
-		n.stats.drop(time.Now(), n.stats.begin(time.Now(), "r", time.Now()))
+		n.restoreFromPeer("peer", told(1))
+		n.restoreFromPeer("peer", told(8))
+		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
-		taken <- n.stats.callsOf("r")["x"]
+		taken <- n.stats.callsPerRun("r")["x"]
 	})
 	c.Assert(<-taken, qt.Equals, 1.0)
 }
@@ -180,7 +180,7 @@
 	n.do(func() {
 		now := time.Now()
 		n.control.judged.recall(now, loads.Learned{Calls: map[string]callgraph.Rates{"called": {}, "root": {}}, Inner: []string{"called"}})
-		n.control.reports = map[string]*heldReport{"x": {heard: now, Report: loads.Report{
+		n.control.reports = map[string]*nodeReport{"x": {receivedAt: now, Report: loads.Report{
 			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, Alone: 90}, "root": {Fresh: 100, Alone: 90}},
 		}}}
 		n.judgeRoutes(now)
@@ -197,7 +197,7 @@
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
 	ctx, cancel := context.WithCancel(t.Context())
-	_, ok := n.learnedNow(ctx)
+	_, ok := n.collectLearned(ctx)
 	c.Assert(ok, qt.IsTrue)
 	cancel()
 	for range eventQueue {
@@ -206,6 +206,6 @@
 		default:
 		}
 	}
-	_, ok = n.learnedNow(ctx)
+	_, ok = n.collectLearned(ctx)
 	c.Assert(ok, qt.IsFalse)
 }
--- a/pkg/mesh/loads_that_count_test.go
+++ b/pkg/mesh/loads_that_count_test.go
@@ -13,27 +13,27 @@
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := &Node{ip: "n"}
-	n.control.reports, n.control.lapsed = map[string]*heldReport{}, map[string]*heldReport{}
+	n.control.reports, n.control.lapsed = map[string]*nodeReport{}, map[string]*nodeReport{}
 	n.control.zones = map[string]*zoneLoad{}
 	report := func(epoch, seq int64) []packedReport {
 		r := sampleReport("dead")
 		return []packedReport{{Host: "dead", Epoch: epoch, Seq: seq, Body: r.packed}}
 	}
-	n.takeReports(now, "peer", report(1, 5))
+	n.mergeReports(now, "peer", report(1, 5))
 	c.Assert(n.control.reports["dead"], qt.IsNotNil)
-	now = now.Add(reportLifeLeast + time.Second)
-	n.forgetLoads(now)
+	now = now.Add(minReportTTL + time.Second)
+	n.expireLoads(now)
 	c.Assert(n.control.reports["dead"], qt.IsNil)
-	n.takeReports(now, "peer", report(1, 5))
+	n.mergeReports(now, "peer", report(1, 5))
 	c.Assert(n.control.reports["dead"], qt.IsNil)
-	n.takeReports(now, "peer", report(1, 6))
+	n.mergeReports(now, "peer", report(1, 6))
 	c.Assert(n.control.reports["dead"], qt.IsNotNil, qt.Commentf("it lives"))
-	now = now.Add(reportLifeLeast + time.Second)
-	n.forgetLoads(now)
-	n.takeReports(now, "peer", report(2, 1))
+	now = now.Add(minReportTTL + time.Second)
+	n.expireLoads(now)
+	n.mergeReports(now, "peer", report(2, 1))
 	c.Assert(n.control.reports["dead"], qt.IsNotNil, qt.Commentf("it was started anew"))
-	now = now.Add(2 * lapsedTime)
-	n.forgetLoads(now)
-	n.forgetLoads(now)
+	now = now.Add(2 * expiredRetention)
+	n.expireLoads(now)
+	n.expireLoads(now)
 	c.Assert(n.control.lapsed, qt.HasLen, 0)
 }
--- a/pkg/mesh/network.go
+++ b/pkg/mesh/network.go
@@ -70,7 +70,7 @@
 // NewStoreHTTP returns the HTTP client for the store, from the address of this VM.
 func NewStoreHTTP(ip string) *http.Client {
 	return &http.Client{Transport: &storeTransport{http.Transport{
-		DialContext:         dialer(ip, storeCallTime).DialContext,
+		DialContext:         dialer(ip, storeCallTimeout).DialContext,
 		MaxIdleConnsPerHost: storeConns,
 		IdleConnTimeout:     storeIdle,
 		DisableCompression:  true,
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -46,7 +46,7 @@
 // after waits, looks at what is due as the control goroutine does, and returns the hosts that were asked meanwhile.
 func (a *asking) after(d time.Duration) []string {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(tickPeriod) {
-		a.fetchNewer(time.Now())
+		a.fetchDueState(time.Now())
 	}
 	synctest.Wait()
 	a.mu.Lock()
@@ -62,14 +62,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := newAsking()
-		a.wantState(time.Now(), "far", 2)
-		c.Assert(a.after(farStateWait/2), qt.HasLen, 0)
-		a.wantState(time.Now(), "near", 2)
+		a.scheduleFetch(time.Now(), "far", 2)
+		c.Assert(a.after(crossZoneFetchDelay/2), qt.HasLen, 0)
+		a.scheduleFetch(time.Now(), "near", 2)
 		c.Assert(a.after(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is asked at once"))
 		a.state.Store(&desired.State{Version: 2})
 		c.Assert(a.after(time.Second), qt.HasLen, 0)
-		a.wantState(time.Now(), "far", 3)
-		c.Assert(a.after(farStateWait+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("nobody near has it"))
+		a.scheduleFetch(time.Now(), "far", 3)
+		c.Assert(a.after(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("nobody near has it"))
 	})
 }
 
@@ -78,12 +78,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := newAsking()
-		a.wantState(time.Now(), "near", 2)
+		a.scheduleFetch(time.Now(), "near", 2)
 		a.after(time.Second)
-		c.Assert(a.control.newer.tries, qt.Equals, fetchTries)
+		c.Assert(a.control.newer.tries, qt.Equals, maxFetchTries)
 		c.Assert(a.after(time.Second), qt.HasLen, 0, qt.Commentf("it may be gone"))
 		a.peer("other").near.Store(true)
-		a.wantState(time.Now(), "other", 2)
+		a.scheduleFetch(time.Now(), "other", 2)
 		c.Assert(a.after(tickPeriod), qt.DeepEquals, []string{"other"})
 	})
 }
@@ -94,7 +94,7 @@
 		c := qt.New(t)
 		a := newAsking()
 		a.state.Store(nil)
-		a.wantState(time.Now(), "far", 2)
+		a.scheduleFetch(time.Now(), "far", 2)
 		c.Assert(a.after(tickPeriod), qt.DeepEquals, []string{"far"})
 	})
 }
@@ -109,7 +109,7 @@
 		given bool
 	}{
 		{message{Zone: "b", Version: 4}, false},
-		{message{Zone: "b", Version: 4, Wants: true}, true},
+		{message{Zone: "b", Version: 4, WantsState: true}, true},
 		{message{Zone: "b"}, true},
 		{message{Zone: "a", Version: 4}, true},
 		{message{Zone: "a", Version: 5}, false},
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -44,8 +44,8 @@
 	proofs    stateProofs
 	quotas    teamQuotas
 	roles     atomic.Pointer[teamRoles]
-	era       storeEra
-	knowledge knowledge
+	era       storeEpoch
+	knowledge startKnowledge
 	view      atomic.Pointer[view]
 	started   time.Time
 	nodes     atomic.Int64 // known, this one included
@@ -73,7 +73,7 @@
 	ended      chan struct{} // closed when the node is told to end; made before its start, since a signal may hand over work by then
 	control    controlState
 	records    recordWriter
-	storeWatch storeWatch
+	storeWatch storeAvailability
 
 	servers []*http.Server
 	cancel  context.CancelFunc
@@ -102,8 +102,8 @@
 	}
 	n.backend = newBackend(n)
 	n.control.own.Host = host
-	n.control.reports = make(map[string]*heldReport)
-	n.control.lapsed = make(map[string]*heldReport)
+	n.control.reports = make(map[string]*nodeReport)
+	n.control.lapsed = make(map[string]*nodeReport)
 	n.control.zones = make(map[string]*zoneLoad)
 	n.control.shown = shownLines{calls: make(map[string]callgraph.Rates), shares: make(map[string]bool)}
 	n.records.init()
@@ -112,12 +112,12 @@
 	n.gate.ByArrival = n.off[settings.GateOrder]
 	n.metrics.init()
 	n.poison.Rules = o.Settings.Mesh.HeldBack.Rules()
-	n.watch.mayBegin = make(chan struct{})
+	n.watch.peersQueried = make(chan struct{})
 	n.watch.Within = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
 	n.quotas.owner.Rules = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
-	n.knowledge.told = o.Settings.Mesh.FirstStart // nobody knows anything yet
+	n.knowledge.fromPeer = o.Settings.Mesh.FirstStart // nobody knows anything yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
 	n.tuneBudget()
 	n.view.Store(&view{})
@@ -146,7 +146,7 @@
 	n.run(func() { n.followState(ctx) })
 	n.run(func() { n.syncRecords(ctx) })
 	n.run(func() { n.writeRecords(ctx) })
-	n.run(func() { n.keepLearned(ctx) })
+	n.run(func() { n.storeLearned(ctx) })
 	n.run(func() { n.keepHeld(ctx) })
 	n.run(func() { n.proveState(ctx) })
 	n.controlLog.Info("started", "host", n.ip, "zone", n.cfg.Zone, "service", n.cfg.Service, "epoch", n.epoch, "off", n.cfg.Mesh.Off)
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -56,9 +56,9 @@
 		n.writeFinal(w, q, a)
 		return
 	}
-	n.stats.begins(n.clock.Now(), q.kind(), q.clientDeadline)
+	n.stats.noteEntry(n.clock.Now(), q.kind(), q.clientDeadline)
 	if q.Inner {
-		n.stats.called(n.clock.Now(), route.Name, q.clientDeadline)
+		n.stats.noteCall(n.clock.Now(), route.Name, q.clientDeadline)
 	}
 	if a := n.refuseEntry(q); a != nil {
 		n.giveBackQuota(q)
@@ -118,7 +118,7 @@
 
 // noRoute answers a request that no route matches; where the desired state may be old, the route may well exist.
 func (n *Node) noRoute(w http.ResponseWriter, r *http.Request) {
-	if !n.sureOfState() {
+	if !n.stateIsFresh() {
 		n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusServiceUnavailable)
 		return
 	}
--- a/pkg/mesh/prove_state.go
+++ b/pkg/mesh/prove_state.go
@@ -48,7 +48,7 @@
 
 // proveState keeps the proof of this node young while keys have to be revoked strictly.
 func (n *Node) proveState(ctx context.Context) {
-	if !n.cfg.Mesh.StrictRevoke || n.cfg.Mesh.FirstStart && !clock.Sleep(ctx, firstLook) {
+	if !n.cfg.Mesh.StrictRevoke || n.cfg.Mesh.FirstStart && !clock.Sleep(ctx, firstElectionDelay) {
 		return
 	}
 	for clock.Sleep(ctx, provePoll) {
@@ -99,7 +99,7 @@
 func (n *Node) anyNode(ctx context.Context) string {
 	var hosts []string
 	if n.ask(ctx, func() {
-		for _, t := range n.talkTargets(announceFanout, anywhere) {
+		for _, t := range n.exchangeTargets(announceFanout, anyZone) {
 			hosts = append(hosts, t.host)
 		}
 	}) {
@@ -111,9 +111,9 @@
 // readProof reads the desired state from the store. A read is answered by the store as of one moment; its feed of changes
 // may be late, and silent.
 func (n *Node) readProof(ctx context.Context) {
-	sent, own := clock.Boot(n.clock), n.version()
+	sent, own := clock.Boot(n.clock), n.stateVersion()
 	var data []byte
-	err := n.callStore(ctx, n.storeWatch.try(), proveStateCall, proveTime, func(ctx context.Context) (err error) {
+	err := n.callStore(ctx, n.storeWatch.newAttempt(), proveStateCall, proveTime, func(ctx context.Context) (err error) {
 		data, _, err = n.store.ReadState(ctx)
 		return err
 	})
@@ -121,7 +121,7 @@
 		n.controlLog.Debug("no proof from the store", "err", err)
 		return
 	}
-	n.proven(sent, own, n.takeStored(data))
+	n.proven(sent, own, n.applyStored(data))
 }
 
 // proven takes the version that the store had in answer to a call that was sent when another one was in force here; 0: it had none that can be read. One that is
@@ -138,12 +138,12 @@
 
 // takeProof takes a proof that the store or another node gave.
 func (n *Node) takeProof(p freshness.Proof) {
-	n.proofs.with(func(k *freshness.Keeper) { k.Take(p, n.version()) })
+	n.proofs.with(func(k *freshness.Keeper) { k.Take(p, n.stateVersion()) })
 }
 
 // proofAge returns how old the proof for the state in force is; known is false if there is none.
 func (n *Node) proofAge() (age time.Duration, known bool) {
-	now, own := clock.Boot(n.clock), n.version()
+	now, own := clock.Boot(n.clock), n.stateVersion()
 	n.proofs.with(func(k *freshness.Keeper) { age, known = k.Age(now, own) })
 	return age, known
 }
@@ -160,12 +160,12 @@
 		return
 	}
 	n.takeProof(freshness.Proof{Version: a.Version, Sent: sent.Add(-a.Age)})
-	n.noticeVersion(host, a.Version)
+	n.noteVersion(host, a.Version)
 }
 
 // serveProof tells a node the youngest proof.
 func (n *Node) serveProof(w http.ResponseWriter, _ *http.Request) {
-	own := n.version()
+	own := n.stateVersion()
 	var a proofAnswer
 	n.proofs.with(func(k *freshness.Keeper) {
 		now := clock.Boot(n.clock)
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -97,7 +97,7 @@
 // serveHandover takes what another owner hands over.
 func (n *Node) serveHandover(w http.ResponseWriter, r *http.Request) {
 	var balances []quota.Balance
-	if !n.readQuestion(w, r, maxMessage, &balances, func() bool { return true }) {
+	if !n.readQuestion(w, r, maxMessageBytes, &balances, func() bool { return true }) {
 		return
 	}
 	now, state := clock.Boot(n.clock), n.state.Load()
--- a/pkg/mesh/record_news.go
+++ b/pkg/mesh/record_news.go
@@ -6,30 +6,30 @@
 	"github.com/rockspoke/rockspoke/pkg/directory"
 )
 
-// newsTime is how long a changed record goes with every message: some rounds of exchanges, after which
+// recentRecordTTL is how long a changed record goes with every message: some rounds of exchanges, after which
 // nearly all have it; a digest finds those who don't.
-const newsTime = 2 * time.Second
+const recentRecordTTL = 2 * time.Second
 
-// recordNews are the records that changed of late; its zero value is empty.
-type recordNews struct {
-	items []newsItem // the oldest first
+// recentRecords are the records that changed of late; its zero value is empty.
+type recentRecords struct {
+	items []recentRecord // the oldest first
 }
 
-type newsItem struct {
-	record directory.Record
-	until  time.Time
+type recentRecord struct {
+	record  directory.Record
+	expires time.Time
 }
 
 // add notes records that are news.
-func (w *recordNews) add(now time.Time, records ...directory.Record) {
+func (w *recentRecords) add(now time.Time, records ...directory.Record) {
 	for _, r := range records {
-		w.items = append(w.items, newsItem{record: r, until: now.Add(newsTime)})
+		w.items = append(w.items, recentRecord{record: r, expires: now.Add(recentRecordTTL)})
 	}
 }
 
-// recent returns what is still news, and drops the rest.
-func (w *recordNews) recent(now time.Time) []directory.Record {
-	for len(w.items) > 0 && !now.Before(w.items[0].until) {
+// current returns what is still news, and drops the rest.
+func (w *recentRecords) current(now time.Time) []directory.Record {
+	for len(w.items) > 0 && !now.Before(w.items[0].expires) {
 		w.items = w.items[1:]
 	}
 	records := make([]directory.Record, 0, len(w.items))
--- a/pkg/mesh/record_writer_test.go
+++ b/pkg/mesh/record_writer_test.go
@@ -14,18 +14,18 @@
 	c := qt.New(t)
 	var w recordWriter
 	w.init()
-	w.done(7)
-	w.want(directory.Record{Host: "n", Generation: 7})
+	w.markDurable(7)
+	w.requestWrite(directory.Record{Host: "n", Generation: 7})
 	<-w.changed
 	_, pending := w.pending()
 	c.Assert(pending, qt.IsFalse)
-	w.found(6)
+	w.reconcile(6)
 	<-w.changed
 	r, pending := w.pending()
 	c.Assert(pending, qt.IsTrue)
 	c.Assert(r.Generation, qt.Equals, int64(7))
-	w.done(7)
-	w.found(7)
+	w.markDurable(7)
+	w.reconcile(7)
 	_, pending = w.pending()
 	c.Assert(pending, qt.IsFalse)
 }
--- a/pkg/mesh/recovery_test.go
+++ b/pkg/mesh/recovery_test.go
@@ -37,7 +37,7 @@
 	for _, n := range s.nodes {
 		runs := 0.0
 		if p := n.plan.Load(); p != nil {
-			runs = p.runs["read"]["floor"]
+			runs = p.runsPerRequest["read"]["floor"]
 		}
 		least = min(least, runs)
 	}
--- a/pkg/mesh/repeats.go
+++ b/pkg/mesh/repeats.go
@@ -9,7 +9,7 @@
 // worthAnother tells whether a request that one server failed has a chance at another one.
 func (n *Node) worthAnother(q *request) bool {
 	p := n.plan.Load()
-	if p == nil || p.runs[q.Route][q.Service] == 0 {
+	if p == nil || p.runsPerRequest[q.Route][q.Service] == 0 {
 		return false // what a repeat costs below isn't known
 	}
 	if s, held := p.shares[q.kind()]; held && s.Fresh < 1 {
@@ -46,7 +46,7 @@
 // runsOf returns the runs by service that a request causes, as far as they are known.
 func (n *Node) runsOf(q *request) map[string]float64 {
 	if p := n.plan.Load(); p != nil {
-		if runs := p.runs[q.Route]; runs[q.Service] > 0 {
+		if runs := p.runsPerRequest[q.Route]; runs[q.Service] > 0 {
 			return runs
 		}
 	}
--- a/pkg/mesh/replan_bench_test.go
+++ b/pkg/mesh/replan_bench_test.go
@@ -21,14 +21,14 @@
 	n.state.Store(&desired.State{})
 	n.view.Store(&view{})
 	n.control.shown.shares = map[string]bool{}
-	n.control.reports, n.control.zones = map[string]*heldReport{}, map[string]*zoneLoad{}
+	n.control.reports, n.control.zones = map[string]*nodeReport{}, map[string]*zoneLoad{}
 	for i := range 21 {
 		r := sampleReport(fmt.Sprint("10.0.0.", i))
-		r.Service, r.heard = fmt.Sprint("s", i%4), time.Now().Add(time.Hour)
+		r.Service, r.receivedAt = fmt.Sprint("s", i%4), time.Now().Add(time.Hour)
 		n.control.reports[r.Host] = &r
 	}
 	for _, zone := range []string{"b", "c", "d"} {
-		n.control.zones[zone] = &zoneLoad{services: loads.AddUp(n.ownReports()), made: time.Now().Add(time.Hour)}
+		n.control.zones[zone] = &zoneLoad{services: loads.AddUp(n.ownZoneReports()), computedAt: time.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/mesh/resumed_test.go
+++ b/pkg/mesh/resumed_test.go
@@ -94,7 +94,7 @@
 		s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
 		s.settled(1)
 		n := s.nodes[1]
-		c.Assert(n.sureOfState(), qt.IsTrue)
+		c.Assert(n.stateIsFresh(), qt.IsTrue)
 		s.store.setDown(true)
 		for i := range s.nodes {
 			if i != 1 {
@@ -104,7 +104,7 @@
 		time.Sleep(200 * time.Millisecond)
 		s.clocks[s.base+"2"].stood.Add(int64(20 * time.Second))
 		time.Sleep(2 * tickPeriod)
-		c.Assert(n.sureOfState(), qt.IsFalse)
+		c.Assert(n.stateIsFresh(), qt.IsFalse)
 	})
 }
 
--- a/pkg/mesh/rules_test.go
+++ b/pkg/mesh/rules_test.go
@@ -131,7 +131,7 @@
 	s := three(t)
 	s.until("what a read costs is known", func() bool {
 		s.ask(0, http.MethodGet, "/read/x", "warm", time.Second)
-		return s.nodes[0].plan.Load().runs["read"]["a"] > 0
+		return s.nodes[0].plan.Load().runsPerRequest["read"]["a"] > 0
 	})
 	s.handleAll(func(f *fakeServer, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(sealHeader, f.instance)
@@ -272,7 +272,7 @@
 func TestStatesTravelBetweenNodesAndNeverFall(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
-	s.nodes[0].takeState("test", mustState(t, desired.State{Version: 9, Routes: []desired.Route{route("new", desired.Once, "a")}}))
+	s.nodes[0].applyState("test", mustState(t, desired.State{Version: 9, Routes: []desired.Route{route("new", desired.Once, "a")}}))
 	s.until("all have it", func() bool {
 		for _, n := range s.nodes {
 			if n.state.Load().Version != 9 {
@@ -281,8 +281,8 @@
 		}
 		return true
 	})
-	s.nodes[1].takeState("test", mustState(t, desired.State{Version: 5}))
+	s.nodes[1].applyState("test", mustState(t, desired.State{Version: 5}))
 	c.Assert(s.nodes[1].state.Load().Version, qt.Equals, int64(9))
-	s.nodes[1].takeState("test", []byte("{"))
+	s.nodes[1].applyState("test", []byte("{"))
 	c.Assert(s.nodes[1].state.Load().Version, qt.Equals, int64(9))
 }
--- a/pkg/mesh/store_calls.go
+++ b/pkg/mesh/store_calls.go
@@ -29,14 +29,14 @@
 }
 
 // callStore makes one call of a kind within a time, and counts it.
-func (n *Node) callStore(ctx context.Context, t storeTry, kind storeCall, span time.Duration, f func(ctx context.Context) error) error {
+func (n *Node) callStore(ctx context.Context, t storeAttempt, kind storeCall, span time.Duration, f func(ctx context.Context) error) error {
 	n.metrics.count("store_calls_total", "call", string(kind))
 	err := t.call(ctx, span, f)
 	if err != nil {
 		n.metrics.count("store_errors_total")
 	}
 	if n.store.Era != nil {
-		n.noteEra("store", n.store.Era())
+		n.noteStoreEpoch("store", n.store.Era())
 	}
 	return err
 }
--- a/pkg/mesh/store_era_test.go
+++ b/pkg/mesh/store_era_test.go
@@ -58,7 +58,7 @@
 	s.store.comeBack()
 	put(4) // the store's version of this row is that of the second before
 	s.settled(4)
-	c.Assert(s.nodes[0].version(), qt.Equals, int64(4))
+	c.Assert(s.nodes[0].stateVersion(), qt.Equals, int64(4))
 }
 
 // A store that came back without the state that took a key away doesn't let the key pass again.
@@ -92,13 +92,13 @@
 // Once a new era is known nothing that was sent before it has settled proves anything, whoever looks when.
 func TestAnEraAndItsSettlingAreKnownAtOnce(t *testing.T) {
 	c := qt.New(t)
-	var e storeEra
+	var e storeEpoch
 	at := func(s int) time.Time { return time.Time{}.Add(time.Duration(s) * time.Second) }
-	c.Check(e.rise(1, at(2)), qt.Equals, int64(0)) // the first that was told isn't a return
+	c.Check(e.advance(1, at(2)), qt.Equals, int64(0)) // the first that was told isn't a return
 	c.Check(e.proves(at(0)), qt.IsTrue)
-	c.Check(e.rise(2, at(12)), qt.Equals, int64(1))
-	c.Check(e.rise(2, at(15)), qt.Equals, int64(0))
+	c.Check(e.advance(2, at(12)), qt.Equals, int64(1))
+	c.Check(e.advance(2, at(15)), qt.Equals, int64(0))
 	c.Check(e.proves(at(11)), qt.IsFalse)
 	c.Check(e.proves(at(12)), qt.IsTrue)
-	c.Check(e.now(), qt.Equals, int64(2))
+	c.Check(e.current(), qt.Equals, int64(2))
 }
--- a/pkg/mesh/suspect_news.go
+++ b/pkg/mesh/suspect_news.go
@@ -22,7 +22,7 @@
 	// clearPause is the time in which requests that were cleared are gathered, to be told at once: a popular one is held to one server until then.
 	clearPause = 100 * time.Millisecond
 	// suspectNewsTime is how long news goes with every exchange.
-	suspectNewsTime = newsTime
+	suspectNewsTime = recentRecordTTL
 	// maxSuspectNews bounds the cases in one message, and maxNewsRuns the runs of all ends in it, some 90 bytes each: the newest go first.
 	maxSuspectNews = 64
 	maxNewsRuns    = 512
@@ -100,21 +100,21 @@
 
 // newsTargets returns some nodes of the own zone and some of each other one. Seeds aren't among them: they may be the same nodes
 // again, and others would hear of an end only with the next exchange.
-func (n *Node) newsTargets(near, farOfEach int) []talkTarget {
-	targets := someOf(n.knownTargets(nearOnly), near)
-	byZone := map[string][]talkTarget{}
-	for _, t := range n.knownTargets(farOnly) {
+func (n *Node) newsTargets(near, farOfEach int) []exchangeTarget {
+	targets := randomTargets(n.knownTargets(ownZoneOnly), near)
+	byZone := map[string][]exchangeTarget{}
+	for _, t := range n.knownTargets(otherZonesOnly) {
 		byZone[t.zone] = append(byZone[t.zone], t)
 	}
 	for _, zone := range byZone {
-		targets = append(targets, someOf(zone, farOfEach)...)
+		targets = append(targets, randomTargets(zone, farOfEach)...)
 	}
 	return targets
 }
 
 // tellBriefly sends what can't wait, without what the usual exchanges carry.
-func (n *Node) tellBriefly(targets []talkTarget, ends []poison.End, cases []poison.Case) {
-	body := n.encode(n.newBrief(ends, cases))
+func (n *Node) tellBriefly(targets []exchangeTarget, ends []poison.End, cases []poison.Case) {
+	body := n.encodeMessage(n.newBrief(ends, cases))
 	for _, t := range targets {
 		go n.exchangeWith(context.Background(), t.host, body)
 	}
@@ -123,8 +123,8 @@
 // newBrief is a message with nothing but news of suspects.
 func (n *Node) newBrief(ends []poison.End, cases []poison.Case) message {
 	return message{
-		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Digest: n.control.directory.Digest(), Stopping: n.stop.leaving(),
-		Brief: true, Ends: ends, Cases: cases,
+		From: n.ip, Zone: n.cfg.Zone, Version: n.stateVersion(), Digest: n.control.directory.Digest(), Stopping: n.stop.leaving(),
+		SuspectsOnly: true, Crashes: ends, Cases: cases,
 	}
 }
 
--- a/pkg/mesh/suspect_news_test.go
+++ b/pkg/mesh/suspect_news_test.go
@@ -25,13 +25,13 @@
 // The news of the end of a server is as large as what ran there: 46 runs, the most of eight ends in one played day.
 func TestNewsOfAnEndIsSmall(t *testing.T) {
 	c := qt.New(t)
-	body, err := pack(message{Brief: true, Ends: []poison.End{endOfMany(46)}})
+	body, err := pack(message{SuspectsOnly: true, Crashes: []poison.End{endOfMany(46)}})
 	c.Assert(err, qt.IsNil)
 	t.Logf("%d bytes", len(body))
 	c.Assert(len(body) < 5<<10, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
 	var back message
 	c.Assert(unpack(body, &back), qt.IsNil)
-	c.Assert(back.Ends, qt.DeepEquals, []poison.End{endOfMany(46)})
+	c.Assert(back.Crashes, qt.DeepEquals, []poison.End{endOfMany(46)})
 }
 
 // News ages while it is kept, is told for two seconds, and never more than a message holds; only what was cleared here is told by itself.
@@ -63,9 +63,9 @@
 	a.control.suspects.addEnd(a.clock.Now(), endOfMany(3))
 	a.control.suspects.addCase(a.clock.Now(), poison.Case{})
 	near, far := a.newMessage("a"), a.newMessage("b")
-	c.Assert(near.Ends, qt.HasLen, 1)
+	c.Assert(near.Crashes, qt.HasLen, 1)
 	c.Assert(near.Cases, qt.HasLen, 1)
-	c.Assert(len(far.Ends)+len(far.Cases), qt.Equals, 0)
+	c.Assert(len(far.Crashes)+len(far.Cases), qt.Equals, 0)
 }
 
 // News of an end goes to nodes, not to seeds, which may be the same ones again: of a zone of four all are told.
@@ -80,7 +80,7 @@
 	}
 	targets := a.newsTargets(endNear, endFar)
 	c.Assert(targets, qt.HasLen, 4+2*endFar)
-	seen := map[talkTarget]bool{}
+	seen := map[exchangeTarget]bool{}
 	near := 0
 	for _, x := range targets {
 		c.Check(seen[x], qt.IsFalse)
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -10,15 +10,15 @@
 
 // The times of reading all records.
 const (
-	// recordsPeriod is the time between readings of all records in a small mesh: exchanges carry the news,
+	// fullReadPeriod is the time between readings of all records in a small mesh: exchanges carry the news,
 	// and this brings nodes together that don't know of each other.
-	recordsPeriod = 20 * time.Second
-	// recordsNodes is the number of nodes up to which recordsPeriod holds; it grows with more, so that all
+	fullReadPeriod = 20 * time.Second
+	// fullReadNodes is the number of nodes up to which recordsPeriod holds; it grows with more, so that all
 	// of them together read no more often.
-	recordsNodes = 16
-	// meetNodes is how many nodes a node of a new mesh has to know to leave the other parts of the records unread. Each
+	fullReadNodes = 16
+	// discoveryNodes is how many nodes a node of a new mesh has to know to leave the other parts of the records unread. Each
 	// reads a part taken at random, after it has written its own, so that all are joined, and exchanges do the rest.
-	meetNodes = 8
+	discoveryNodes = 8
 )
 
 // syncRecords reads the records of all VMs at the start, unless peers know them, and from time to time.
@@ -26,45 +26,45 @@
 	var wait backoff
 	switch {
 	case n.cfg.Mesh.FirstStart:
-		n.awaitRead(ctx, jitter(recordsPeriod)) // nobody has written a record yet
-		if n.meetOthers(ctx) {
-			n.awaitRead(ctx, n.recordsPause())
+		n.awaitReadDue(ctx, jitter(fullReadPeriod)) // nobody has written a record yet
+		if n.discoverNodes(ctx) {
+			n.awaitReadDue(ctx, n.fullReadDelay())
 		}
-	case n.askPeers(ctx):
+	case n.queryPeers(ctx):
 		n.controlLog.Info("records heard from peers", "nodes", n.nodes.Load())
-		close(n.watch.mayBegin)
+		close(n.watch.peersQueried)
 		n.records.noteFirstRead()
-		n.awaitRead(ctx, n.recordsPause())
+		n.awaitReadDue(ctx, n.fullReadDelay())
 	default:
-		close(n.watch.mayBegin)
+		close(n.watch.peersQueried)
 	}
 	for ctx.Err() == nil {
-		pause := n.recordsPause()
-		t := n.storeWatch.try()
+		pause := n.fullReadDelay()
+		t := n.storeWatch.newAttempt()
 		if n.readRecords(ctx, t) {
 			wait = 0
-			n.awaitRead(ctx, pause)
+			n.awaitReadDue(ctx, pause)
 			continue
 		}
 		n.records.noteFirstRead()
-		t.sleep(ctx, jitter(wait.next(storeRetryFirst, storeRetryMost)))
+		t.sleep(ctx, jitter(wait.next(storeRetryFirst, storeRetryMax)))
 	}
 }
 
-// recordsPause returns the time until the next reading of all records.
-func (n *Node) recordsPause() time.Duration {
-	nodes := max(int(n.nodes.Load()), recordsNodes)
-	return jitter(recordsPeriod * time.Duration(nodes) / recordsNodes)
+// fullReadDelay returns the time until the next reading of all records.
+func (n *Node) fullReadDelay() time.Duration {
+	nodes := max(int(n.nodes.Load()), fullReadNodes)
+	return jitter(fullReadPeriod * time.Duration(nodes) / fullReadNodes)
 }
 
-// meetOthers reads one part of the records after the other until enough nodes are known; it reports whether the store
+// discoverNodes reads one part of the records after the other until enough nodes are known; it reports whether the store
 // answered.
-func (n *Node) meetOthers(ctx context.Context) bool {
+func (n *Node) discoverNodes(ctx context.Context) bool {
 	for _, part := range rand.Perm(n.store.RecordParts) {
-		if n.nodes.Load() >= meetNodes {
+		if n.nodes.Load() >= discoveryNodes {
 			break
 		}
-		if !n.readRecords(ctx, n.storeWatch.try(), part) {
+		if !n.readRecords(ctx, n.storeWatch.newAttempt(), part) {
 			return false
 		}
 	}
@@ -72,9 +72,9 @@
 }
 
 // readRecords reads all records, or those of a part, once and tells some peers; it reports whether the store answered.
-func (n *Node) readRecords(ctx context.Context, t storeTry, parts ...int) bool {
+func (n *Node) readRecords(ctx context.Context, t storeAttempt, parts ...int) bool {
 	var stored Stored
-	err := n.callStore(ctx, t, readRecordsCall, storeCallTime, func(ctx context.Context) (err error) {
+	err := n.callStore(ctx, t, readRecordsCall, storeCallTimeout, func(ctx context.Context) (err error) {
 		stored, err = n.store.ReadRecords(ctx, parts...)
 		return err
 	})
@@ -88,9 +88,9 @@
 	n.ask(ctx, func() {
 		whole := len(parts) == 0 // a part may lack the own record, and has some of what was learned
 		if whole {
-			n.recallStored(stored.Learned)
+			n.restoreFromStore(stored.Learned)
 			n.recallHeld(stored.Held)
-			n.noteStored(stored.Records)
+			n.noteStoredGeneration(stored.Records)
 		}
 		n.merge("store", stored.Records)
 		if whole {
@@ -101,24 +101,24 @@
 	return true
 }
 
-// noteStored notes which generation of this VM's record the store has.
-func (n *Node) noteStored(records []directory.Record) {
+// noteStoredGeneration notes which generation of this VM's record the store has.
+func (n *Node) noteStoredGeneration(records []directory.Record) {
 	generation := int64(0)
 	for _, r := range records {
 		if r.Host == n.ip {
 			generation = r.Generation
 		}
 	}
-	n.records.found(generation)
+	n.records.reconcile(generation)
 }
 
-// awaitRead returns when a reading is asked for, after the pause, or when ctx ends.
-func (n *Node) awaitRead(ctx context.Context, pause time.Duration) {
+// awaitReadDue returns when a reading is asked for, after the pause, or when ctx ends.
+func (n *Node) awaitReadDue(ctx context.Context, pause time.Duration) {
 	t := time.NewTimer(pause)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-n.records.read:
+	case <-n.records.readRequests:
 	case <-ctx.Done():
 	}
 }
--- a/pkg/mesh/talk_period_test.go
+++ b/pkg/mesh/talk_period_test.go
@@ -21,10 +21,10 @@
 func TestExchangesOfACalmZoneGrowRarerWithItsNodes(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
-	for nodes, period := range map[int]time.Duration{1: talkLeast, 24: talkLeast, 48: 2 * talkLeast, 240: 10 * talkLeast} {
+	for nodes, period := range map[int]time.Duration{1: minExchangePeriod, 24: minExchangePeriod, 48: 2 * minExchangePeriod, 240: 10 * minExchangePeriod} {
 		n := talking(nodes, now)
-		n.noteUrgency(now, false)
-		c.Check(n.talkPeriod(), qt.Equals, period)
+		n.updateUrgency(now, false)
+		c.Check(n.exchangePeriod(), qt.Equals, period)
 		c.Check(n.control.nextTalk.Sub(now), qt.Equals, time.Hour)
 	}
 }
@@ -34,12 +34,12 @@
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := talking(64, now)
-	n.noteUrgency(now, true)
-	c.Check(n.talkPeriod(), qt.Equals, talkLeast)
-	c.Check(n.control.nextTalk.Sub(now) <= 2*talkLeast, qt.IsTrue)
-	c.Check(n.calmTalkPeriod(), qt.Equals, talkLeast*64/talkNodes)
-	n.noteUrgency(now, false)
-	c.Check(n.talkPeriod(), qt.Equals, n.calmTalkPeriod())
+	n.updateUrgency(now, true)
+	c.Check(n.exchangePeriod(), qt.Equals, minExchangePeriod)
+	c.Check(n.control.nextTalk.Sub(now) <= 2*minExchangePeriod, qt.IsTrue)
+	c.Check(n.calmExchangePeriod(), qt.Equals, minExchangePeriod*64/calmZoneNodes)
+	n.updateUrgency(now, false)
+	c.Check(n.exchangePeriod(), qt.Equals, n.calmExchangePeriod())
 }
 
 func TestExchangesAreSoonerWhileWhatComesChanges(t *testing.T) {
@@ -50,11 +50,11 @@
 	pass := func(rate int) (sooner int) {
 		for range 100 {
 			for range rate / 5 {
-				n.stats.atGate(now, false, false)
+				n.stats.noteGateArrival(now, false, false)
 			}
 			now = now.Add(planPeriod)
-			n.noteUrgency(now, false)
-			if n.talkPeriod() == talkLeast {
+			n.updateUrgency(now, false)
+			if n.exchangePeriod() == minExchangePeriod {
 				sooner++
 			}
 		}
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -33,7 +33,7 @@
 	plan := &admissionPlan{}
 	shares := make(chan map[string]overload.Share, 1)
 	n.do(func() {
-		roots := n.roots(time.Now(), []*loads.Report{report}, plan, costs)
+		roots := n.rootDemand(time.Now(), []*loads.Report{report}, plan, costs)
 		shares <- overload.Options{NoLeastPart: true}.Plan(roots, map[string]float64{"a": 2 / overload.Target})
 	})
 	got := <-shares
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -69,7 +69,7 @@
 // all that are known.
 func (n *Node) teamMembers(now time.Time) zoneMembers {
 	m := zoneMembers{byZone: make(map[string][]string)}
-	fresh := now.Sub(n.started) < reportLifeLeast
+	fresh := now.Sub(n.started) < minReportTTL
 	for _, r := range n.control.directory.All() {
 		near := r.Zone == n.cfg.Zone || r.Host == n.ip
 		heard := !near || r.Host == n.ip || n.heardOf(now, r.Host) || fresh
@@ -97,7 +97,7 @@
 // heardOf tells whether a node of the own zone was heard lately, and doesn't leave.
 func (n *Node) heardOf(now time.Time, host string) bool {
 	r := n.control.reports[host]
-	return r != nil && !r.Leaving && now.Sub(r.heard) <= max(memberTime*n.calmTalkPeriod(), memberLeast)
+	return r != nil && !r.Leaving && now.Sub(r.receivedAt) <= max(memberTime*n.calmExchangePeriod(), memberLeast)
 }
 
 // stopsNow tells whether a node is known to be stopping.
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -341,7 +341,7 @@
 	c.Check(log.String(), qt.Contains, "red key")
 	c.Check(log.String(), qt.Not(qt.Contains), "very-secret")
 	c.Check(fmt.Sprintf("%+v", s.nodes[0].Dump()), qt.Not(qt.Contains), "very-secret")
-	c.Check(s.nodes[0].version(), qt.Equals, int64(1))
+	c.Check(s.nodes[0].stateVersion(), qt.Equals, int64(1))
 	status, _ := s.send(0, "/read/x", "still", withKey("very-secret"))
 	c.Check(status, qt.Equals, http.StatusOK)
 }
--- a/pkg/mesh/traffic_at_gate.go
+++ b/pkg/mesh/traffic_at_gate.go
@@ -2,67 +2,67 @@
 
 import "time"
 
-// atGate counts a request at the first gate that it comes to, and whether it was turned away for want of room. In a service of
+// noteGateArrival counts a request at the first gate that it comes to, and whether it was turned away for want of room. In a service of
 // many servers a request goes on to all of them: were it counted at each, the share that is turned away would grow
 // with their number, and with it the room that is taken from them.
-func (s *trafficStats) atGate(now time.Time, inner, turnedAway bool) {
+func (s *trafficStats) noteGateArrival(now time.Time, inner, turnedAway bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived.Add(now, 1)
+	s.gateArrivals.Add(now, 1)
 	if !turnedAway {
 		return
 	}
-	s.refused.Add(now, 1)
+	s.rejectedRequests.Add(now, 1)
 	if inner {
-		s.turned.Add(now, 1)
+		s.rejectedCalls.Add(now, 1)
 	}
 }
 
-// turnedAwayShare returns the share of the requests at the gate that were turned away of late.
-func (s *trafficStats) turnedAwayShare(now time.Time) float64 {
+// rejectedShare returns the share of the requests at the gate that were turned away of late.
+func (s *trafficStats) rejectedShare(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	arrived := s.arrived.PerSecond(now)
-	if arrived < leastReported {
+	arrived := s.gateArrivals.PerSecond(now)
+	if arrived < minReportedRate {
 		return 0
 	}
-	return s.refused.PerSecond(now) / arrived
+	return s.rejectedRequests.PerSecond(now) / arrived
 }
 
-// turnedAwayRate returns those calls a second.
-func (s *trafficStats) turnedAwayRate(now time.Time) float64 {
+// rejectedCallRate returns those calls a second.
+func (s *trafficStats) rejectedCallRate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.turned.PerSecond(now)
+	return s.rejectedCalls.PerSecond(now)
 }
 
 // callAge returns by how much less time a call has left than one of its route had here of late.
 func (s *trafficStats) callAge(now time.Time, route string, left time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.longestCall[route]
+	m := s.maxTimeLeft[route]
 	if m == nil {
-		m = &recentMost{}
-		s.longestCall[route] = m
+		m = &recentMax{}
+		s.maxTimeLeft[route] = m
 	}
-	return m.with(now, left) - left
+	return m.add(now, left) - left
 }
 
-// mostMemory is how long the most time of a route's calls is remembered at the least, twice that at the most: one whose
+// recentMaxWindow is how long the most time of a route's calls is remembered at the least, twice that at the most: one whose
 // limit is lowered has calls that would else look old for ever, and go before those of other routes.
-const mostMemory = 5 * time.Second
+const recentMaxWindow = 5 * time.Second
 
-// recentMost is the longest of the times seen of late; its zero value has seen none.
-type recentMost struct {
-	current, before time.Duration
-	since           time.Time // when current began
+// recentMax is the longest of the times seen of late; its zero value has seen none.
+type recentMax struct {
+	current, previous time.Duration
+	currentSince      time.Time // when current began
 }
 
-// with takes one more time and returns the longest.
-func (m *recentMost) with(now time.Time, d time.Duration) time.Duration {
-	if now.Sub(m.since) >= mostMemory {
-		m.before, m.current, m.since = m.current, 0, now
+// add takes one more time and returns the longest.
+func (m *recentMax) add(now time.Time, d time.Duration) time.Duration {
+	if now.Sub(m.currentSince) >= recentMaxWindow {
+		m.previous, m.current, m.currentSince = m.current, 0, now
 	}
 	m.current = max(m.current, d)
-	return max(m.current, m.before)
+	return max(m.current, m.previous)
 }
--- a/pkg/mesh/traffic_at_gate_test.go
+++ b/pkg/mesh/traffic_at_gate_test.go
@@ -19,7 +19,7 @@
 	now = now.Add(time.Second)
 	c.Assert(age(2*time.Second), qt.Equals, time.Second)
 	for range 2 {
-		now = now.Add(mostMemory)
+		now = now.Add(recentMaxWindow)
 		age(700 * time.Millisecond)
 	}
 	c.Assert(age(500*time.Millisecond), qt.Equals, 200*time.Millisecond)
--- a/pkg/mesh/traffic_runs.go
+++ b/pkg/mesh/traffic_runs.go
@@ -10,26 +10,26 @@
 
 // runStats counts the runs of one route at the server on this VM.
 type runStats struct {
-	rate overload.DecayingRate
-	held overload.DecayingRate // seconds held
+	rate        overload.DecayingRate
+	holdSeconds overload.DecayingRate // seconds held
 }
 
-// begin notes a run that starts at the server on this VM, with the time limit that the server was given.
-func (s *trafficStats) begin(now time.Time, route string, deadline time.Time) *callgraph.Run {
+// beginRun notes a run that starts at the server on this VM, with the time limit that the server was given.
+func (s *trafficStats) beginRun(now time.Time, route string, deadline time.Time) *callgraph.Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.learner.Begin(now, route, deadline)
 }
 
-// drop forgets a run that the server didn't take: counted, it would seem to hold a slot for no time and to make no calls.
-func (s *trafficStats) drop(now time.Time, run *callgraph.Run) {
+// dropRun forgets a run that the server didn't take: counted, it would seem to hold a slot for no time and to make no calls.
+func (s *trafficStats) dropRun(now time.Time, run *callgraph.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Drop(now, run)
 }
 
-// end notes the end of a run.
-func (s *trafficStats) end(now time.Time, route string, run *callgraph.Run, held time.Duration, o gate.Outcome) {
+// endRun notes the endRun of a run.
+func (s *trafficStats) endRun(now time.Time, route string, run *callgraph.Run, held time.Duration, o gate.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.End(now, run, o == gate.Answered)
@@ -39,36 +39,36 @@
 		s.runs[route] = r
 	}
 	r.rate.Add(now, 1)
-	r.held.Add(now, held.Seconds())
+	r.holdSeconds.Add(now, held.Seconds())
 }
 
-// called notes a call of the server on this VM.
-func (s *trafficStats) called(now time.Time, route string, deadline time.Time) {
+// noteCall notes a call of the server on this VM.
+func (s *trafficStats) noteCall(now time.Time, route string, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Call(now, route, deadline)
 }
 
-// known returns the calls of one run that are known well.
-func (s *trafficStats) known() map[string]callgraph.Rates {
+// knownCalls returns the calls of one run that are knownCalls well.
+func (s *trafficStats) knownCalls() map[string]callgraph.Rates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.learner.Known()
 }
 
-// recall takes what was known before.
-func (s *trafficStats) recall(known map[string]callgraph.Rates) {
+// restoreCalls takes what was known before.
+func (s *trafficStats) restoreCalls(known map[string]callgraph.Rates) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Recall(known)
 }
 
-// look has the learner work out what was seen.
-func (s *trafficStats) look(now time.Time) {
+// updateLearner has the learner work out what was seen.
+func (s *trafficStats) updateLearner(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Look(now)
 }
 
-// lookPeriod is the time between the learner's looks at what was seen.
-const lookPeriod = 100 * time.Millisecond
+// learnPeriod is the time between the learner's looks at what was seen.
+const learnPeriod = 100 * time.Millisecond
--- a/pkg/mesh/traffic_runs_test.go
+++ b/pkg/mesh/traffic_runs_test.go
@@ -19,18 +19,18 @@
 	step := func(good int) float64 {
 		for i := range 10 {
 			end := now.Add(time.Second)
-			run := s.begin(now, "r", end)
-			s.called(now, "call", end)
+			run := s.beginRun(now, "r", end)
+			s.noteCall(now, "call", end)
 			outcome := gate.Failed
 			if i < good {
-				s.called(now, "call", end)
+				s.noteCall(now, "call", end)
 				outcome = gate.Answered
 			}
 			now = now.Add(10 * time.Millisecond)
-			s.end(now, "r", run, 10*time.Millisecond, outcome)
+			s.endRun(now, "r", run, 10*time.Millisecond, outcome)
 		}
-		s.look(now)
-		return s.callsOf("r")["call"]
+		s.updateLearner(now)
+		return s.callsPerRun("r")["call"]
 	}
 	for range 20 {
 		c.Assert(step(10), qt.Equals, 2.0)
--- a/pkg/mesh/who_asks.go
+++ b/pkg/mesh/who_asks.go
@@ -84,7 +84,7 @@
 	}
 	age, proven := n.proofAge()
 	n.callLog.Info("key refused", "request", r.Header.Get(n.names.AttemptID), "route", route.Name, "reason", refusal.reason,
-		"key", n.fingerprint(r.Header[n.names.Key]), "version", n.version(), "proven", proven, "proof_age", age)
+		"key", n.fingerprint(r.Header[n.names.Key]), "version", n.stateVersion(), "proven", proven, "proof_age", age)
 	n.refuseUnrouted(w, r, refusal.reason, refusal.status)
 }
 
@@ -109,7 +109,7 @@
 
 // sureOfKeys tells whether a key that the state doesn't have is certainly none.
 func (n *Node) sureOfKeys(s *desired.State) bool {
-	if !n.sureOfState() {
+	if !n.stateIsFresh() {
 		return false
 	}
 	sure := true
--- a/pkg/mesh/write_records.go
+++ b/pkg/mesh/write_records.go
@@ -9,17 +9,17 @@
 
 // The times of calls to the store.
 const (
-	// storeCallTime bounds one call.
-	storeCallTime = 1500 * time.Millisecond
-	// followTime bounds a call that waits for changes: longer than any store holds one.
-	followTime = time.Minute
+	// storeCallTimeout bounds one call.
+	storeCallTimeout = 1500 * time.Millisecond
+	// followCallTimeout bounds a call that waits for changes: longer than any store holds one.
+	followCallTimeout = time.Minute
 	// storeRetryFirst and storeRetryMost bound the wait before a call is made again.
 	storeRetryFirst = 150 * time.Millisecond
-	storeRetryMost  = 800 * time.Millisecond
+	storeRetryMax   = 800 * time.Millisecond
 )
 
-// knownEnough is the number of nodes, this one included, from which news spreads by exchanges alone.
-const knownEnough = 3
+// minKnownNodes is the number of nodes, this one included, from which news spreads by exchanges alone.
+const minKnownNodes = 3
 
 // writeRecords writes the record whenever it has changed, and again until the store has it.
 func (n *Node) writeRecords(ctx context.Context) {
@@ -40,28 +40,28 @@
 				return
 			}
 		}
-		t := n.storeWatch.try()
+		t := n.storeWatch.newAttempt()
 		if n.writeRecord(ctx, t, r) {
 			continue
 		}
-		if !t.sleep(ctx, jitter(wait.next(storeRetryFirst, storeRetryMost))) {
+		if !t.sleep(ctx, jitter(wait.next(storeRetryFirst, storeRetryMax))) {
 			return
 		}
 	}
 }
 
 // writeRecord makes one call, and reports whether the store has the record.
-func (n *Node) writeRecord(ctx context.Context, t storeTry, r directory.Record) bool {
-	err := n.callStore(ctx, t, writeRecordCall, storeCallTime, func(ctx context.Context) error {
+func (n *Node) writeRecord(ctx context.Context, t storeAttempt, r directory.Record) bool {
+	err := n.callStore(ctx, t, writeRecordCall, storeCallTimeout, func(ctx context.Context) error {
 		return n.store.WriteRecord(ctx, r)
 	})
 	if err != nil {
 		n.controlLog.Warn("record not stored", "generation", r.Generation, "err", err)
 		return false
 	}
-	n.records.done(r.Generation)
-	if n.nodes.Load() < knownEnough {
-		n.records.askRead()
+	n.records.markDurable(r.Generation)
+	if n.nodes.Load() < minKnownNodes {
+		n.records.requestRead()
 	}
 	return true
 }
