--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -8,21 +8,21 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// The constants of the line about the plan.
+// The constants of the log line about the plan.
 const (
-	// planLogPeriod is the time between lines about a plan that holds something down, or lacks costs.
+	// planLogPeriod is the time between log lines about a plan that limits some kind or lacks the cost of one.
 	planLogPeriod = time.Second
-	// minUncostedRate is the rate a second from which a kind without a known cost is written down: a few requests on a
-	// route that nobody else asks for are no loss to the plan.
+	// minUncostedRate is the rate in requests per second from which a kind without a known cost is logged: a few requests
+	// on a rarely used route don't distort the plan.
 	minUncostedRate = 5.0
 )
 
-// limitsAnyKind tells whether the plan lets in only a part of some kind.
+// limitsAnyKind reports whether the plan admits less than all first attempts of some kind.
 func limitsAnyKind(roots []overload.Root, plan *admissionPlan) bool {
 	return slices.ContainsFunc(roots, func(r overload.Root) bool { return plan.shares[r.Route].Fresh < 1 })
 }
 
-// logPlan writes down what decided the shares, for a plan that holds some kind down or lacks the cost of one.
+// logPlan logs the inputs and shares of a plan that limits some kind or lacks the cost of one, once per planLogPeriod.
 func (n *Node) logPlan(now time.Time, plan *admissionPlan, roots []overload.Root, capacity map[string]float64, missing []string) {
 	if now.Before(n.control.shown.nextPlan) {
 		return
@@ -33,7 +33,7 @@
 		"without_cost", missing, "reports", len(n.control.reports), "zones", len(n.packedOtherZones(now)))
 }
 
-// sharesByDisplayName returns the shares by names for people.
+// sharesByDisplayName returns the shares keyed by the display names of their kinds.
 func sharesByDisplayName(shares map[string]overload.Share) map[string]overload.Share {
 	shown := make(map[string]overload.Share, len(shares))
 	for kind, s := range shares {
@@ -42,7 +42,7 @@
 	return shown
 }
 
-// kindsWithoutCost returns the kinds that are asked for and take nothing by what is known.
+// kindsWithoutCost returns the sorted display names of the kinds that are requested and have no known cost.
 func kindsWithoutCost(roots []overload.Root) []string {
 	var routes []string
 	for _, r := range roots {
@@ -54,7 +54,7 @@
 	return routes
 }
 
-// setShareMetrics sets the metric of each kind that is held down, or ever was.
+// setShareMetrics sets the share metric of each kind that is limited now or has been since the start.
 func (n *Node) setShareMetrics(plan *admissionPlan) {
 	for route, s := range plan.shares {
 		if s.Fresh < 1 || n.control.shown.shares[route] {
@@ -64,8 +64,8 @@
 	}
 }
 
-// demandAndCosts returns the slots that first attempts would take of each service, and the slot seconds of one request
-// of each kind.
+// demandAndCosts returns the slots of each service that all first attempts would occupy, and the slot seconds that one
+// request of each kind takes at each service.
 func demandAndCosts(roots []overload.Root) (demand map[string]float64, costs map[string]map[string]float64) {
 	demand, costs = map[string]float64{}, map[string]map[string]float64{}
 	for _, r := range roots {
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -10,23 +10,23 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// admissionPlan is what requests see of what was learned; it is never changed once published.
+// admissionPlan holds the admission shares and the learned costs that requests read. It is immutable once published.
 type admissionPlan struct {
-	shares         map[string]overload.Share     // by kind of root request (loads.Kind)
+	shares         map[string]overload.Share     // admitted share by kind of root request (loads.Kind)
 	internalRoutes map[string]bool               // routes that only backend servers call
-	runsPerRequest map[string]map[string]float64 // runs by service of one request of a route, its calls included
-	slotHoldTimes  map[string]time.Duration      // how long one run of a route holds a slot, at any server
-	// bottlenecks holds the services that what is admitted fills.
+	runsPerRequest map[string]map[string]float64 // by route, then service: runs caused by one request, its calls included
+	slotHoldTimes  map[string]time.Duration      // by route: average slot hold time of one run, over all servers
+	// bottlenecks holds the services whose usable slots the admitted requests fill.
 	bottlenecks map[string]bool
 }
 
-// isBottleneck tells whether what the plan admits fills a service, as far as costs are known.
+// isBottleneck reports whether the requests that the plan admits fill the service, as far as their costs are known.
 func (n *Node) isBottleneck(service string) bool {
 	p := n.plan.Load()
 	return p != nil && p.bottlenecks[service]
 }
 
-// slotHoldTime returns how long a run of the route holds a slot at any server, or 0 where that isn't known.
+// slotHoldTime returns the average slot hold time of a run of the route over all servers, or 0 if it isn't known.
 func (n *Node) slotHoldTime(route string) time.Duration {
 	if p := n.plan.Load(); p != nil && !n.off[settings.KindHolds] {
 		return p.slotHoldTimes[route]
@@ -37,7 +37,7 @@
 // planPeriod is the time between plans.
 const planPeriod = 200 * time.Millisecond
 
-// replan works out the shares from the reports that still count.
+// replan computes and publishes a new admission plan from the reports that haven't expired.
 func (n *Node) replan(now time.Time) {
 	n.expireLoads(now)
 	reports := n.currentReports()
@@ -66,7 +66,8 @@
 	n.plan.Store(plan)
 }
 
-// rootDemand returns the demand for each kind of root request: what is counted, and what can't have been counted yet.
+// rootDemand returns the demand for each kind of root request: the reported rates, plus the retained rates of kinds that
+// can't have been reported yet.
 func (n *Node) rootDemand(now time.Time, reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) []overload.Root {
 	byKind := n.reportedRoots(reports, plan, costs)
 	n.control.asked = make(map[string]float64, len(byKind))
@@ -92,13 +93,13 @@
 	return roots
 }
 
-// newRoot returns a kind of newRoot request for which there is no demand.
+// newRoot returns a root request of the given kind with its rank and cost, and with no demand yet.
 func (n *Node) newRoot(kind string, costs map[string]callgraph.Cost) *overload.Root {
 	route, team := loads.SplitKind(kind)
 	return &overload.Root{Route: kind, Priority: n.state.Load().Rank(route, team), Slots: costs[route].Slots}
 }
 
-// reportedRoots returns the demand that reports tell of.
+// reportedRoots returns the demand that the reports contain, by kind of root request.
 func (n *Node) reportedRoots(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.Root {
 	byKind := map[string]*overload.Root{}
 	for _, r := range reports {
--- a/pkg/mesh/ask_peers.go
+++ b/pkg/mesh/ask_peers.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// peerQueryTimeout bounds the wait for the answers of peers after a restart: they come within some hundredths of a second from a
-	// node that is well, and one that isn't must not hold up the reading of the store.
+	// peerQueryTimeout bounds the wait for peers' responses after a restart: a healthy node responds within some hundredths
+	// of a second, and an unhealthy one must not delay the reading of the store.
 	peerQueryTimeout = 150 * time.Millisecond
-	// queriedPeers are asked at a time: one of them may be lost, and one may have been started just now.
+	// queriedPeers is how many peers are queried at once: one of them may be lost, and one may have just started.
 	queriedPeers = 3
 )
 
-// queryPeers asks other nodes after a restart; it reports whether what they told will do without the store: other nodes, what
-// was learned, and most likely the desired state. The seeds may come late, and be gone: then one part of the records names
-// some nodes. Of 194 nodes that were restarted in turn each read all four parts and the state before.
+// queryPeers queries other nodes after a restart; it reports whether their responses make reading the store unnecessary: with
+// other nodes, what was learned, and most likely the desired state. If no seed is configured yet or none responds, one part
+// of the records names some nodes. Without this, each of 194 nodes restarted in turn read all four parts and the state.
 func (n *Node) queryPeers(ctx context.Context) bool {
 	if n.queryHosts(ctx, n.seedHosts) {
 		return true
@@ -27,7 +27,7 @@
 	return n.readRecords(ctx, n.storeWatch.newAttempt(), rand.N(n.store.RecordParts)) && n.queryHosts(ctx, n.hostsOwnZoneFirst)
 }
 
-// hostsOwnZoneFirst returns some nodes that are known, those of the own zone first.
+// hostsOwnZoneFirst returns up to queriedPeers random known hosts, those of the own zone first.
 func (n *Node) hostsOwnZoneFirst() []string {
 	var hosts []string
 	for _, where := range []zoneScope{ownZoneOnly, otherZonesOnly} {
@@ -38,7 +38,7 @@
 	return hosts[:min(len(hosts), queriedPeers)]
 }
 
-// queryHosts exchanges at once with the hosts, which the control goroutine chooses.
+// queryHosts exchanges with the hosts that choose returns on the control goroutine; it reports whether enough is known then.
 func (n *Node) queryHosts(ctx context.Context, choose func() []string) bool {
 	waiting, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
@@ -48,8 +48,8 @@
 	return chosen && n.queryEach(ctx, waiting, hosts, body)
 }
 
-// queryEach exchanges with all hosts at once; it reports whether one of those that answer while it is waited for tells enough.
-// The others may answer later.
+// queryEach exchanges with all hosts in parallel; it reports whether enough is known after a response before waiting ends.
+// Later responses are still merged, until ctx ends.
 func (n *Node) queryEach(ctx, waiting context.Context, hosts []string, body []byte) bool {
 	ended := make(chan bool, len(hosts))
 	for _, h := range hosts {
@@ -68,7 +68,8 @@
 	return false
 }
 
-// knowsEnough tells whether enough is known to do without the store's records, once all that came before was taken.
+// knowsEnough waits until queued control events are processed, and reports whether enough is known to skip reading the
+// store's records.
 func (n *Node) knowsEnough(ctx context.Context) bool {
 	return n.ask(ctx, func() {}) && n.nodes.Load() >= minKnownNodes && n.knowledge.complete.Load()
 }
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -9,27 +9,27 @@
 	"github.com/rockspoke/rockspoke/pkg/follow"
 )
 
-// exchangePath is where nodes talk to each other about control state.
+// exchangePath is the path at which nodes exchange control state.
 const exchangePath = "/exchange"
 
 // The bounds of exchanges.
 const (
-	ownZoneFanout = 2 // peers of the own availability zone that are told at a time
-	// announceFanout is how many peers hear of news at once; they tell others in turn.
+	ownZoneFanout = 2 // peers of the own availability zone per exchange
+	// announceFanout is how many peers receive a recent update at once; they pass it on in turn.
 	announceFanout = 3
-	// crossZoneShare of the exchanges go to a peer of another zone as well, and farTalks of all exchanges of a zone in
-	// one period at the most: bytes between zones are paid for, and news of a zone spreads in it by itself. With
-	// less, sums of other zones were often older than zoneLifeLeast: of the worth of all answers in a minute with a zone
-	// cut off, 14 nodes earned 0.707 and 0.675 with one near peer and a quarter, 0.748 with two (one play each).
+	// crossZoneShare is the share of a node's exchanges that include a peer of another zone, and crossZoneExchanges bounds
+	// them per zone and period: traffic between zones is paid for, and updates spread within a zone by themselves. With
+	// fewer, sums of other zones were often older than minZoneLoadTTL: in a minute with one zone cut off, 14 nodes earned
+	// 0.707 and 0.675 of the value of all answers with one peer of the own zone and a share of a quarter, 0.748 with two.
 	crossZoneShare     = 0.35
 	crossZoneExchanges = 4.0
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = 800 * time.Millisecond
-	// maxMessageBytes bounds a message in bytes: a desired state of thousands of routes fits.
+	// maxMessageBytes bounds a message; a desired state of thousands of routes fits.
 	maxMessageBytes = 8 << 20
 )
 
-// gossip exchanges with some peers taken at random.
+// gossip starts exchanges with a few random peers.
 func (n *Node) gossip(ctx context.Context) {
 	targets := n.exchangeTargets(ownZoneFanout, ownZoneOnly)
 	if rand.Float64() < min(crossZoneShare, crossZoneExchanges/float64(max(len(n.control.zoneHosts), 1))) {
@@ -38,7 +38,7 @@
 	n.exchangeWithAll(ctx, targets)
 }
 
-// exchangeWithAll exchanges with the given peers.
+// exchangeWithAll starts exchanges with the given peers, with one message per zone.
 func (n *Node) exchangeWithAll(ctx context.Context, targets []exchangeTarget) {
 	bodies := map[string][]byte{} // by zone
 	for _, t := range targets {
@@ -51,7 +51,7 @@
 	}
 }
 
-// exchangeAndComplete sends a message to a peer, which is told all records if its answer shows that it lacks some.
+// exchangeAndComplete sends a message to a peer in the background, then all records if its answer shows that it lacks some.
 func (n *Node) exchangeAndComplete(ctx context.Context, host string, body []byte) {
 	go func() {
 		if n.exchangeWith(ctx, host, body) {
@@ -60,7 +60,7 @@
 	}()
 }
 
-// encodeMessage writes a message of this node's.
+// encodeMessage encodes a message; it logs an error and returns what was encoded if that fails.
 func (n *Node) encodeMessage(m message) []byte {
 	body, err := pack(m)
 	if err != nil {
@@ -69,15 +69,15 @@
 	return body
 }
 
-// announce tells news to some peers at once.
+// announce sends recent updates to some random peers of any zone at once.
 func (n *Node) announce() { n.announceTo(anyZone) }
 
-// announceTo tells news to some peers of the zones that are meant.
+// announceTo sends recent updates to some random peers of the given zones at once.
 func (n *Node) announceTo(where zoneScope) {
 	n.exchangeWithAll(context.Background(), n.exchangeTargets(announceFanout, where))
 }
 
-// exchangeWith sends a message to a peer and takes its answer; it reports whether there was one.
+// exchangeWith sends a message to a peer and merges its answer; it reports whether there was a readable one.
 func (n *Node) exchangeWith(ctx context.Context, host string, body []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -122,7 +122,7 @@
 	}
 }
 
-// mergeMessage takes over what a peer knows better; it returns nil if the message can't be read.
+// mergeMessage merges what is newer in a peer's message; it returns nil if the message can't be decoded.
 func (n *Node) mergeMessage(from string, data []byte) *message {
 	var m message
 	if err := unpack(data, &m); err != nil {
@@ -132,7 +132,7 @@
 	n.peer(m.From).alive(n.clock.Now(), m.Stopping)
 	n.noteStoreEpoch(m.From, m.StoreEpoch)
 	switch {
-	case m.Version <= n.stateVersion(): // a state of which it is known that it isn't newer needn't be read
+	case m.Version <= n.stateVersion(): // not newer, so the state needn't be decoded
 	case len(m.State) > 0:
 		n.applyState(m.From, m.State)
 	default:
@@ -154,7 +154,7 @@
 	return &m
 }
 
-// sendMissing tells a peer all records, and what was learned, if its answer showed that it lacks some of it.
+// sendMissing sends a peer all records, and what was learned, if its answer showed that it lacks some of them.
 func (n *Node) sendMissing(ctx context.Context, host string) {
 	p := n.peer(host)
 	lacksLearned := p.unlearned && !n.control.kept.Empty()
@@ -165,7 +165,7 @@
 	go n.exchangeWith(ctx, host, body)
 }
 
-// requestState asks a peer for its newer desired state.
+// requestState requests a peer's newer desired state.
 func (n *Node) requestState(host string) {
 	m := n.newMessage("")
 	m.WantsState = true
--- a/pkg/mesh/exchange_peers.go
+++ b/pkg/mesh/exchange_peers.go
@@ -5,10 +5,10 @@
 	"net"
 )
 
-// exchangeTarget is a peer to exchange with; the zone of a seed isn't known.
+// exchangeTarget is a peer to exchange with; zone is empty for a seed.
 type exchangeTarget struct{ host, zone string }
 
-// zoneScope says in which availability zones peers are looked for.
+// zoneScope selects the availability zones of peers.
 type zoneScope uint8
 
 const (
@@ -17,10 +17,10 @@
 	otherZonesOnly           // in the others
 )
 
-// includes tells whether a zone is looked at.
+// includes reports whether the scope includes the own zone (near) or the others.
 func (w zoneScope) includes(near bool) bool { return w == anyZone || (w == ownZoneOnly) == near }
 
-// exchangeTargets returns peers taken at random, and seeds while few others are known.
+// exchangeTargets returns up to fanout random peers, seeds included while fewer peers are known.
 func (n *Node) exchangeTargets(fanout int, where zoneScope) []exchangeTarget {
 	targets := n.knownTargets(where)
 	if len(targets) < fanout {
@@ -31,7 +31,7 @@
 	return randomTargets(targets, fanout)
 }
 
-// knownTargets returns all peers that are known.
+// knownTargets returns all known peers in the scope.
 func (n *Node) knownTargets(where zoneScope) []exchangeTarget {
 	var targets []exchangeTarget
 	for _, r := range n.control.directory.All() {
@@ -42,13 +42,13 @@
 	return targets
 }
 
-// randomTargets returns so many of the targets, taken at random.
+// randomTargets shuffles the targets in place and returns up to most of them.
 func randomTargets(targets []exchangeTarget, most int) []exchangeTarget {
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 	return targets[:min(most, len(targets))]
 }
 
-// seedHosts returns the seeds of the settings but this node.
+// seedHosts returns the hosts of the configured seeds, without this node.
 func (n *Node) seedHosts() []string {
 	var hosts []string
 	for _, s := range n.cfg.Seeds {
--- a/pkg/mesh/exchange_zone_loads.go
+++ b/pkg/mesh/exchange_zone_loads.go
@@ -6,18 +6,19 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// zoneLoadStep is how much newer the sum of another zone has to be to be taken: each of its nodes adds up its own.
+// zoneLoadStep is how much newer the sum of a zone has to be to replace the known one, since each node of a zone computes
+// its own sums.
 const zoneLoadStep = 50 * time.Millisecond
 
-// mergeZoneLoads takes over sums of other availability zones that are newer than those held.
+// mergeZoneLoads stores those sums of other availability zones that are newer than the known ones.
 func (n *Node) mergeZoneLoads(now time.Time, from string, zones []packedZone) {
 	for _, p := range zones {
-		made := now.Add(-max(p.Age, 0))
+		computedAt := now.Add(-max(p.Age, 0))
 		old := n.control.zones[p.Zone]
-		if p.Zone == n.cfg.Zone || (old != nil && made.Sub(old.computedAt) < zoneLoadStep) {
-			continue // the reports themselves are at hand, or it is no news
+		if p.Zone == n.cfg.Zone || (old != nil && computedAt.Sub(old.computedAt) < zoneLoadStep) {
+			continue // this node has the zone's reports, or the sum isn't newer
 		}
-		z := &zoneLoad{computedAt: made, packed: p.Body}
+		z := &zoneLoad{computedAt: computedAt, packed: p.Body}
 		if err := unpack(p.Body, &z.services); err != nil {
 			n.controlLog.Warn("report can't be read", "peer", from, "host", p.Zone, "err", err)
 			continue
@@ -28,7 +29,7 @@
 	}
 }
 
-// packedOwnZone returns the sum of this zone, as told to other zones.
+// packedOwnZone returns the sum of this zone's reports, as sent to other zones; it is reused for zoneLoadStep.
 func (n *Node) packedOwnZone(now time.Time) []packedZone {
 	if now.Sub(n.control.ownZone.computedAt) >= zoneLoadStep {
 		body, err := pack(loads.AddUp(n.ownZoneReports()))
@@ -41,7 +42,7 @@
 	return []packedZone{{Zone: n.cfg.Zone, Age: now.Sub(n.control.ownZone.computedAt), Body: n.control.ownZone.packed}}
 }
 
-// packedOtherZones returns the sums of the other availability zones, for the nodes of this one.
+// packedOtherZones returns the unexpired sums of the other availability zones, as sent to nodes of this zone.
 func (n *Node) packedOtherZones(now time.Time) []packedZone {
 	var all []packedZone
 	for name, z := range n.control.zones {
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -16,10 +16,10 @@
 type stateWatch struct {
 	mu sync.Mutex
 	follow.Watch
-	peersQueried chan struct{} // closed once peers were asked after a restart
+	peersQueried chan struct{} // closed once peers were queried after a restart
 }
 
-// with looks at or changes the watch.
+// with calls f with the watch, under its lock.
 func (w *stateWatch) with(f func(w *follow.Watch)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -28,18 +28,18 @@
 
 // The times of following the store.
 const (
-	// followPoll is the time between looks at whether the node has to go to the store.
+	// followPoll is the time between checks whether the node has to call the store.
 	followPoll = 50 * time.Millisecond
-	// firstElectionDelay after the first start of the whole system is when nodes choose who follows: by then the backend servers
-	// have sent their first heartbeats, and most nodes know each other.
+	// firstElectionDelay is the time from the first start of the whole system to the election of followers: by then the
+	// backend servers have sent their first heartbeats, and most nodes know each other.
 	firstElectionDelay = 2500 * time.Millisecond
-	// fallbackRetryFirst and aloneRetryMost bound the wait between calls of a node that isn't one of its zone's followers, and
-	// reads only since nobody tells it anything: where the store is down for all, the followers find out when it is back.
+	// fallbackRetryFirst and fallbackRetryMax bound the wait between calls of a node that isn't one of its zone's followers,
+	// and reads only because no peer confirms the state: where the store is down for all, the followers detect its return.
 	fallbackRetryFirst = 600 * time.Millisecond
 	fallbackRetryMax   = 3 * time.Second
 )
 
-// followState keeps the desired state as new as the store tells, where it isn't kept so by others.
+// followState follows the desired state in the store while this node has to, until ctx ends.
 func (n *Node) followState(ctx context.Context) {
 	if !n.awaitFollowStart(ctx) {
 		return
@@ -58,7 +58,7 @@
 		next, err = n.followOnce(ctx, t, next)
 		if err == nil {
 			wait = 0
-			clock.Sleep(ctx, followPoll) // what changes meanwhile is told at once; others may be known by then
+			clock.Sleep(ctx, followPoll) // the next call returns changes made meanwhile at once; by then peers may be known
 			continue
 		}
 		next = nil
@@ -67,11 +67,11 @@
 	}
 }
 
-// awaitFollowStart waits until the node may know what others can tell it; it reports false if ctx ends first.
+// awaitFollowStart waits until peers had time to send what they know; it reports false if ctx ends first.
 func (n *Node) awaitFollowStart(ctx context.Context) bool {
 	patience := time.Duration(0)
 	if n.cfg.Mesh.FirstStart {
-		// The followers read the state now, and their word takes some exchanges.
+		// The followers read the state now, and it takes some exchanges until it arrives here.
 		patience = n.cfg.Mesh.Apply
 		if !clock.Sleep(ctx, firstElectionDelay) {
 			return false
@@ -87,7 +87,7 @@
 	return true
 }
 
-// followRole tells whether the node goes to the store, and whether it is one of its zone's followers.
+// followRole reports whether the node has to follow the store now, and whether it is one of its zone's chosen followers.
 func (n *Node) followRole() (follows, chosen bool) {
 	n.watch.with(func(w *follow.Watch) {
 		now := n.clock.Now()
@@ -99,13 +99,13 @@
 	return follows, chosen
 }
 
-// stateIsFresh tells whether the desired state in force may be taken for the newest.
+// stateIsFresh reports whether the desired state in force is known to have been the newest recently.
 func (n *Node) stateIsFresh() (sure bool) {
 	n.watch.with(func(w *follow.Watch) { sure = w.Sure(n.clock.Now()) })
 	return sure
 }
 
-// followRetryBounds bounds the wait between calls that fail.
+// followRetryBounds returns the bounds of the wait between failed calls, for a chosen follower or another node.
 func followRetryBounds(chosen bool) (first, most time.Duration) {
 	if chosen {
 		return storeRetryFirst, storeRetryMax
@@ -113,13 +113,14 @@
 	return fallbackRetryFirst, fallbackRetryMax
 }
 
-// noteFollowFailure writes down that the store isn't heard any more.
+// noteFollowFailure records and logs that a call to follow the store failed.
 func (n *Node) noteFollowFailure(err error) {
 	n.watch.with(func(w *follow.Watch) { w.Lost(n.clock.Now()) })
 	n.controlLog.Warn("desired state not followed", "err", err)
 }
 
-// followOnce makes one call and returns from where to go on.
+// followOnce makes one call, to read the state if next is nil and to wait for a change otherwise, and returns the cursor
+// for the next call.
 func (n *Node) followOnce(ctx context.Context, t storeAttempt, next *Cursor) (*Cursor, error) {
 	var data []byte
 	var after Cursor
@@ -144,8 +145,8 @@
 	return &after, nil
 }
 
-// applyStored takes the desired state that the store has, if there is one, and returns its version, 0 if it can't be read. Most often it is the one in force,
-// which needn't be read again.
+// applyStored puts the desired state of the store in force if it is newer, and returns its version, or 0 if there is none or
+// it can't be decoded. Usually it is the one in force, which isn't decoded again.
 func (n *Node) applyStored(data []byte) int64 {
 	if data == nil {
 		return 0
@@ -156,7 +157,8 @@
 	return n.applyState("store", data)
 }
 
-// applyState puts a newer desired state in force, and returns the version of the one that was told; one that can't be read leaves the last good one.
+// applyState puts a newer desired state in force, and returns the version of the received one, or 0 if it can't be decoded;
+// then the last good one stays in force.
 func (n *Node) applyState(from string, data []byte) int64 {
 	s, err := n.decode(data)
 	if err != nil {
@@ -171,7 +173,7 @@
 	return s.Version
 }
 
-// publishState publishes a state unless a newer one is in force.
+// publishState puts a state in force and returns true, unless the one in force is as new or newer.
 func (n *Node) publishState(s *desired.State) bool {
 	for {
 		old := n.state.Load()
@@ -190,7 +192,7 @@
 	}
 }
 
-// stateVersion returns that of the desired state in force, 0 if there is none.
+// stateVersion returns the version of the desired state in force, or 0 if there is none.
 func (n *Node) stateVersion() int64 {
 	if s := n.state.Load(); s != nil {
 		return s.Version
@@ -198,8 +200,8 @@
 	return 0
 }
 
-// electFollowers works out anew who of this zone follows the store. A node that has just started takes all for alive that it
-// knows of, since it hasn't heard their reports yet.
+// electFollowers elects again which nodes of this zone follow the store. A node that has just started takes all known nodes
+// for alive, since it hasn't received their reports yet.
 func (n *Node) electFollowers(now time.Time) {
 	var alive []string
 	for _, host := range n.control.zoneHosts {
--- a/pkg/mesh/held_loads.go
+++ b/pkg/mesh/held_loads.go
@@ -6,17 +6,17 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// nodeReport is the newest report of a node, as long as it counts.
+// nodeReport is the newest load report of a node, kept until it expires.
 type nodeReport struct {
 	loads.Report
-	receivedAt time.Time // at this node
-	packed     []byte    // as its node wrote it
+	receivedAt time.Time // by this node's clock
+	packed     []byte    // the msgpack encoding that the reporting node sent
 }
 
-// zoneLoad is what the nodes of one availability zone report, added up by service. Any node of that zone
-// may add it up; the newest counts. It keeps messages between zones, and what they grow with, small.
+// zoneLoad is the sum by service of the load reports of one availability zone. Any node of that zone may compute it; the
+// newest sum wins. It keeps messages between zones small, and independent of the number of nodes.
 type zoneLoad struct {
 	services   []loads.ServiceSum
-	computedAt time.Time // when it was added up, by this node's clock
-	packed     []byte    // as the node wrote it that added it up
+	computedAt time.Time // by this node's clock
+	packed     []byte    // the msgpack encoding by the node that computed the sum
 }
--- a/pkg/mesh/keep_learned.go
+++ b/pkg/mesh/keep_learned.go
@@ -12,27 +12,29 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// The constants of keeping what was learned.
+// The constants of storing what was learned.
 const (
-	// storeLearnedPeriod is the time between looks at whether what was learned has changed since it was stored.
+	// storeLearnedPeriod is the time between checks whether the learned values have changed since they were stored.
 	storeLearnedPeriod = 4 * time.Second
-	// minCallsChangeRatio is the change of the calls of a run that is worth a write, as a share and in calls.
+	// minCallsChangeRatio and minCallsChange bound, as a share and in calls, the change of the calls per run up to which
+	// nothing is written.
 	minCallsChangeRatio = 0.25
 	minCallsChange      = 0.2
-	// holdChangeFactor is how many times longer or shorter runs hold a slot for it to be worth a write: holds vary with the
-	// load, and the first runs after a start correct them.
+	// holdChangeFactor is the factor by which the slot hold time has to change to be written: hold times vary with the load,
+	// and the first runs after a start correct them.
 	holdChangeFactor = 2.0
-	// demandChangeFactor is the same for how often a kind is asked for, which sets what is taken in right after a start.
+	// demandChangeFactor is the same for the request rate of a kind, which determines admission right after a start.
 	demandChangeFactor = 1.5
 )
 
-// storeLearned stores what was learned of the own service's runs, from one of its nodes.
+// storeLearned writes what was learned of the local service's runs to the store, from one node of that service, until ctx
+// ends.
 func (n *Node) storeLearned(ctx context.Context) {
 	var stored loads.Learned
-	var era int64
+	var epoch int64
 	for clock.Sleep(ctx, jitter(storeLearnedPeriod)) {
-		if n.era.changed(&era) {
-			stored = loads.Learned{} // what was written may be lost
+		if n.era.changed(&epoch) {
+			stored = loads.Learned{} // the new epoch may have lost what was written
 		}
 		if !n.isServiceWriter() {
 			continue
@@ -54,7 +56,7 @@
 	}
 }
 
-// collectLearned returns what is known well of the own service's runs; it reports false if ctx ends first.
+// collectLearned returns what is known reliably of the local service's runs, or false if ctx ends first.
 func (n *Node) collectLearned(ctx context.Context) (loads.Learned, bool) {
 	calls := n.stats.knownCalls()
 	var known loads.Learned
@@ -64,8 +66,8 @@
 	return known, true
 }
 
-// learnedOfService puts what the control goroutine knows of a service's routes, and how often they are asked for, beside the calls
-// that their runs make.
+// learnedOfService combines the given calls per run of a service's routes with their retained run times, whether they are
+// internal, and the given request rates per second by kind. It runs on the control goroutine.
 func (n *Node) learnedOfService(service string, calls map[string]callgraph.Rates, asked map[string]float64) loads.Learned {
 	l := loads.Learned{Service: service, Calls: calls, Times: map[string]loads.RunTimes{}, Asked: map[string]float64{}}
 	runs := n.control.kept.Services()[service]
@@ -86,14 +88,14 @@
 	return l
 }
 
-// routeOf returns the route of a kind of request.
+// routeOf returns the route of a kind of request (loads.Kind).
 func routeOf(kind string) string {
 	route, _ := loads.SplitKind(kind)
 	return route
 }
 
-// allLearned returns what is known of all services, for a node that knows nothing yet. What is counted of the demand it
-// hears from the reports.
+// allLearned returns what is known of all services, for a node that has just started. It includes only demand that isn't in
+// the reports, since the node receives those as well.
 func (n *Node) allLearned() []loads.Learned {
 	var all []loads.Learned
 	missing := n.control.demand.Missing(n.clock.Now())
@@ -107,7 +109,8 @@
 	return all
 }
 
-// isServiceWriter tells whether this node is the first of those beside its service's servers: what nodes know together of a service one of them stores.
+// isServiceWriter reports whether this node has the lowest host address of the nodes with a server of its service. Only
+// that node stores what the nodes have learned of the service.
 func (n *Node) isServiceWriter() bool {
 	v := n.view.Load()
 	if v.own.Service == "" {
@@ -121,7 +124,7 @@
 	return true
 }
 
-// learnedDiffers tells whether what is known of a route differs clearly from what is stored.
+// learnedDiffers reports whether the learned values differ enough from the stored ones to be written.
 func learnedDiffers(known, stored loads.Learned) bool {
 	for route, calls := range known.Calls {
 		if callsDiffer(calls, stored.Calls[route]) ||
@@ -137,7 +140,7 @@
 	return !slices.Equal(known.Inner, stored.Inner)
 }
 
-// callsDiffer tells whether a run makes clearly more or fewer calls.
+// callsDiffer reports whether the calls per run differ by more than minCallsChangeRatio and minCallsChange.
 func callsDiffer(known, stored callgraph.Rates) bool {
 	for _, called := range slices.Concat(slices.Collect(maps.Keys(known)), slices.Collect(maps.Keys(stored))) {
 		if n := known[called]; math.Abs(n-stored[called]) > max(minCallsChange, minCallsChangeRatio*n) {
@@ -147,5 +150,5 @@
 	return false
 }
 
-// differByFactor tells whether one of two values is more than so many times the other.
-func differByFactor(times, a, b float64) bool { return max(a, b) > times*min(a, b) }
+// differByFactor reports whether one of two values is more than factor times the other.
+func differByFactor(factor, a, b float64) bool { return max(a, b) > factor*min(a, b) }
--- a/pkg/mesh/loads_that_count.go
+++ b/pkg/mesh/loads_that_count.go
@@ -6,22 +6,24 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// The time for which a report counts without a newer one: a node that is cut off is forgotten by then.
+// The times after which load reports and sums expire.
 const (
+	// minReportTTL is the least time after which a report expires without a newer one, as that of a node that was cut off.
 	minReportTTL = 3 * time.Second
-	// reportTTLPeriods is the same in exchanges, which are rarer in a larger mesh: enough for news to reach all.
+	// reportTTLPeriods is the same in exchange periods, which are longer in a larger mesh: enough for a report to reach all
+	// nodes.
 	reportTTLPeriods = 6
-	// minZoneLoadTTL and zoneLifeTalks are the same for the sum of another zone, of which something is heard
-	// several times a second: once it is cut off its servers must not be planned with.
+	// minZoneLoadTTL and zoneLoadTTLPeriods are the same for the sum of another zone. Sums arrive several times a second,
+	// and once a zone is cut off, the plan must not count its servers.
 	minZoneLoadTTL     = 2500 * time.Millisecond
 	zoneLoadTTLPeriods = 7
-	// expiredRetention is how long it is remembered which report of a node was the last that counted: others drop it a little
-	// later, and pass it on until then. Taken for news each time, it would go round between them for ever: of 32 nodes, the
-	// 26 that were left counted the reports of six that were dead five seconds later.
+	// expiredRetention is how long the epoch and sequence number of an expired report are retained. Other nodes expire the
+	// report a little later and send it until then. If it were accepted as new each time, it would circulate forever: in a
+	// mesh of 32 nodes, the 26 remaining ones still counted the reports of six nodes that had been dead for five seconds.
 	expiredRetention = time.Minute
 )
 
-// mergeReports takes over reports of other nodes that are newer than those held.
+// mergeReports stores those load reports of other nodes that are newer than the known ones.
 func (n *Node) mergeReports(now time.Time, from string, reports []packedReport) {
 	for _, p := range reports {
 		r := &nodeReport{Report: loads.Report{Host: p.Host, Epoch: p.Epoch, Seq: p.Seq}}
@@ -37,16 +39,16 @@
 	}
 }
 
-// isNewerReport tells whether a report is newer than the one of its node that is held, or was.
+// isNewerReport reports whether a report is newer than the last one known from its node, expired ones included.
 func (n *Node) isNewerReport(r *loads.Report) bool {
-	if held := n.control.reports[r.Host]; held != nil {
-		return r.Newer(&held.Report)
+	if known := n.control.reports[r.Host]; known != nil {
+		return r.Newer(&known.Report)
 	}
 	lapsed := n.control.lapsed[r.Host]
 	return lapsed == nil || r.Newer(&lapsed.Report)
 }
 
-// ownZoneReports returns the reports of this zone's nodes.
+// ownZoneReports returns the unexpired reports of this zone's nodes.
 func (n *Node) ownZoneReports() []*loads.Report {
 	all := make([]*loads.Report, 0, len(n.control.reports)+len(n.control.zones))
 	for _, r := range n.control.reports {
@@ -55,11 +57,11 @@
 	return all
 }
 
-// expireLoads drops what is too old to count.
+// expireLoads drops reports and sums that are older than their TTL.
 func (n *Node) expireLoads(now time.Time) {
-	life := max(minReportTTL, reportTTLPeriods*n.calmExchangePeriod())
+	ttl := max(minReportTTL, reportTTLPeriods*n.calmExchangePeriod())
 	for host, r := range n.control.reports {
-		if now.Sub(r.receivedAt) > life {
+		if now.Sub(r.receivedAt) > ttl {
 			delete(n.control.reports, host)
 			n.control.lapsed[host] = &nodeReport{Report: loads.Report{Host: host, Epoch: r.Epoch, Seq: r.Seq}, receivedAt: r.receivedAt}
 		}
@@ -69,15 +71,15 @@
 			delete(n.control.lapsed, host)
 		}
 	}
-	zoneLife := max(minZoneLoadTTL, zoneLoadTTLPeriods*n.calmExchangePeriod())
+	zoneTTL := max(minZoneLoadTTL, zoneLoadTTLPeriods*n.calmExchangePeriod())
 	for _, z := range n.control.zones {
-		if now.Sub(z.computedAt) > zoneLife {
-			z.services = nil // the zone stays known as one that was heard
+		if now.Sub(z.computedAt) > zoneTTL {
+			z.services = nil // the entry stays, so that the zone isn't taken for one that never reported
 		}
 	}
 }
 
-// currentReports returns the reports of this zone's nodes and the sums of the others, one for each service and zone.
+// currentReports returns the reports of this zone's nodes, and the sums of the other zones, one for each service and zone.
 func (n *Node) currentReports() []*loads.Report {
 	all := n.ownZoneReports()
 	for _, z := range n.control.zones {
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// crossZoneFetchDelay is how long a newer state that a node of another zone has is left to the own zone's followers: bytes
-	// between zones are paid for. In a minute of 194 VMs with a state of 1,160 routes they were 0.264 GB with all nodes
-	// asking whoever told them first, 0.181 GB with followers in each zone and this wait (one play each).
+	// crossZoneFetchDelay is how long a newer state at a node of another zone is left to the own zone's followers: traffic
+	// between zones is paid for. In a minute of 194 VMs with a state of 1,160 routes it was 0.264 GB with all nodes
+	// requesting the state from the first node that had it, 0.181 GB with followers in each zone and this delay.
 	crossZoneFetchDelay = 400 * time.Millisecond
-	// fetchRetryDelay is the time before a state is asked for again while it is on its way, and fetchTries is how often one node
-	// is asked; whoever tells of it next is asked then.
+	// fetchRetryDelay is the time until a state is requested again, and maxFetchTries is how often one node is queried; then
+	// the next node that announces the version is queried.
 	fetchRetryDelay = 150 * time.Millisecond
 	maxFetchTries   = 3
 )
 
-// newerState is a desired state that others have and this node doesn't; the control goroutine's.
+// newerState is a desired state that others have and this node doesn't; only the control goroutine uses it.
 type newerState struct {
 	version   int64
-	host      string    // that has it
+	host      string    // that announced it
 	otherZone bool      // in another zone
-	due       time.Time // when to ask for it
+	due       time.Time // when to request it
 	tries     int
 }
 
-// noteVersion notes that a peer has a desired state of the version.
+// noteVersion has the control goroutine fetch a peer's desired state if its version is newer.
 func (n *Node) noteVersion(addr string, version int64) {
 	if version <= n.stateVersion() {
 		return
@@ -38,11 +38,12 @@
 	}
 	select {
 	case n.events <- func() { n.scheduleFetch(n.clock.Now(), host, version) }:
-	default: // the next answer or exchange tells it again
+	default: // the queue is full; the next answer or exchange contains it again
 	}
 }
 
-// scheduleFetch asks a peer for its newer desired state: at once in the own zone, or where none is in force yet.
+// scheduleFetch requests a peer's newer desired state: at once in the own zone or if none is in force yet, else after
+// crossZoneFetchDelay.
 func (n *Node) scheduleFetch(now time.Time, host string, version int64) {
 	if version <= n.stateVersion() {
 		return
@@ -58,7 +59,7 @@
 	n.fetchDueState(now)
 }
 
-// fetchDueState asks for the newer state once that is due, and again until it is here.
+// fetchDueState requests the newer state when that is due, and again until it has arrived.
 func (n *Node) fetchDueState(now time.Time) {
 	w := &n.control.newer
 	if w.version <= n.stateVersion() || w.tries >= maxFetchTries || now.Before(w.due) {
@@ -69,10 +70,11 @@
 	n.requestState(w.host)
 }
 
-// hasZoneFollowers tells whether the own zone is so large that it has followers of its own.
+// hasZoneFollowers reports whether the own zone is large enough to elect followers.
 func (n *Node) hasZoneFollowers() bool { return len(n.control.zoneHosts) > follow.AllUpTo }
 
-// announceState tells of a new desired state: in a large zone only its own nodes, since the others have followers too.
+// announceState announces a new desired state to some peers: in a large zone only to its own nodes, since the other zones
+// have followers too.
 func (n *Node) announceState() {
 	where := anyZone
 	if n.hasZoneFollowers() {
--- a/pkg/mesh/recall_learned.go
+++ b/pkg/mesh/recall_learned.go
@@ -10,26 +10,26 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// startKnowledge tells whether a node that has started has what was learned before.
+// startKnowledge tracks whether a node that has started has received what was learned earlier.
 type startKnowledge struct {
-	firstStateAt atomic.Pointer[time.Time] // when the first desired state came; nil: it hasn't
-	complete     atomic.Bool               // what was learned is at hand, or isn't waited for any longer
+	firstStateAt atomic.Pointer[time.Time] // when the first desired state came in force; nil: not yet
+	complete     atomic.Bool               // what was learned has arrived, or requests no longer wait for it
 
-	fromStore, fromPeer bool // taken from the store, or from a peer; the control goroutine's
+	fromStore, fromPeer bool // whether it was restored from the store or a peer; used only by the control goroutine
 }
 
-// learnedWait is how long after the first desired state requests wait for what was learned of their costs, and peers are
-// asked for it. Store and peers give it within some hundredths of a second of the state; what is taken in before it comes
-// can't be planned.
+// learnedWait is how long after the first desired state requests wait for the learned costs, and peers are queried for
+// them. The store and peers deliver them within some hundredths of a second after the state; requests admitted before that
+// aren't limited by any plan.
 const learnedWait = 300 * time.Millisecond
 
-// mayArrive tells whether it is worth waiting for what was learned.
+// mayArrive reports whether learnedWait hasn't passed yet since the first desired state.
 func (k *startKnowledge) mayArrive(now time.Time) bool {
 	since := k.firstStateAt.Load()
 	return since == nil || now.Sub(*since) < learnedWait
 }
 
-// awaitLearned waits until what was learned before this process started is at hand.
+// awaitLearned returns once what was learned before this process started has arrived, after learnedWait, or when ctx ends.
 func (n *Node) awaitLearned(ctx context.Context) {
 	for !n.knowledge.complete.Load() {
 		if !n.knowledge.mayArrive(n.clock.Now()) {
@@ -42,12 +42,12 @@
 	}
 }
 
-// wantsLearned tells whether peers are to be asked for what was learned.
+// wantsLearned reports whether this node still queries peers for what was learned.
 func (n *Node) wantsLearned(now time.Time) bool {
 	return !n.knowledge.fromPeer && n.knowledge.mayArrive(now)
 }
 
-// restoreFromStore takes what the store kept, once.
+// restoreFromStore restores what was learned from the store's content; only the first non-empty one counts.
 func (n *Node) restoreFromStore(all []loads.Learned) {
 	if !n.knowledge.fromStore {
 		n.knowledge.fromStore = len(all) > 0
@@ -55,8 +55,8 @@
 	}
 }
 
-// restoreFromPeer takes what a peer knows, once: what nodes told each other again and again they would soon believe whatever
-// they see.
+// restoreFromPeer restores what was learned from a peer, once: if nodes restored each other's values repeatedly, these would
+// override what the nodes measure.
 func (n *Node) restoreFromPeer(from string, all []loads.Learned) {
 	if len(all) > 0 && n.wantsLearned(n.clock.Now()) {
 		n.knowledge.fromPeer = true
@@ -64,8 +64,8 @@
 	}
 }
 
-// restoreLearned takes what was learned before this process started, in the control goroutine: the plan is worked out
-// anew at once, so that it holds for the first request.
+// restoreLearned restores what was learned before this process started, on the control goroutine, and computes a new plan
+// at once, so that it applies to the first request.
 func (n *Node) restoreLearned(from string, all []loads.Learned) {
 	if n.off[settings.LearnedMemory] || len(all) == 0 {
 		return
@@ -77,12 +77,12 @@
 		if l.Service == n.cfg.Service {
 			n.stats.restoreCalls(l.Calls)
 		}
-		taken := n.control.kept.Recall(now, l.Service, l.Runs())
+		restored := n.control.kept.Recall(now, l.Service, l.Runs())
 		n.control.judged.recall(now, l)
-		if taken > 0 {
+		if restored > 0 {
 			n.control.demand.Recall(l.Asked)
 		}
-		routes += taken
+		routes += restored
 	}
 	if routes > 0 {
 		n.controlLog.Info("learned calls recalled", "routes", routes, "from", from)
--- a/pkg/mesh/record_news.go
+++ b/pkg/mesh/record_news.go
@@ -6,11 +6,11 @@
 	"github.com/rockspoke/rockspoke/pkg/directory"
 )
 
-// recentRecordTTL is how long a changed record goes with every message: some rounds of exchanges, after which
-// nearly all have it; a digest finds those who don't.
+// recentRecordTTL is how long a changed record is part of every message: some exchange periods, after which nearly all
+// nodes have it. The digest of all records finds those that don't.
 const recentRecordTTL = 2 * time.Second
 
-// recentRecords are the records that changed of late; its zero value is empty.
+// recentRecords holds the recently changed records. The zero value is empty.
 type recentRecords struct {
 	items []recentRecord // the oldest first
 }
@@ -20,14 +20,14 @@
 	expires time.Time
 }
 
-// add notes records that are news.
+// add adds changed records.
 func (w *recentRecords) add(now time.Time, records ...directory.Record) {
 	for _, r := range records {
 		w.items = append(w.items, recentRecord{record: r, expires: now.Add(recentRecordTTL)})
 	}
 }
 
-// current returns what is still news, and drops the rest.
+// current returns the records that haven't expired, and drops the rest.
 func (w *recentRecords) current(now time.Time) []directory.Record {
 	for len(w.items) > 0 && !now.Before(w.items[0].expires) {
 		w.items = w.items[1:]
--- a/pkg/mesh/record_writer.go
+++ b/pkg/mesh/record_writer.go
@@ -8,17 +8,17 @@
 	"github.com/rockspoke/rockspoke/pkg/directory"
 )
 
-// recordWriter keeps this VM's record in the store.
+// recordWriter tracks which generation of this VM's record the store has, and signals reads and writes of records.
 type recordWriter struct {
 	mu                sync.Mutex
 	latest            directory.Record
-	durableGeneration int64 // generation that the store has
+	durableGeneration int64 // newest generation that the store has
 	changed           chan struct{}
 	storedSignal      chan struct{} // closed and made anew at each write
-	readRequests      chan struct{} // asks for the records of all VMs
+	readRequests      chan struct{} // requests a read of the records of all VMs
 
 	firstRead     sync.Once
-	firstReadDone chan struct{} // closed once all records were read, or couldn't be, for the first time
+	firstReadDone chan struct{} // closed after the first attempt to read all records
 }
 
 func (w *recordWriter) init() {
@@ -28,10 +28,10 @@
 	w.firstReadDone = make(chan struct{})
 }
 
-// noteFirstRead notes that all records were read, or couldn't be.
+// noteFirstRead marks the first attempt to read all records as done.
 func (w *recordWriter) noteFirstRead() { w.firstRead.Do(func() { close(w.firstReadDone) }) }
 
-// awaitFirstRead returns once they were; it reports false if ctx ends first.
+// awaitFirstRead waits for the first attempt to read all records; it reports false if ctx ends first.
 func (w *recordWriter) awaitFirstRead(ctx context.Context) bool {
 	select {
 	case <-w.firstReadDone:
@@ -41,7 +41,7 @@
 	}
 }
 
-// requestWrite asks for a record to be written.
+// requestWrite requests that a record be written.
 func (w *recordWriter) requestWrite(r directory.Record) {
 	w.mu.Lock()
 	w.latest = r
@@ -49,28 +49,28 @@
 	w.signalWrite()
 }
 
-// pending returns the record to be written, if there is one.
+// pending returns the latest record, and whether it has to be written.
 func (w *recordWriter) pending() (directory.Record, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.latest, w.latest.Generation > w.durableGeneration
 }
 
-// markDurable notes that a generation is in the store, or most likely is.
+// markDurable notes that the store has a generation, or most likely has it.
 func (w *recordWriter) markDurable(generation int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.setDurable(max(w.durableGeneration, generation))
 }
 
-// setDurable wakes those who wait for it; w.mu is held.
+// setDurable sets the stored generation and wakes awaitDurable; w.mu must be held.
 func (w *recordWriter) setDurable(generation int64) {
 	w.durableGeneration = generation
 	close(w.storedSignal)
 	w.storedSignal = make(chan struct{})
 }
 
-// reconcile takes what all records have of this VM, 0 if nothing: what was taken for stored and isn't is written.
+// reconcile sets the generation that the store was found to have, 0 for none, and requests a write if it lacks the latest.
 func (w *recordWriter) reconcile(generation int64) {
 	w.mu.Lock()
 	w.setDurable(generation)
@@ -81,10 +81,10 @@
 	}
 }
 
-// markLost notes that the store may have markLost the record: it is written again.
+// markLost requests that the record be written again, since the store may have lost it.
 func (w *recordWriter) markLost() { w.reconcile(0) }
 
-// signalWrite has the record looked at.
+// signalWrite wakes the goroutine that writes the record.
 func (w *recordWriter) signalWrite() {
 	select {
 	case w.changed <- struct{}{}:
@@ -92,11 +92,11 @@
 	}
 }
 
-// ackTimeout is how long a leaving server waits for its word to be stored; its node holds to it anyway, and
-// the server takes only an answer within a second.
+// ackTimeout is how long the answer to a leaving server waits until its record is stored. Its node stops using the server
+// anyway, and the server accepts an answer only within a second.
 const ackTimeout = 400 * time.Millisecond
 
-// awaitDurable returns when the generation is in the store, or after ackWait.
+// awaitDurable returns when the store has the generation, after ackTimeout, or when ctx ends.
 func (w *recordWriter) awaitDurable(ctx context.Context, generation int64) {
 	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
@@ -115,9 +115,9 @@
 	}
 }
 
-// requestRead asks for the records of all VMs. A node that knows hardly any other, as at the first start, has written
-// its own record and then reads those of all that wrote before it, and tells them of itself: so all know all, though
-// nothing lists the VMs.
+// requestRead requests a read of the records of all VMs. A node that knows few others, as at the first start, writes its own
+// record, then reads all records written before and exchanges with those nodes. So all nodes discover each other without a
+// list of VMs.
 func (w *recordWriter) requestRead() {
 	select {
 	case w.readRequests <- struct{}{}:
--- a/pkg/mesh/report_own_load.go
+++ b/pkg/mesh/report_own_load.go
@@ -10,23 +10,25 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// The constants of a server to which more comes than it can take.
+// The constants of the local load report.
 const (
-	// backlogDrainTime is the time in which what waits at a gate is to be worked off, beside what comes.
+	// backlogDrainTime is the time in which requests queued at the gate are to be processed, in addition to new arrivals.
 	backlogDrainTime = 500 * time.Millisecond
-	// rejectedWeight of the slots that refused calls would take count: a call may be refused by several servers.
+	// rejectedWeight is the weight of the slots that rejected calls would take. It is below 1 since several servers may
+	// reject the same call.
 	rejectedWeight = 0.5
-	// minUsableFraction is the share of a server's slots that is planned for whatever waits there.
+	// minUsableFraction is the fraction of the gate's limit that stays usable however long the queue is.
 	minUsableFraction = 0.3
-	// utilizationGain is the weight of one look, some times a second, in the smoothed use of the gate.
+	// utilizationGain is the weight of one sample in the exponentially smoothed gate utilization; there is one sample per
+	// planPeriod.
 	utilizationGain = 0.3
-	// usableSlotsLogPeriod is the time between lines about a server that is planned with for less than its gate's limit.
+	// usableSlotsLogPeriod is the time between log lines about a server whose usable slots are below its gate's limit.
 	usableSlotsLogPeriod = time.Second
-	// callsLogPeriod is the time between lines about the calls that runs are taken to make.
+	// callsLogPeriod is the time between log lines about the learned calls per run.
 	callsLogPeriod = time.Second
 )
 
-// reportLocalLoad takes this node's own counts.
+// reportLocalLoad computes this node's load report and stores it for the next exchanges.
 func (n *Node) reportLocalLoad(now time.Time) {
 	r := n.stats.report(now)
 	own := n.control.own.Record()
@@ -57,7 +59,7 @@
 	n.control.reports[r.Host] = &nodeReport{Report: r, receivedAt: now, packed: body}
 }
 
-// usableFraction returns the part of the own server's room that may be planned for.
+// usableFraction returns the fraction of the local backend server's slots, 0 to 1, that the plan may count on.
 func (n *Node) usableFraction() float64 {
 	if n.off[settings.RoomControl] {
 		return 1
@@ -65,26 +67,27 @@
 	return n.control.room.Part()
 }
 
-// excessSlots returns the slots by which more comes to the own server than planned for, whatever the reason:
-// what waits has to be worked off, and calls that the gate refuses belong to roots that were admitted.
+// excessSlots returns the slots by which the load of the local backend server exceeds the plan: queued requests have to be
+// processed, and calls that the gate rejects belong to root requests that were admitted.
 func (n *Node) excessSlots(now time.Time, g gate.Reading) float64 {
-	waiting := float64(g.Queued) / backlogDrainTime.Seconds()
-	return (waiting + rejectedWeight*n.stats.rejectedCallRate(now)) * g.Hold.Seconds()
+	queuedRate := float64(g.Queued) / backlogDrainTime.Seconds()
+	return (queuedRate + rejectedWeight*n.stats.rejectedCallRate(now)) * g.Hold.Seconds()
 }
 
-// logUsableSlots writes down why the own server is planned with for less than its gate lets in.
-func (n *Node) logUsableSlots(now time.Time, g gate.Reading, load overload.GateLoad, excess, room float64) {
+// logUsableSlots sets the usable-fraction metric, and logs why the local backend server has fewer usable slots than its
+// gate's limit, once per usableSlotsLogPeriod.
+func (n *Node) logUsableSlots(now time.Time, g gate.Reading, load overload.GateLoad, excess, usable float64) {
 	n.metrics.gauge(int64(n.usableFraction()*1000), "room_part")
-	if room >= g.Limit || now.Before(n.control.shown.nextRoom) {
+	if usable >= g.Limit || now.Before(n.control.shown.nextRoom) {
 		return
 	}
 	n.control.shown.nextRoom = now.Add(usableSlotsLogPeriod)
-	n.controlLog.Info("room", "room", room, "limit", g.Limit, "running", g.Running, "queued", g.Queued, "hold", g.Hold,
+	n.controlLog.Info("room", "room", usable, "limit", g.Limit, "running", g.Running, "queued", g.Queued, "hold", g.Hold,
 		"turned_away", round(load.TurnedAway), "binding", load.Binding, "part", round(n.usableFraction()), "excess", round(excess))
 }
 
-// logCallsPerRun writes down the calls that runs at the own server are taken to make, where they differ clearly from what was
-// last written: what is learned wrongly sets what is let in everywhere.
+// logCallsPerRun logs the learned calls per run at the local backend server for routes where they differ clearly from the
+// last logged ones: wrongly learned calls affect admission at all nodes.
 func (n *Node) logCallsPerRun(now time.Time, runs map[string]loads.Run) {
 	if now.Before(n.control.shown.nextCalls) {
 		return
--- a/pkg/mesh/store_calls.go
+++ b/pkg/mesh/store_calls.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// storeCall is a kind of call to the store, as the metric of them names it.
+// storeCall is a kind of call to the store; its value is the label in the metric store_calls_total.
 type storeCall string
 
-// The kinds.
+// The kinds of calls.
 const (
 	readStateCall    storeCall = "read-state"
 	followStateCall  storeCall = "follow-state"
@@ -19,16 +19,16 @@
 	proveStateCall   storeCall = "prove-state"
 )
 
-// backoff is the wait before a call that failed is made again; its zero value is that after a success.
+// backoff is the last wait before the retry of a failed call. The zero value is that after a success.
 type backoff time.Duration
 
-// next returns the wait after one more failure: the first, and then twice the one before, up to the most.
+// next returns the wait after another failure: first, then twice the previous wait, up to most.
 func (b *backoff) next(first, most time.Duration) time.Duration {
 	*b = backoff(min(max(2*time.Duration(*b), first), most))
 	return time.Duration(*b)
 }
 
-// callStore makes one call of a kind within a time, and counts it.
+// callStore makes one call of a kind with the timeout span, counts it and its error, and notes the store's epoch.
 func (n *Node) callStore(ctx context.Context, t storeAttempt, kind storeCall, span time.Duration, f func(ctx context.Context) error) error {
 	n.metrics.count("store_calls_total", "call", string(kind))
 	err := t.call(ctx, span, f)
--- a/pkg/mesh/store_era.go
+++ b/pkg/mesh/store_era.go
@@ -8,54 +8,54 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// storeEpoch is which life of the store this node knows of. A store that was away may come back from a copy some seconds old, in a new
-// era: what it had acknowledged since is gone, its versions go back and are given out again.
+// storeEpoch is the newest epoch of the store known to this node. After an outage the store may be restored from a backup
+// some seconds old, in a new epoch: writes acknowledged since the backup are lost, and their versions are assigned again.
 //
-// What uses what the store said, and what becomes of it in a new era:
+// What depends on the store's answers, and what happens to it in a new epoch:
 //
-//   - The feed of the desired state: a Cursor names its era, and the state is read whole again.
-//   - The desired state: one that is older than the one in force is never taken.
-//   - Proofs: a state older than the one in force when the call was sent proves nothing, and nothing does until the operator has had
-//     the time to write again what was lost (eraSettle).
-//   - The record of this VM, what was learned and what is held back: written again (storeCameBack).
-//   - Records of other VMs, and what was learned and held back elsewhere, when they are read: a record counts by its generation, which
-//     its node makes, so an older one from the copy is no news.
+//   - The feed of the desired state: a Cursor contains its epoch, and the whole state is read again.
+//   - The desired state: one that is older than the one in force is never applied.
+//   - Freshness proofs: a state older than the one in force when the call was sent proves nothing, and no answer does until the
+//     operator has had the time to write lost changes again (epochSettleFraction).
+//   - The record of this VM, what was learned and what is quarantined: written again (storeRestored).
+//   - Records of other VMs, and what was learned and quarantined elsewhere, when they are read: a record is ordered by its
+//     generation, which its node assigns, so an older one from the backup has no effect.
 type storeEpoch struct {
 	mu        sync.Mutex
-	epoch     int64     // 0: none was told yet
-	settledAt time.Time // until then the store's answers prove nothing, by the boot clock
+	epoch     int64     // 0: none is known yet
+	settledAt time.Time // answers to calls sent before this time of the boot clock prove nothing
 }
 
-// current returns the newest era that was told.
+// current returns the newest known epoch, or 0 if none is known.
 func (e *storeEpoch) current() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.epoch
 }
 
-// changed tells whether the known era is over, and has the newest one known.
+// changed reports whether the newest epoch differs from *known, and sets *known to it.
 func (e *storeEpoch) changed(known *int64) bool {
 	before := *known
 	*known = e.current()
 	return *known != before
 }
 
-// advance takes an era that was told; it returns the one before if that is how the store came back, and 0 otherwise. Both are set at once: an
-// answer of the new era that is looked at just then mustn't prove anything yet.
-func (e *storeEpoch) advance(number int64, settled time.Time) (before int64) {
+// advance sets a newer epoch; it returns the previous one if the store was restored, and 0 otherwise. The epoch and settledAt
+// are set together, since an answer of the new epoch that is evaluated at that moment must not prove anything yet.
+func (e *storeEpoch) advance(epoch int64, settledAt time.Time) (before int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if number <= e.epoch {
+	if epoch <= e.epoch {
 		return 0
 	}
-	before, e.epoch = e.epoch, number
+	before, e.epoch = e.epoch, epoch
 	if before != 0 {
-		e.settledAt = settled
+		e.settledAt = settledAt
 	}
 	return before
 }
 
-// proves tells whether what the store said in answer to a call that was sent then can prove anything.
+// proves reports whether the answer to a call sent at the given time of the boot clock can prove freshness.
 func (e *storeEpoch) proves(sent time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,28 +63,28 @@
 }
 
 const (
-	// epochSettleFraction is how long after a new era was seen nothing that the store says proves anything, as a share of the bound of
-	// revocation. Proofs from before hold for longer, so keys are served on meanwhile.
+	// epochSettleFraction is how long the store's answers prove nothing after a new epoch, as a fraction of the bound of
+	// revocation. Earlier freshness proofs are valid for longer, so keys are accepted meanwhile.
 	epochSettleFraction = 0.4
-	// rewriteSpread is the time for each known node over which all write their records again: the store takes some hundreds of
-	// writes a second.
+	// rewriteSpread is the time per known node over which the nodes spread the rewriting of their records: the store accepts
+	// some hundreds of writes per second.
 	rewriteSpread = 3 * time.Millisecond
 )
 
-// noteStoreEpoch takes an era that the store or another node told.
-func (n *Node) noteStoreEpoch(from string, era int64) {
-	if era <= n.era.current() {
-		return // with every message
+// noteStoreEpoch processes an epoch received from the store or another node.
+func (n *Node) noteStoreEpoch(from string, epoch int64) {
+	if epoch <= n.era.current() {
+		return // the usual case: each message contains the epoch
 	}
-	settled := clock.Boot(n.clock).Add(time.Duration(epochSettleFraction * float64(n.cfg.Mesh.Revoke)))
-	if before := n.era.advance(era, settled); before != 0 {
-		n.storeRestored(from, before, era)
+	settledAt := clock.Boot(n.clock).Add(time.Duration(epochSettleFraction * float64(n.cfg.Mesh.Revoke)))
+	if before := n.era.advance(epoch, settledAt); before != 0 {
+		n.storeRestored(from, before, epoch)
 	}
 }
 
-// storeRestored has all that this node wrote written again.
-func (n *Node) storeRestored(from string, before, era int64) {
-	n.controlLog.Warn("the store came back from a copy", "from", from, "era", era, "before", before)
+// storeRestored logs a new store epoch, and has this node's record written again after a random time.
+func (n *Node) storeRestored(from string, before, epoch int64) {
+	n.controlLog.Warn("the store came back from a copy", "from", from, "era", epoch, "before", before)
 	n.metrics.count("store_eras_total")
 	spread := rewriteSpread * time.Duration(max(n.nodes.Load(), 1))
 	time.AfterFunc(rand.N(spread), n.records.markLost)
--- a/pkg/mesh/store_watch.go
+++ b/pkg/mesh/store_watch.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// storeAvailability joins what a node's calls of the store find: once one is answered after others were not, those that still
-// hang, or wait for their next try, are made again at once. A node that has just started needs the answers of two of them
-// before it can serve anything; with each waiting for its own time-out the second came up to 0.9 s after the first. Its zero
-// value takes the store for well.
+// storeAvailability shares the results of a node's calls to the store: once one call is answered after failures, the calls
+// that still hang or wait for their retry are made again at once. A node that has just started needs two answers before it can
+// serve; when each call waited for its own timeout, the second came up to 0.9 s after the first. The zero value assumes that
+// the store is available.
 type storeAvailability struct {
 	mu        sync.Mutex
 	failing   bool
-	recovered chan struct{} // closed when the store answers again
+	recovered chan struct{} // closed when the store answers again after a failure
 }
 
 // recoveredSignal returns a channel that is closed when the store next answers after a failure.
@@ -27,7 +27,7 @@
 	return w.recovered
 }
 
-// noteResult takes how a call ended.
+// noteResult processes the result of a call. A HistoryGoneError is an answer of the store, too.
 func (w *storeAvailability) noteResult(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,18 +40,18 @@
 	w.failing = !answered
 }
 
-// storeAttempt is one call of the store, and the wait for the next one if it fails.
+// storeAttempt is one call to the store, and the wait for the next one if it fails.
 type storeAttempt struct {
 	availability *storeAvailability
 	recovered    <-chan struct{}
 }
 
-// newAttempt begins a call.
+// newAttempt returns an attempt that ends early when the store recovers from now on.
 func (w *storeAvailability) newAttempt() storeAttempt {
 	return storeAttempt{availability: w, recovered: w.recoveredSignal()}
 }
 
-// call makes the call within a time; it is given up as soon as the store answers another one after a failure.
+// call calls f with the timeout span; it cancels f as soon as the store answers another call after a failure.
 func (t storeAttempt) call(ctx context.Context, span time.Duration, f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
@@ -71,7 +71,7 @@
 	return err
 }
 
-// superseded tells whether the store has answered another call since this one began.
+// superseded reports whether the store has recovered since this attempt began.
 func (t storeAttempt) superseded() bool {
 	select {
 	case <-t.recovered:
@@ -81,7 +81,7 @@
 	}
 }
 
-// sleep waits before the next try, or until the store answers another call; it reports false if ctx ends first.
+// sleep waits before the next attempt, or until the store recovers; it reports false if ctx ends first.
 func (t storeAttempt) sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -8,20 +8,20 @@
 	"github.com/rockspoke/rockspoke/pkg/directory"
 )
 
-// The times of reading all records.
+// The constants of reading all records.
 const (
-	// fullReadPeriod is the time between readings of all records in a small mesh: exchanges carry the news,
-	// and this brings nodes together that don't know of each other.
+	// fullReadPeriod is the time between reads of all records in a small mesh: exchanges carry the changes, and these reads
+	// connect nodes that don't know of each other.
 	fullReadPeriod = 20 * time.Second
-	// fullReadNodes is the number of nodes up to which recordsPeriod holds; it grows with more, so that all
-	// of them together read no more often.
+	// fullReadNodes is the number of nodes up to which fullReadPeriod applies; with more nodes it grows, so that all of them
+	// together read no more often.
 	fullReadNodes = 16
-	// discoveryNodes is how many nodes a node of a new mesh has to know to leave the other parts of the records unread. Each
-	// reads a part taken at random, after it has written its own, so that all are joined, and exchanges do the rest.
+	// discoveryNodes is how many nodes a node of a new mesh has to know to skip the other parts of the records. Each node
+	// reads a random part after it has written its own record; that connects all, and exchanges do the rest.
 	discoveryNodes = 8
 )
 
-// syncRecords reads the records of all VMs at the start, unless peers know them, and from time to time.
+// syncRecords reads the records of all VMs at the start, unless peers have sent them, and then periodically until ctx ends.
 func (n *Node) syncRecords(ctx context.Context) {
 	var wait backoff
 	switch {
@@ -51,14 +51,14 @@
 	}
 }
 
-// fullReadDelay returns the time until the next reading of all records.
+// fullReadDelay returns the randomized time until the next read of all records.
 func (n *Node) fullReadDelay() time.Duration {
 	nodes := max(int(n.nodes.Load()), fullReadNodes)
 	return jitter(fullReadPeriod * time.Duration(nodes) / fullReadNodes)
 }
 
-// discoverNodes reads one part of the records after the other until enough nodes are known; it reports whether the store
-// answered.
+// discoverNodes reads parts of the records in random order until discoveryNodes are known; it reports false if a read
+// failed.
 func (n *Node) discoverNodes(ctx context.Context) bool {
 	for _, part := range rand.Perm(n.store.RecordParts) {
 		if n.nodes.Load() >= discoveryNodes {
@@ -71,7 +71,8 @@
 	return true
 }
 
-// readRecords reads all records, or those of a part, once and tells some peers; it reports whether the store answered.
+// readRecords reads all records, or those of the given parts, once, and announces to some peers; it reports whether the
+// store answered.
 func (n *Node) readRecords(ctx context.Context, t storeAttempt, parts ...int) bool {
 	var stored Stored
 	err := n.callStore(ctx, t, readRecordsCall, storeCallTimeout, func(ctx context.Context) (err error) {
@@ -86,7 +87,7 @@
 		n.controlLog.Warn("rows of the store passed over", "rows", len(stored.Unread), "err", stored.Unread[0])
 	}
 	n.ask(ctx, func() {
-		whole := len(parts) == 0 // a part may lack the own record, and has some of what was learned
+		whole := len(parts) == 0 // a part may lack the local record, and has only some of what was learned
 		if whole {
 			n.restoreFromStore(stored.Learned)
 			n.recallHeld(stored.Held)
@@ -101,7 +102,7 @@
 	return true
 }
 
-// noteStoredGeneration notes which generation of this VM's record the store has.
+// noteStoredGeneration notes which generation of this VM's record is among the records of the store.
 func (n *Node) noteStoredGeneration(records []directory.Record) {
 	generation := int64(0)
 	for _, r := range records {
@@ -112,7 +113,7 @@
 	n.records.reconcile(generation)
 }
 
-// awaitReadDue returns when a reading is asked for, after the pause, or when ctx ends.
+// awaitReadDue returns when a read is requested, after the pause, or when ctx ends.
 func (n *Node) awaitReadDue(ctx context.Context, pause time.Duration) {
 	t := time.NewTimer(pause)
 	defer t.Stop()
--- a/pkg/mesh/talk_period.go
+++ b/pkg/mesh/talk_period.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// The time between exchanges with other nodes.
+// The constants of the time between exchanges with other nodes.
 const (
-	// minExchangePeriod is the time between exchanges of a small zone; it grows with the number of its nodes, so that
-	// the work of a node stays the same.
+	// minExchangePeriod is the time between exchanges in a small zone. It grows with the number of the zone's nodes, so that
+	// the work per node stays constant.
 	minExchangePeriod = 300 * time.Millisecond
-	// calmZoneNodes is how many nodes of a zone may be known for talkLeast to hold while all is taken in.
+	// calmZoneNodes is the number of known nodes of the zone up to which minExchangePeriod applies while all is admitted.
 	calmZoneNodes = 24
-	// urgentZoneNodes is the same while requests are held down, or asked for without a known cost, or while what comes changes a
-	// lot: how much is asked for, and what it costs, then has to reach all soon. In an overload of four times the room that
-	// begins with the first request, 160 nodes in three zones served 0.92 and 0.88 of the room from 2 to 4 and from 4 to 6 s with
-	// the longer period (one run), 1.02 and 1.25 with this one (two runs), and 0.90 and 1.10 where only what is held down made it
-	// shorter (three runs; whole nodes in made-up time).
+	// urgentZoneNodes is the same while admission is limited, while requests have no known cost, or while the arrival rate
+	// changes a lot: demand and costs then have to reach all nodes soon. In a simulated overload of four times the usable
+	// slots that begins with the first request, 160 nodes in three zones served 0.92 and 0.88 of the usable slots from 2 to 4
+	// and from 4 to 6 s with the longer period, 1.02 and 1.25 with this one, and 0.90 and 1.10 where only limited admission
+	// shortened it.
 	urgentZoneNodes = 64
-	// arrivalChangeRatio is how many times more or less than of late has to come for exchanges to be sooner, and changeLeast by how many
-	// requests a second more or less at the least.
+	// arrivalChangeRatio is the factor, and minArrivalChange the requests per second on top of it, by which the arrival rate
+	// has to differ from the usual one for exchanges to become more frequent.
 	arrivalChangeRatio = 1.5
 	minArrivalChange   = 5.0
-	// usualArrivalGain is the weight of one look, some times a second, in what usually comes: a change is usual after some four seconds.
+	// usualArrivalGain is the weight of one sample, some times a second, in the smoothed arrival rate: it follows a change
+	// in about four seconds.
 	usualArrivalGain = 0.05
 )
 
-// exchangePeriod returns the time between exchanges, by the number of nodes that are known in this zone: a message
-// grows with them, and with the number of other zones.
+// exchangePeriod returns the current time between exchanges, by the number of known nodes of this zone: a message grows
+// with that number, and with the number of other zones.
 func (n *Node) exchangePeriod() time.Duration {
 	if n.control.newsUrgent {
 		return scaledExchangePeriod(len(n.control.zoneHosts), urgentZoneNodes)
@@ -32,22 +33,23 @@
 	return n.calmExchangePeriod()
 }
 
-// calmExchangePeriod returns the longest time between exchanges, by which it is told whether news has stopped coming.
+// calmExchangePeriod returns the longest time between exchanges, from which the TTLs of reports are derived.
 func (n *Node) calmExchangePeriod() time.Duration {
 	return scaledExchangePeriod(len(n.control.zoneHosts), calmZoneNodes)
 }
 
-// scaledExchangePeriod returns the time between exchanges in a zone of some nodes, where talkLeast holds up to others.
+// scaledExchangePeriod returns the time between exchanges in a zone of the given nodes, where minExchangePeriod applies up
+// to upTo nodes.
 func scaledExchangePeriod(nodes, upTo int) time.Duration {
 	return minExchangePeriod * time.Duration(max(nodes, upTo)) / time.Duration(upTo)
 }
 
-// updateUrgency notes whether news has to spread sooner: requests are held down or can't be planned for, or what comes to this node
-// changes. The next exchange comes sooner once that begins.
+// updateUrgency records whether updates have to spread sooner: the plan is urgent, or this node's arrival rate changes. It
+// moves the next exchange forward when that begins.
 func (n *Node) updateUrgency(now time.Time, urgent bool) {
-	coming := n.stats.arrivalRate(now)
-	urgent = urgent || arrivalsChanged(coming, n.control.usualComing)
-	n.control.usualComing += usualArrivalGain * (coming - n.control.usualComing)
+	rate := n.stats.arrivalRate(now)
+	urgent = urgent || arrivalsChanged(rate, n.control.usualComing)
+	n.control.usualComing += usualArrivalGain * (rate - n.control.usualComing)
 	begins := urgent && !n.control.newsUrgent
 	n.control.newsUrgent = urgent
 	if next := now.Add(jitter(n.exchangePeriod())); begins && next.Before(n.control.nextTalk) {
@@ -55,7 +57,7 @@
 	}
 }
 
-// arrivalsChanged tells whether what comes has changed a lot.
-func arrivalsChanged(coming, usual float64) bool {
-	return coming > usual*arrivalChangeRatio+minArrivalChange || coming < usual/arrivalChangeRatio-minArrivalChange
+// arrivalsChanged reports whether the arrival rate, in requests per second, differs a lot from the usual one.
+func arrivalsChanged(rate, usual float64) bool {
+	return rate > usual*arrivalChangeRatio+minArrivalChange || rate < usual/arrivalChangeRatio-minArrivalChange
 }
--- a/pkg/mesh/traffic_at_gate.go
+++ b/pkg/mesh/traffic_at_gate.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// noteGateArrival counts a request at the first gate that it comes to, and whether it was turned away for want of room. In a service of
-// many servers a request goes on to all of them: were it counted at each, the share that is turned away would grow
-// with their number, and with it the room that is taken from them.
-func (s *trafficStats) noteGateArrival(now time.Time, inner, turnedAway bool) {
+// noteGateArrival counts a request at the first gate where it arrives, and whether that gate rejected it for lack of slots.
+// A rejected request may try all servers of a service. If each gate counted it, the rejected share would grow with the
+// number of servers, and reduce their usable slots.
+func (s *trafficStats) noteGateArrival(now time.Time, internal, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gateArrivals.Add(now, 1)
-	if !turnedAway {
+	if !rejected {
 		return
 	}
 	s.rejectedRequests.Add(now, 1)
-	if inner {
+	if internal {
 		s.rejectedCalls.Add(now, 1)
 	}
 }
 
-// rejectedShare returns the share of the requests at the gate that were turned away of late.
+// rejectedShare returns the share, 0 to 1, of the recent requests at the gate that were rejected.
 func (s *trafficStats) rejectedShare(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,14 +29,14 @@
 	return s.rejectedRequests.PerSecond(now) / arrived
 }
 
-// rejectedCallRate returns those calls a second.
+// rejectedCallRate returns the internal calls per second that the gate rejects.
 func (s *trafficStats) rejectedCallRate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejectedCalls.PerSecond(now)
 }
 
-// callAge returns by how much less time a call has left than one of its route had here of late.
+// callAge estimates a call's age: the recent longest time to the deadline of calls of its route here, less this call's.
 func (s *trafficStats) callAge(now time.Time, route string, left time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,17 +48,17 @@
 	return m.add(now, left) - left
 }
 
-// recentMaxWindow is how long the most time of a route's calls is remembered at the least, twice that at the most: one whose
-// limit is lowered has calls that would else look old for ever, and go before those of other routes.
+// recentMaxWindow is the least time for which a recentMax retains a value; it forgets it after at most twice that. If it
+// never forgot, all calls of a route whose timeout was lowered would look old, and go before those of other routes.
 const recentMaxWindow = 5 * time.Second
 
-// recentMax is the longest of the times seen of late; its zero value has seen none.
+// recentMax is the maximum of recent durations, kept in two windows. The zero value is empty.
 type recentMax struct {
 	current, previous time.Duration
 	currentSince      time.Time // when current began
 }
 
-// add takes one more time and returns the longest.
+// add records a duration and returns the recent maximum.
 func (m *recentMax) add(now time.Time, d time.Duration) time.Duration {
 	if now.Sub(m.currentSince) >= recentMaxWindow {
 		m.previous, m.current, m.currentSince = m.current, 0, now
--- a/pkg/mesh/traffic_entries.go
+++ b/pkg/mesh/traffic_entries.go
@@ -6,21 +6,22 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// entryStats counts the requests of one kind (loads.Kind) that begin on this VM.
+// entryStats counts the requests of one kind (loads.Kind) that begin on this VM, and limits their admission.
 type entryStats struct {
 	firstAttempts, retries overload.DecayingRate
-	standalone             overload.DecayingRate // came while no run was in progress that can have made them
-	maxTimeLeft            time.Duration         // most time that a client of this kind ever had left
+	standalone             overload.DecayingRate // came while no run in progress can have made them
+	maxTimeLeft            time.Duration         // longest time to the deadline that a request of this kind ever had
 	firstAllowance         overload.Allowance
 	retryAllowance         overload.Allowance
 }
 
-// retryTimeFraction of the longest time that clients of a kind have is the time left below which an attempt
-// is one of a client that was refused before: a first attempt brings the whole time.
+// retryTimeFraction is the fraction of a kind's longest time to the deadline below which an attempt counts as a client's
+// retry after a refusal: a first attempt still has the client's whole timeout.
 const retryTimeFraction = 0.995
 
-// admit counts a request and decides whether it is taken in; the shares are those of its kind.
-func (s *trafficStats) admit(now time.Time, kind string, left time.Duration, share overload.Share) (ok, returning bool) {
+// admit counts a request with the given time to its deadline, and decides by its kind's shares whether it is admitted;
+// retry tells whether it counts as a client's retry after a refusal.
+func (s *trafficStats) admit(now time.Time, kind string, left time.Duration, share overload.Share) (ok, retry bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entry(kind)
@@ -32,7 +33,7 @@
 	return e.firstAllowance.Take(now, share.Fresh, &e.firstAttempts), false
 }
 
-// entry returns the counts of a kind, made if it is new.
+// entry returns the counts of a kind, and creates them if the kind is new. s.mu must be held.
 func (s *trafficStats) entry(kind string) *entryStats {
 	e := s.entries[kind]
 	if e == nil {
@@ -42,7 +43,8 @@
 	return e
 }
 
-// noteEntry notes a request that noteEntry on this VM, with its time limit: it may be a call of a run in progress or not.
+// noteEntry counts a request that begins on this VM as standalone, unless its deadline allows that a run in progress made
+// it.
 func (s *trafficStats) noteEntry(now time.Time, kind string, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +53,7 @@
 	}
 }
 
-// isRetry tells whether an attempt with that time left is one of a client that was refused before.
+// isRetry notes an attempt's time to its deadline, and reports whether it counts as a client's retry after a refusal.
 func (e *entryStats) isRetry(left time.Duration) bool {
 	e.maxTimeLeft = max(e.maxTimeLeft, left)
 	return float64(left) < retryTimeFraction*float64(e.maxTimeLeft)
--- a/pkg/mesh/traffic_runs.go
+++ b/pkg/mesh/traffic_runs.go
@@ -8,28 +8,28 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// runStats counts the runs of one route at the server on this VM.
+// runStats counts the runs of one route at the local backend server.
 type runStats struct {
 	rate        overload.DecayingRate
-	holdSeconds overload.DecayingRate // seconds held
+	holdSeconds overload.DecayingRate // slot seconds
 }
 
-// beginRun notes a run that starts at the server on this VM, with the time limit that the server was given.
+// beginRun notes a run that starts at the local backend server with the given deadline.
 func (s *trafficStats) beginRun(now time.Time, route string, deadline time.Time) *callgraph.Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.learner.Begin(now, route, deadline)
 }
 
-// dropRun forgets a run that the server didn't take: counted, it would seem to hold a slot for no time and to make no calls.
+// dropRun discards a run that the server didn't accept: it would count as one with no slot hold time and no calls.
 func (s *trafficStats) dropRun(now time.Time, run *callgraph.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Drop(now, run)
 }
 
-// endRun notes the endRun of a run.
-func (s *trafficStats) endRun(now time.Time, route string, run *callgraph.Run, held time.Duration, o gate.Outcome) {
+// endRun counts a finished run and its slot hold time; only runs with an answer contribute to the learned calls.
+func (s *trafficStats) endRun(now time.Time, route string, run *callgraph.Run, hold time.Duration, o gate.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.End(now, run, o == gate.Answered)
@@ -39,36 +39,36 @@
 		s.runs[route] = r
 	}
 	r.rate.Add(now, 1)
-	r.holdSeconds.Add(now, held.Seconds())
+	r.holdSeconds.Add(now, hold.Seconds())
 }
 
-// noteCall notes a call of the server on this VM.
+// noteCall notes a call that the local backend server makes to a route.
 func (s *trafficStats) noteCall(now time.Time, route string, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Call(now, route, deadline)
 }
 
-// knownCalls returns the calls of one run that are knownCalls well.
+// knownCalls returns, by route, the calls per run that have been learned reliably.
 func (s *trafficStats) knownCalls() map[string]callgraph.Rates {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.learner.Known()
 }
 
-// restoreCalls takes what was known before.
+// restoreCalls hands calls per run that were learned earlier to the learner.
 func (s *trafficStats) restoreCalls(known map[string]callgraph.Rates) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Recall(known)
 }
 
-// updateLearner has the learner work out what was seen.
+// updateLearner has the learner evaluate the runs and calls since the last time.
 func (s *trafficStats) updateLearner(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learner.Look(now)
 }
 
-// learnPeriod is the time between the learner's looks at what was seen.
+// learnPeriod is the time between calls of updateLearner.
 const learnPeriod = 100 * time.Millisecond
--- a/pkg/mesh/traffic_stats.go
+++ b/pkg/mesh/traffic_stats.go
@@ -9,17 +9,17 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// trafficStats counts this node's own traffic.
+// trafficStats counts the requests that begin at this node, arrive at its gate and run at the local backend server.
 type trafficStats struct {
 	mu      sync.Mutex
 	entries map[string]*entryStats // by loads.Kind
 	runs    map[string]*runStats
-	// maxTimeLeft is the most time that a call of each route had left when it came to the gate.
+	// maxTimeLeft is, by route, the longest time to the deadline that recent calls had when they arrived at the gate.
 	maxTimeLeft      map[string]*recentMax
-	learner          callgraph.Learner     // of the calls that the server on this VM makes
-	gateArrivals     overload.DecayingRate // requests at the gate
-	rejectedCalls    overload.DecayingRate // calls that the gate refused for want of room
-	rejectedRequests overload.DecayingRate // the same, roots included
+	learner          callgraph.Learner     // of the calls that the local backend server makes
+	gateArrivals     overload.DecayingRate // all requests that arrive at the gate
+	rejectedCalls    overload.DecayingRate // internal calls that the gate rejected for lack of slots
+	rejectedRequests overload.DecayingRate // the same, root requests included
 }
 
 func (s *trafficStats) init() {
@@ -28,18 +28,18 @@
 	s.maxTimeLeft = make(map[string]*recentMax)
 }
 
-// minReportedRate is the rate a second below which a route isn't reported: it takes no part worth planning for.
+// minReportedRate is the rate per second below which a route isn't reported: its load is too small to plan for.
 const minReportedRate = 0.3
 
-// report returns the counts as rates.
+// report returns the counts as rates per second, and the average slot hold times in seconds.
 func (s *trafficStats) report(now time.Time) loads.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := loads.Report{Entries: map[string]loads.Entry{}, Runs: map[string]loads.Run{}}
 	for kind, e := range s.entries {
-		f, b := e.firstAttempts.PerSecond(now), e.retries.PerSecond(now)
-		if f+b > minReportedRate {
-			r.Entries[kind] = loads.Entry{Fresh: round(f), Returning: round(b), Alone: round(e.standalone.PerSecond(now))}
+		first, retries := e.firstAttempts.PerSecond(now), e.retries.PerSecond(now)
+		if first+retries > minReportedRate {
+			r.Entries[kind] = loads.Entry{Fresh: round(first), Returning: round(retries), Alone: round(e.standalone.PerSecond(now))}
 		}
 	}
 	for route, x := range s.runs {
@@ -51,7 +51,7 @@
 	return r
 }
 
-// arrivalRate returns how many requests a second begin at this node or come to its gate.
+// arrivalRate returns the requests per second that begin at this node or arrive at its gate.
 func (s *trafficStats) arrivalRate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// callsPerRun returns the calls of one run of a route, as far as they are learned.
+// callsPerRun returns the calls that one run of a route makes, by called route, as far as they are learned.
 func (s *trafficStats) callsPerRun(route string) callgraph.Rates {
 	calls := callgraph.Rates{}
 	for called, n := range s.learner.Calls(route) {
@@ -71,5 +71,5 @@
 	return calls
 }
 
-// round keeps four decimals, so that messages stay short.
+// round rounds a non-negative value to four decimals, which keeps messages short.
 func round(v float64) float64 { return float64(int64(v*1e4+0.5)) / 1e4 }
--- a/pkg/mesh/write_records.go
+++ b/pkg/mesh/write_records.go
@@ -11,20 +11,20 @@
 const (
 	// storeCallTimeout bounds one call.
 	storeCallTimeout = 1500 * time.Millisecond
-	// followCallTimeout bounds a call that waits for changes: longer than any store holds one.
+	// followCallTimeout bounds a call that waits for changes; it is longer than any store keeps such a call open.
 	followCallTimeout = time.Minute
 	// storeRetryFirst and storeRetryMost bound the wait before a call is made again.
 	storeRetryFirst = 150 * time.Millisecond
 	storeRetryMax   = 800 * time.Millisecond
 )
 
-// minKnownNodes is the number of nodes, this one included, from which news spreads by exchanges alone.
+// minKnownNodes is the number of known nodes, this one included, from which updates spread by exchanges alone.
 const minKnownNodes = 3
 
-// writeRecords writes the record whenever it has changed, and again until the store has it.
+// writeRecords writes this VM's record whenever it has changed, and retries until the store has it or ctx ends.
 func (n *Node) writeRecords(ctx context.Context) {
-	// Nothing is stored before the first start. After a restart what was recalled of the own server is most likely what its
-	// next heartbeat says, and needs no write.
+	// Nothing is stored before the first start. After a restart, the restored local record most likely equals the next
+	// heartbeat, and needs no write.
 	if !n.cfg.Mesh.FirstStart && !n.records.awaitFirstRead(ctx) {
 		return
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// writeRecord makes one call, and reports whether the store has the record.
+// writeRecord makes one call, and reports whether the store has the record. It requests a read if few nodes are known.
 func (n *Node) writeRecord(ctx context.Context, t storeAttempt, r directory.Record) bool {
 	err := n.callStore(ctx, t, writeRecordCall, storeCallTimeout, func(ctx context.Context) error {
 		return n.store.WriteRecord(ctx, r)
