--- a/pkg/mesh/ask_node.go
+++ b/pkg/mesh/ask_node.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		// Only what can't be reached at all is set aside: a node that is busy for a moment can serve requests all the same.
 		if unsent(err) && ctx.Err() == nil && p.failed(n.clock.Now()) {
-			n.controlLog.Warn("peer doesn't answer", "peer", host, "path", path, "err", err)
+			n.controlLog.Warn("peer does not respond", "peer", host, "path", path, "err", err)
 		}
 		return err
 	}
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -64,7 +64,7 @@
 func (n *Node) encodeMessage(m message) []byte {
 	body, err := pack(m)
 	if err != nil {
-		n.controlLog.Error("message can't be written", "err", err)
+		n.controlLog.Error("failed to encode message", "err", err)
 	}
 	return body
 }
@@ -85,13 +85,13 @@
 	res, err := p.post(ctx, time.Time{}, exchangePath, body)
 	if err != nil {
 		if p.failed(n.clock.Now()) {
-			n.controlLog.Warn("peer doesn't answer", "peer", host, "err", err)
+			n.controlLog.Warn("peer does not respond", "peer", host, "err", err)
 		}
 		return false
 	}
 	data, err := readAll(res.Body, maxMessageBytes)
 	if err != nil {
-		n.controlLog.Warn("exchange broke off", "peer", host, "err", err)
+		n.controlLog.Warn("exchange failed", "peer", host, "err", err)
 		return false
 	}
 	return n.mergeMessage(host, data) != nil
@@ -101,7 +101,7 @@
 func (n *Node) serveExchange(w http.ResponseWriter, r *http.Request) {
 	data, err := readAll(r.Body, maxMessageBytes)
 	if err != nil {
-		n.controlLog.Debug("exchange broke off", "peer", r.RemoteAddr, "err", err)
+		n.controlLog.Debug("exchange failed", "peer", r.RemoteAddr, "err", err)
 		return
 	}
 	m := n.mergeMessage(r.RemoteAddr, data)
@@ -118,7 +118,7 @@
 		_, err = w.Write(body)
 	}
 	if err != nil {
-		n.controlLog.Debug("exchange broke off", "peer", m.From, "err", err)
+		n.controlLog.Debug("exchange failed", "peer", m.From, "err", err)
 	}
 }
 
@@ -126,7 +126,7 @@
 func (n *Node) mergeMessage(from string, data []byte) *message {
 	var m message
 	if err := unpack(data, &m); err != nil {
-		n.controlLog.Warn("message can't be read", "peer", from, "err", err)
+		n.controlLog.Warn("failed to decode message", "peer", from, "err", err)
 		return nil
 	}
 	n.peer(m.From).alive(n.clock.Now(), m.Stopping)
--- a/pkg/mesh/exchange_zone_loads.go
+++ b/pkg/mesh/exchange_zone_loads.go
@@ -20,7 +20,7 @@
 		}
 		z := &zoneLoad{computedAt: computedAt, packed: p.Body}
 		if err := unpack(p.Body, &z.services); err != nil {
-			n.controlLog.Warn("report can't be read", "peer", from, "host", p.Zone, "err", err)
+			n.controlLog.Warn("failed to decode load report", "peer", from, "host", p.Zone, "err", err)
 			continue
 		}
 		if len(z.services) > 0 {
@@ -34,7 +34,7 @@
 	if now.Sub(n.control.ownZone.computedAt) >= zoneLoadStep {
 		body, err := pack(loads.AddUp(n.ownZoneReports()))
 		if err != nil {
-			n.controlLog.Error("report can't be written", "err", err)
+			n.controlLog.Error("failed to encode load report", "err", err)
 			return nil
 		}
 		n.control.ownZone = zoneLoad{computedAt: now, packed: body}
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -116,7 +116,7 @@
 // noteFollowFailure records and logs that a call to follow the store failed.
 func (n *Node) noteFollowFailure(err error) {
 	n.watch.with(func(w *follow.Watch) { w.Lost(n.clock.Now()) })
-	n.controlLog.Warn("desired state not followed", "err", err)
+	n.controlLog.Warn("failed to follow desired state", "err", err)
 }
 
 // followOnce makes one call, to read the state if next is nil and to wait for a change otherwise, and returns the cursor
@@ -162,7 +162,7 @@
 func (n *Node) applyState(from string, data []byte) int64 {
 	s, err := n.decode(data)
 	if err != nil {
-		n.controlLog.Error("desired state can't be read, the last good one stays", "from", from, "err", err)
+		n.controlLog.Error("failed to decode desired state, keeping the last good one", "from", from, "err", err)
 		return 0
 	}
 	if n.publishState(s) {
--- a/pkg/mesh/load_expiry.go
+++ b/pkg/mesh/load_expiry.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		if err := unpack(p.Body, &r.Report); err != nil {
-			n.controlLog.Warn("report can't be read", "peer", from, "host", p.Host, "err", err)
+			n.controlLog.Warn("failed to decode load report", "peer", from, "host", p.Host, "err", err)
 			continue
 		}
 		r.Host, r.Epoch, r.Seq, r.receivedAt, r.packed = p.Host, p.Epoch, p.Seq, now, p.Body
--- a/pkg/mesh/report_local_load.go
+++ b/pkg/mesh/report_local_load.go
@@ -53,7 +53,7 @@
 	n.logUsableSlots(now, g, load, excess, r.Room)
 	body, err := pack(r)
 	if err != nil {
-		n.controlLog.Error("report can't be written", "err", err)
+		n.controlLog.Error("failed to encode load report", "err", err)
 		return
 	}
 	n.control.reports[r.Host] = &nodeReport{Report: r, receivedAt: now, packed: body}
@@ -101,6 +101,6 @@
 		}
 	}
 	if len(changed) > 0 {
-		n.controlLog.Info("calls of a run", "routes", changed)
+		n.controlLog.Info("learned calls per run changed", "routes", changed)
 	}
 }
--- a/pkg/mesh/restore_learned.go
+++ b/pkg/mesh/restore_learned.go
@@ -85,7 +85,7 @@
 		routes += restored
 	}
 	if routes > 0 {
-		n.controlLog.Info("learned calls recalled", "routes", routes, "from", from)
+		n.controlLog.Info("learned calls restored", "routes", routes, "from", from)
 		n.replan(now)
 	}
 }
--- a/pkg/mesh/store_epoch.go
+++ b/pkg/mesh/store_epoch.go
@@ -84,7 +84,7 @@
 
 // storeRestored logs a new store epoch, and has this node's record written again after a random time.
 func (n *Node) storeRestored(from string, before, epoch int64) {
-	n.controlLog.Warn("the store came back from a copy", "from", from, "era", epoch, "before", before)
+	n.controlLog.Warn("store restored from a backup", "from", from, "era", epoch, "before", before)
 	n.metrics.count("store_eras_total")
 	spread := rewriteSpread * time.Duration(max(n.nodes.Load(), 1))
 	time.AfterFunc(rand.N(spread), n.records.markLost)
--- a/pkg/mesh/store_learned.go
+++ b/pkg/mesh/store_learned.go
@@ -47,7 +47,7 @@
 			return n.store.WriteLearned(ctx, known)
 		})
 		if err != nil {
-			n.controlLog.Warn("learned calls not stored", "err", err)
+			n.controlLog.Warn("failed to store learned calls", "err", err)
 			continue
 		}
 		stored = known
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -31,7 +31,7 @@
 			n.awaitReadDue(ctx, n.fullReadDelay())
 		}
 	case n.queryPeers(ctx):
-		n.controlLog.Info("records heard from peers", "nodes", n.nodes.Load())
+		n.controlLog.Info("received records from peers", "nodes", n.nodes.Load())
 		close(n.watch.peersQueried)
 		n.records.noteFirstRead()
 		n.awaitReadDue(ctx, n.fullReadDelay())
@@ -80,11 +80,11 @@
 		return err
 	})
 	if err != nil {
-		n.controlLog.Warn("records not read", "err", err)
+		n.controlLog.Warn("failed to read records", "err", err)
 		return false
 	}
 	if len(stored.Unread) > 0 {
-		n.controlLog.Warn("rows of the store passed over", "rows", len(stored.Unread), "err", stored.Unread[0])
+		n.controlLog.Warn("skipped unreadable rows of the store", "rows", len(stored.Unread), "err", stored.Unread[0])
 	}
 	n.ask(ctx, func() {
 		whole := len(parts) == 0 // a part may lack the local record, and has only some of what was learned
--- a/pkg/mesh/write_records.go
+++ b/pkg/mesh/write_records.go
@@ -56,7 +56,7 @@
 		return n.store.WriteRecord(ctx, r)
 	})
 	if err != nil {
-		n.controlLog.Warn("record not stored", "generation", r.Generation, "err", err)
+		n.controlLog.Warn("failed to store record", "generation", r.Generation, "err", err)
 		return false
 	}
 	n.records.markDurable(r.Generation)
