--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -18,14 +18,14 @@
 // through the last three; both end in five calls of the last service, which is left with one server.
 const (
 	floorSlots = 10
-	// floorRoom is how many reads or charges a second it has room for: each takes five times 30 ms.
-	floorRoom = floorSlots * limitOfSlots / (5 * 0.030)
-	// asked is how many requests a second come in all, four times as many.
-	asked = 4 * floorRoom
+	// floorCapacity is how many reads or charges a second it has room for: each takes five times 30 ms.
+	floorCapacity = floorSlots * usableSlotFraction / (5 * 0.030)
+	// totalRate is how many requests a second come in all, four times as many.
+	totalRate = 4 * floorCapacity
 	// deepNodes is how many nodes the site has.
 	deepNodes = 8
-	// limitOfSlots is the part of its slots that a gate uses.
-	limitOfSlots = 0.92
+	// usableSlotFraction is the part of its slots that a gate uses.
+	usableSlotFraction = 0.92
 )
 
 // deepRoute is a kind of request of the site.
@@ -88,7 +88,7 @@
 			if r.URL.Path != "/"+x.name+"/x" {
 				continue
 			}
-			time.Sleep(around(x.work))
+			time.Sleep(randomAround(x.work))
 			for i, called := range x.calls {
 				if !f.call(r.Header.Get(testNames.AttemptID), i, "/"+called+"/x", deadline) {
 					w.WriteHeader(http.StatusInternalServerError)
@@ -100,34 +100,34 @@
 	}
 }
 
-func around(d time.Duration) time.Duration {
+func randomAround(d time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(d))
 }
 
-// callers are clients that send each request once.
-type callers struct {
-	mu     sync.Mutex
-	served []time.Time // when each request that was served was sent
-	asking sync.WaitGroup
-	ids    atomic.Int64
-	times  atomic.Int64 // by how many tenths more is asked than asked says; 0: as it says
+// clientLoad are clients that send each request once.
+type clientLoad struct {
+	mu          sync.Mutex
+	served      []time.Time // when each request that was served was sent
+	sending     sync.WaitGroup
+	ids         atomic.Int64
+	extraTenths atomic.Int64 // by how many tenths more is asked than asked says; 0: as it says
 }
 
-// ask begins to send requests to all nodes until ctx ends.
-func (k *callers) ask(ctx context.Context, s *site) {
+// start begins to send requests to all nodes until ctx ends.
+func (k *clientLoad) start(ctx context.Context, s *site) {
 	for i := range s.nodes {
-		k.asking.Go(func() {
+		k.sending.Go(func() {
 			for ctx.Err() == nil {
-				k.asking.Go(func() { k.once(s, i) })
-				rate := asked * (1 + float64(k.times.Load())/10) / deepNodes // of one node
+				k.sending.Go(func() { k.sendOne(s, i) })
+				rate := totalRate * (1 + float64(k.extraTenths.Load())/10) / deepNodes // of one node
 				time.Sleep(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
 			}
 		})
 	}
 }
 
-// once sends one request to a node.
-func (k *callers) once(s *site, i int) {
+// sendOne sends one request to a node.
+func (k *clientLoad) sendOne(s *site, i int) {
 	sent, x := time.Now(), rand.Float64()
 	for _, r := range deepRoutes {
 		if x -= r.weight; x >= 0 {
@@ -143,8 +143,8 @@
 	}
 }
 
-// servedOf counts the requests that were sent from a time on, for a time, and served.
-func (k *callers) servedOf(from time.Time, span time.Duration) int {
+// servedIn counts the requests that were sent from a time on, for a time, and served.
+func (k *clientLoad) servedIn(from time.Time, span time.Duration) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
--- a/pkg/mesh/exchange_period_test.go
+++ b/pkg/mesh/exchange_period_test.go
@@ -9,8 +9,8 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// talking is a node of a zone of so many nodes, to which nothing comes, and whose next exchange is far off.
-func talking(nodes int, now time.Time) *Node {
+// nodeOfZone is a node of a zone of so many nodes, to which nothing comes, and whose next exchange is far off.
+func nodeOfZone(nodes int, now time.Time) *Node {
 	n := &Node{clock: clock.Real{}}
 	n.stats.init()
 	n.control.zoneHosts = make([]string, nodes)
@@ -22,7 +22,7 @@
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	for nodes, period := range map[int]time.Duration{1: minExchangePeriod, 24: minExchangePeriod, 48: 2 * minExchangePeriod, 240: 10 * minExchangePeriod} {
-		n := talking(nodes, now)
+		n := nodeOfZone(nodes, now)
 		n.updateUrgency(now, false)
 		c.Check(n.exchangePeriod(), qt.Equals, period)
 		c.Check(n.control.nextTalk.Sub(now), qt.Equals, time.Hour)
@@ -33,7 +33,7 @@
 func TestExchangesAreSoonerWhileRequestsAreHeldDown(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
-	n := talking(64, now)
+	n := nodeOfZone(64, now)
 	n.updateUrgency(now, true)
 	c.Check(n.exchangePeriod(), qt.Equals, minExchangePeriod)
 	c.Check(n.control.nextTalk.Sub(now) <= 2*minExchangePeriod, qt.IsTrue)
@@ -45,7 +45,7 @@
 func TestExchangesAreSoonerWhileWhatComesChanges(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
-	n := talking(64, now)
+	n := nodeOfZone(64, now)
 	// pass lets some seconds go by with so many requests a second, and tells for how many looks exchanges were sooner.
 	pass := func(rate int) (sooner int) {
 		for range 100 {
--- a/pkg/mesh/fake_store_test.go
+++ b/pkg/mesh/fake_store_test.go
@@ -17,24 +17,24 @@
 
 // fakeStore is a store in memory that can be told to fail.
 type fakeStore struct {
-	mu      sync.Mutex
-	state   []byte
-	version int64
-	era     int64
-	backup  func()
-	changed chan struct{}
-	records map[string]directory.Record
-	learned map[string]loads.Learned
-	held    map[string]HeldBack
-	written int
-	down    bool
-	away    map[string]bool   // VMs that are turned away
-	delay   time.Duration     // before each answer
-	calls   map[storeCall]int // by kind
+	mu          sync.Mutex
+	state       []byte
+	version     int64
+	epoch       int64
+	backup      func()
+	changed     chan struct{}
+	records     map[string]directory.Record
+	learned     map[string]loads.Learned
+	held        map[string]HeldBack
+	writeCount  int
+	down        bool
+	rejectedVMs map[string]bool   // VMs that are turned away
+	delay       time.Duration     // before each answer
+	calls       map[storeCall]int // by kind
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{calls: map[storeCall]int{}, era: 1, changed: make(chan struct{}), records: map[string]directory.Record{}, learned: map[string]loads.Learned{}, held: map[string]HeldBack{}}
+	return &fakeStore{calls: map[storeCall]int{}, epoch: 1, changed: make(chan struct{}), records: map[string]directory.Record{}, learned: map[string]loads.Learned{}, held: map[string]HeldBack{}}
 }
 
 type storeDownError struct{}
@@ -73,69 +73,69 @@
 	time.Sleep(d)
 }
 
-// seam returns the calls as a VM makes them.
-func (s *fakeStore) seam(vm string) Store {
+// storeFor returns the calls as a VM makes them.
+func (s *fakeStore) storeFor(vm string) Store {
 	return Store{
 		ReadState: func(ctx context.Context) ([]byte, Cursor, error) {
-			if s.turnsAway(vm) {
+			if s.rejects(vm) {
 				return nil, Cursor{}, storeDownError{}
 			}
 			return s.readState(ctx)
 		},
 		FollowState: func(ctx context.Context, after Cursor) ([]byte, Cursor, error) {
 			data, next, err := s.followState(ctx, after)
-			if s.turnsAway(vm) {
+			if s.rejects(vm) {
 				return nil, Cursor{}, storeDownError{}
 			}
 			return data, next, err
 		},
 		ReadRecords: s.readRecords, RecordParts: fakeParts, WriteRecord: s.writeRecord, WriteLearned: s.writeLearned, WriteHeld: s.writeHeld,
-		Era: s.eraNow,
+		Era: s.currentEpoch,
 	}
 }
 
-// copy keeps what the store has; comeBack puts it in place of what it has then.
-func (s *fakeStore) copy() {
+// backUp keeps what the store has; comeBack puts it in place of what it has then.
+func (s *fakeStore) backUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state, version, records, learned := s.state, s.version, maps.Clone(s.records), maps.Clone(s.learned)
 	s.backup = func() { s.state, s.version, s.records, s.learned = state, version, records, learned }
 }
 
-func (s *fakeStore) comeBack() {
+func (s *fakeStore) restoreBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backup()
-	s.era++
+	s.epoch++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *fakeStore) eraNow() int64 {
+func (s *fakeStore) currentEpoch() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.era
+	return s.epoch
 }
 
-// turnAway has the VM get no answer about the desired state, or answers again.
-func (s *fakeStore) turnAway(vm string, away bool) {
+// setRejected has the VM get no answer about the desired state, or answers again.
+func (s *fakeStore) setRejected(vm string, away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away == nil {
-		s.away = map[string]bool{}
+	if s.rejectedVMs == nil {
+		s.rejectedVMs = map[string]bool{}
 	}
-	s.away[vm] = away
+	s.rejectedVMs[vm] = away
 }
 
-// turnsAway tells whether the VM gets no answer about the desired state.
-func (s *fakeStore) turnsAway(vm string) bool {
+// rejects tells whether the VM gets no answer about the desired state.
+func (s *fakeStore) rejects(vm string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away[vm]
+	return s.rejectedVMs[vm]
 }
 
-// called returns how many calls of the kinds were made.
-func (s *fakeStore) called(kinds ...storeCall) int {
+// callCount returns how many calls of the kinds were made.
+func (s *fakeStore) callCount(kinds ...storeCall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -153,7 +153,7 @@
 	if s.down {
 		return nil, Cursor{}, storeDownError{}
 	}
-	return s.state, Cursor{s.era, s.version}, nil
+	return s.state, Cursor{s.epoch, s.version}, nil
 }
 
 func (s *fakeStore) followState(ctx context.Context, after Cursor) ([]byte, Cursor, error) {
@@ -163,7 +163,7 @@
 	for {
 		s.mu.Lock()
 		changed, down := s.changed, s.down
-		data, v := s.state, Cursor{s.era, s.version}
+		data, v := s.state, Cursor{s.epoch, s.version}
 		s.mu.Unlock()
 		switch {
 		case down:
@@ -213,18 +213,18 @@
 	return out, nil
 }
 
-// stored returns how many records are there.
-func (s *fakeStore) stored() int {
+// recordCount returns how many records are there.
+func (s *fakeStore) recordCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.records)
 }
 
-// writes returns how often a record was written.
-func (s *fakeStore) writes() int {
+// recordWrites returns how often a record was written.
+func (s *fakeStore) recordWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.written
+	return s.writeCount
 }
 
 func (s *fakeStore) writeLearned(_ context.Context, l loads.Learned) error {
@@ -256,6 +256,6 @@
 		return storeDownError{}
 	}
 	s.records[r.Host] = r
-	s.written++
+	s.writeCount++
 	return nil
 }
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -162,7 +162,7 @@
 func (n *Node) applyState(from string, data []byte) int64 {
 	s, err := n.decode(data)
 	if err != nil {
-		n.controlLog.Error("failed to decode desired state, keeping the last good one", "from", from, "err", err)
+		n.controlLog.Error("desired state can't be read, the last good one stays", "from", from, "err", err)
 		return 0
 	}
 	if n.publishState(s) {
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -36,8 +36,8 @@
 	s.store.put(desired.State{Version: version, Routes: []desired.Route{route("r", desired.Repeatable, "a")}})
 }
 
-// inForce tells after how long a version is in force at all nodes but those that are left out.
-func (s *site) inForce(version int64, left map[int]bool) time.Duration {
+// awaitInForce tells after how long a version is in force at all nodes but those that are left out.
+func (s *site) awaitInForce(version int64, left map[int]bool) time.Duration {
 	begun := time.Now()
 	s.until("the state is in force", func() bool {
 		for i, n := range s.nodes {
@@ -52,15 +52,15 @@
 
 // haltFollowers ends all that follow the store at once, and returns which they are.
 func (s *site) haltFollowers() map[int]bool {
-	nodes := s.followersOf()
+	nodes := s.followers()
 	for i := range nodes {
 		s.nodes[i].halt()
 	}
 	return nodes
 }
 
-// followersOf returns the nodes that follow the store.
-func (s *site) followersOf() map[int]bool {
+// followers returns the nodes that follow the store.
+func (s *site) followers() map[int]bool {
 	chosen := map[int]bool{}
 	for i, n := range s.nodes {
 		n.watch.with(func(w *follow.Watch) {
@@ -80,18 +80,18 @@
 		c := qt.New(t)
 		s := bigSite(t)
 		nodes := len(s.nodes)
-		c.Check(s.store.called(readStateCall) <= nodes/2, qt.IsTrue, qt.Commentf("%d readings of the state at the start", s.store.called(readStateCall)))
-		c.Check(s.store.called(readRecordsCall) <= 3*nodes, qt.IsTrue, qt.Commentf("%d readings of parts", s.store.called(readRecordsCall)))
-		c.Check(s.store.called(writeRecordCall), qt.Equals, nodes)
-		c.Check(s.followersOf(), qt.HasLen, 3*bigZones)
-		before := s.store.called(readStateCall, followStateCall)
+		c.Check(s.store.callCount(readStateCall) <= nodes/2, qt.IsTrue, qt.Commentf("%d readings of the state at the start", s.store.callCount(readStateCall)))
+		c.Check(s.store.callCount(readRecordsCall) <= 3*nodes, qt.IsTrue, qt.Commentf("%d readings of parts", s.store.callCount(readRecordsCall)))
+		c.Check(s.store.callCount(writeRecordCall), qt.Equals, nodes)
+		c.Check(s.followers(), qt.HasLen, 3*bigZones)
+		before := s.store.callCount(readStateCall, followStateCall)
 		for v := int64(2); v < 7; v++ {
 			s.put(v)
-			took := s.inForce(v, nil)
+			took := s.awaitInForce(v, nil)
 			c.Check(took < time.Second, qt.IsTrue, qt.Commentf("%v", took))
 			time.Sleep(time.Second)
 		}
-		calls := s.store.called(readStateCall, followStateCall) - before
+		calls := s.store.callCount(readStateCall, followStateCall) - before
 		c.Check(calls <= 5*3*bigZones+nodes/4, qt.IsTrue, qt.Commentf("%d calls for five changes", calls))
 	})
 }
@@ -104,11 +104,11 @@
 		s := bigSite(t)
 		lost := s.haltFollowers()
 		s.put(2)
-		took := s.inForce(2, lost)
+		took := s.awaitInForce(2, lost)
 		c.Check(took < 2500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 		time.Sleep(5 * time.Second)
 		chosen := 0
-		for i := range s.followersOf() {
+		for i := range s.followers() {
 			if !lost[i] {
 				chosen++
 			}
@@ -124,15 +124,15 @@
 		c := qt.New(t)
 		s := bigSite(t)
 		away := map[string]bool{}
-		for i := range s.followersOf() {
+		for i := range s.followers() {
 			away[s.servers[i].ip] = true
 		}
 		s.store.mu.Lock()
-		s.store.away = away
+		s.store.rejectedVMs = away
 		s.store.mu.Unlock()
 		time.Sleep(time.Second)
 		s.put(2)
-		took := s.inForce(2, nil)
+		took := s.awaitInForce(2, nil)
 		c.Check(took < 3*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 	})
 }
@@ -143,14 +143,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := bigSite(t)
-		before := s.store.called(readStateCall, followStateCall)
+		before := s.store.callCount(readStateCall, followStateCall)
 		s.store.setDown(true)
 		time.Sleep(6 * time.Second)
-		calls := s.store.called(readStateCall, followStateCall) - before
+		calls := s.store.callCount(readStateCall, followStateCall) - before
 		c.Check(calls < 5*len(s.nodes), qt.IsTrue, qt.Commentf("%d calls in 6 s", calls))
 		s.store.setDown(false)
 		s.put(2)
-		took := s.inForce(2, nil)
+		took := s.awaitInForce(2, nil)
 		c.Check(took < 2*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 	})
 }
@@ -177,18 +177,18 @@
 		n.do(func() { n.restoreLearned("test", sampleLearned()) })
 	}
 	i := 3
-	for followers := s.followersOf(); followers[i]; {
+	for followers := s.followers(); followers[i]; {
 		i++
 	}
-	before := s.store.called(readStateCall, followStateCall, readRecordsCall)
+	before := s.store.callCount(readStateCall, followStateCall, readRecordsCall)
 	s.nodes[i].halt()
 	time.Sleep(100 * time.Millisecond)
 	s.start(i)
-	took := s.inForce(1, nil)
+	took := s.awaitInForce(1, nil)
 	c.Check(took < 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 	time.Sleep(3 * time.Second)
 	c.Check(s.nodes[i].nodes.Load(), qt.Equals, int64(len(s.nodes)))
-	calls := s.store.called(readStateCall, followStateCall, readRecordsCall) - before
+	calls := s.store.callCount(readStateCall, followStateCall, readRecordsCall) - before
 	c.Check(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
 	s.beat(i, true)
 	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("what is new is stored"))
--- a/pkg/mesh/innocent_kinds_test.go
+++ b/pkg/mesh/innocent_kinds_test.go
@@ -125,7 +125,7 @@
 // askCulprit sends the culprit's requests for a time.
 func (p *innocentPlay) askCulprit(span time.Duration, perS float64) {
 	p.work.Go(func() {
-		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(around(time.Duration(float64(time.Second) / perS))) {
+		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(randomAround(time.Duration(float64(time.Second) / perS))) {
 			p.mu.Lock()
 			p.sent = append(p.sent, time.Now())
 			p.mu.Unlock()
--- a/pkg/mesh/many_servers_test.go
+++ b/pkg/mesh/many_servers_test.go
@@ -35,7 +35,7 @@
 		for range manyPerZone {
 			_, f := s.add("a", fmt.Sprint("z", zone), manySlots)
 			f.handle = func(w http.ResponseWriter, _ *http.Request) {
-				time.Sleep(around(manyWork))
+				time.Sleep(randomAround(manyWork))
 				_, _ = io.WriteString(w, "done")
 			}
 		}
@@ -50,7 +50,7 @@
 	var failed atomic.Int64
 	ctx, cancel := context.WithTimeout(s.t.Context(), manyDuration)
 	defer cancel()
-	gap := float64(manyWork) / (manySlots * limitOfSlots * manyUse)
+	gap := float64(manyWork) / (manySlots * usableSlotFraction * manyUse)
 	var asking sync.WaitGroup
 	for i := range s.nodes {
 		asking.Go(func() {
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -19,15 +19,15 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// asking is a node of a large zone with a desired state, and the hosts that it asked for a newer one.
-type asking struct {
+// fetchingNode is a node of a large zone with a desired state, and the hosts that it asked for a newer one.
+type fetchingNode struct {
 	*Node
-	mu    sync.Mutex
-	asked []string
+	mu        sync.Mutex
+	requested []string
 }
 
-func newAsking() *asking {
-	a := &asking{Node: &Node{ip: "n", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}, Listen: settings.Listen{Peers: "n:1"}}}}
+func newFetchingNode() *fetchingNode {
+	a := &fetchingNode{Node: &Node{ip: "n", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}, Listen: settings.Listen{Peers: "n:1"}}}}
 	a.controlLog = slog.New(slog.DiscardHandler)
 	a.peers = map[string]*peer{}
 	a.control.zoneHosts = make([]string, follow.AllUpTo+1)
@@ -36,23 +36,23 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		host, _, _ := net.SplitHostPort(addr)
-		a.asked = append(a.asked, host)
+		a.requested = append(a.requested, host)
 		return nil, syscall.ECONNREFUSED
 	}
 	a.peer("near").near.Store(true)
 	return a
 }
 
-// after waits, looks at what is due as the control goroutine does, and returns the hosts that were asked meanwhile.
-func (a *asking) after(d time.Duration) []string {
+// requestedDuring waits, looks at what is due as the control goroutine does, and returns the hosts that were asked meanwhile.
+func (a *fetchingNode) requestedDuring(d time.Duration) []string {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(tickPeriod) {
 		a.fetchDueState(time.Now())
 	}
 	synctest.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	asked := a.asked
-	a.asked = nil
+	asked := a.requested
+	a.requested = nil
 	return slices.Compact(asked)
 }
 
@@ -61,15 +61,15 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newAsking()
+		a := newFetchingNode()
 		a.scheduleFetch(time.Now(), "far", 2)
-		c.Assert(a.after(crossZoneFetchDelay/2), qt.HasLen, 0)
+		c.Assert(a.requestedDuring(crossZoneFetchDelay/2), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "near", 2)
-		c.Assert(a.after(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is asked at once"))
+		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is asked at once"))
 		a.state.Store(&desired.State{Version: 2})
-		c.Assert(a.after(time.Second), qt.HasLen, 0)
+		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "far", 3)
-		c.Assert(a.after(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("nobody near has it"))
+		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("nobody near has it"))
 	})
 }
 
@@ -77,14 +77,14 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newAsking()
+		a := newFetchingNode()
 		a.scheduleFetch(time.Now(), "near", 2)
-		a.after(time.Second)
+		a.requestedDuring(time.Second)
 		c.Assert(a.control.newer.tries, qt.Equals, maxFetchTries)
-		c.Assert(a.after(time.Second), qt.HasLen, 0, qt.Commentf("it may be gone"))
+		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0, qt.Commentf("it may be gone"))
 		a.peer("other").near.Store(true)
 		a.scheduleFetch(time.Now(), "other", 2)
-		c.Assert(a.after(tickPeriod), qt.DeepEquals, []string{"other"})
+		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"other"})
 	})
 }
 
@@ -92,17 +92,17 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		a := newAsking()
+		a := newFetchingNode()
 		a.state.Store(nil)
 		a.scheduleFetch(time.Now(), "far", 2)
-		c.Assert(a.after(tickPeriod), qt.DeepEquals, []string{"far"})
+		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"far"})
 	})
 }
 
 // Between large zones the whole state goes only to a node that asks for it, or has none.
 func TestAnAnswerBetweenLargeZonesCarriesTheStateToWhoAsks(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	a.state.Store(&desired.State{Version: 5, Source: []byte("state")})
 	for _, x := range []struct {
 		to    message
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -123,7 +123,7 @@
 		cutOff(w) // a server that has ended answers nothing, not even a copy that ran there in the same instant
 		return
 	}
-	time.Sleep(around(readWork))
+	time.Sleep(randomAround(readWork))
 	fmt.Fprint(w, "ok")
 }
 
--- a/pkg/mesh/recovery_test.go
+++ b/pkg/mesh/recovery_test.go
@@ -18,10 +18,10 @@
 }
 
 // startAll starts them anew.
-func (s *site) startAll() { s.startAllBut(-1) }
+func (s *site) startAll() { s.startAllWithoutServer(-1) }
 
-// startAllBut starts them anew; the server beside one node isn't there, and sends no heartbeat.
-func (s *site) startAllBut(gone int) {
+// startAllWithoutServer starts them anew; the server beside one node isn't there, and sends no heartbeat.
+func (s *site) startAllWithoutServer(gone int) {
 	for i := range s.nodes {
 		if i == gone {
 			s.startNode(i)
@@ -31,8 +31,8 @@
 	}
 }
 
-// leastRunsKnown returns the least runs at the floor that any node believes a read to cause; in truth there are five.
-func (s *site) leastRunsKnown() float64 {
+// minKnownFloorRuns returns the least runs at the floor that any node believes a read to cause; in truth there are five.
+func (s *site) minKnownFloorRuns() float64 {
 	least := math.Inf(1)
 	for _, n := range s.nodes {
 		runs := 0.0
@@ -62,8 +62,8 @@
 	c := qt.New(t)
 	s := deepSite(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	var k callers
-	k.ask(ctx, s)
+	var k clientLoad
+	k.start(ctx, s)
 	time.Sleep(20 * time.Second)
 	s.store.setDown(silent > 0)
 	lost := time.Now()
@@ -75,15 +75,15 @@
 	back := time.Now()
 	for _, wait := range []time.Duration{time.Second, time.Second, 2 * time.Second} {
 		time.Sleep(wait)
-		known := s.leastRunsKnown()
+		known := s.minKnownFloorRuns()
 		c.Check(known > 3.5, qt.IsTrue, qt.Commentf("%v after the return a read is taken for %.1f runs of 5", time.Since(back), known))
 	}
 	cancel()
-	k.asking.Wait()
-	before := k.servedOf(lost.Add(-10*time.Second), 9*time.Second) / 3
-	after := k.servedOf(back.Add(500*time.Millisecond), 3*time.Second)
+	k.sending.Wait()
+	before := k.servedIn(lost.Add(-10*time.Second), 9*time.Second) / 3
+	after := k.servedIn(back.Add(500*time.Millisecond), 3*time.Second)
 	t.Logf("%d served in three seconds before, %d after", before, after)
-	c.Check(float64(before) > 0.8*3*floorRoom, qt.IsTrue, qt.Commentf("%d served before, room for %v", before, 3*floorRoom))
+	c.Check(float64(before) > 0.8*3*floorCapacity, qt.IsTrue, qt.Commentf("%d served before, room for %v", before, 3*floorCapacity))
 	// Counts of some 240 vary by a fifteenth of themselves: this is three times that below the usual.
 	c.Check(float64(after) > 0.75*float64(before), qt.IsTrue, qt.Commentf("%d served after, %d before", after, before))
 }
--- a/pkg/mesh/store_epoch_test.go
+++ b/pkg/mesh/store_epoch_test.go
@@ -23,16 +23,16 @@
 	s := newMemorySite(t)
 	s.first = true
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.store.copy() // before any node has written
+	s.store.backUp() // before any node has written
 	for i := range 4 {
 		s.add("a", fmt.Sprint("z", i%2), 5)
 	}
 	s.settled(1)
-	s.until("all records are stored", func() bool { return s.store.stored() == 4 })
-	s.store.comeBack()
-	c.Assert(s.store.stored(), qt.Equals, 0)
+	s.until("all records are stored", func() bool { return s.store.recordCount() == 4 })
+	s.store.restoreBackup()
+	c.Assert(s.store.recordCount(), qt.Equals, 0)
 	s.store.put(desired.State{Version: 2, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.until("all records are stored again", func() bool { return s.store.stored() == 4 })
+	s.until("all records are stored again", func() bool { return s.store.recordCount() == 4 })
 	s.settled(2)
 }
 
@@ -51,11 +51,11 @@
 	}
 	put(1)
 	s.settled(1)
-	s.store.copy()
+	s.store.backUp()
 	put(2)
 	put(3)
 	s.settled(3)
-	s.store.comeBack()
+	s.store.restoreBackup()
 	put(4) // the store's version of this row is that of the second before
 	s.settled(4)
 	c.Assert(s.nodes[0].stateVersion(), qt.Equals, int64(4))
@@ -71,10 +71,10 @@
 	c := qt.New(t)
 	const revoke = 2 * time.Second
 	s := servingTeams(t, 1, 2, revoke)
-	s.store.copy()
+	s.store.backUp()
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
 	s.settled(2)
-	s.store.comeBack()
+	s.store.restoreBackup()
 	lost := time.Now()
 	for time.Since(lost) < 3*revoke/2 {
 		for i := range s.nodes {
--- a/pkg/mesh/store_learned_test.go
+++ b/pkg/mesh/store_learned_test.go
@@ -86,9 +86,9 @@
 	s.until("it is recalled", func() bool { return n.view.Load().own.Generation >= 7 })
 	time.Sleep(50 * time.Millisecond)
 	c.Assert(n.view.Load().own, qt.Equals, known)
-	c.Assert(s.store.writes(), qt.Equals, 0)
+	c.Assert(s.store.recordWrites(), qt.Equals, 0)
 	s.beat(0, true)
-	c.Assert(s.store.writes(), qt.Equals, 1)
+	c.Assert(s.store.recordWrites(), qt.Equals, 1)
 	c.Assert(n.view.Load().own.Generation, qt.Equals, int64(8))
 }
 
--- a/pkg/mesh/suspect_news_test.go
+++ b/pkg/mesh/suspect_news_test.go
@@ -59,7 +59,7 @@
 // Between zones no exchange carries the news again.
 func TestNewsOfSuspectsCrossesZonesOnce(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	a.control.suspects.addEnd(a.clock.Now(), endOfMany(3))
 	a.control.suspects.addCase(a.clock.Now(), poison.Case{})
 	near, far := a.newMessage("a"), a.newMessage("b")
@@ -71,7 +71,7 @@
 // News of an end goes to nodes, not to seeds, which may be the same ones again: of a zone of four all are told.
 func TestNewsOfAnEndGoesToEachNodeOnce(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	a.cfg.Seeds = []string{"n1:2", "n2:2", "n3:2"}
 	for _, zone := range []string{"a", "b", "c"} {
 		for i := range 4 {
@@ -96,7 +96,7 @@
 // News of ends that names servers nobody knows takes no memory beyond the table's bounds.
 func TestNewsOfUnknownServersMakesNoPeers(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	var ends []poison.End
 	for i := range 1000 {
 		e := endOfMany(1)
@@ -113,7 +113,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := &backend{n: newAsking().Node}
+		b := &backend{n: newFetchingNode().Node}
 		told := func() *request { return &request{call: call{Stages: poison.Stages{0, 0, 2}}} }
 		done, refusal := b.tryAtServer(t.Context(), told())
 		c.Assert(refusal, qt.IsNil)
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -223,7 +223,7 @@
 	const revoke = 1500 * time.Millisecond
 	s := servingTeams(t, 2, 2, revoke)
 	for _, n := range s.nodes {
-		s.store.turnAway(n.ip, true)
+		s.store.setRejected(n.ip, true)
 	}
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
 	confirmed := time.Now()
@@ -246,7 +246,7 @@
 	}
 	c.Check(served > 0, qt.IsTrue) // as late as is safe
 	for _, n := range s.nodes {
-		s.store.turnAway(n.ip, false)
+		s.store.setRejected(n.ip, false)
 	}
 	back := time.Now()
 	s.awaitKeys("kr1")
@@ -266,7 +266,7 @@
 	const revoke = 1500 * time.Millisecond
 	s := servingTeams(t, 2, 3, revoke)
 	for _, n := range s.nodes[:3] {
-		s.store.turnAway(n.ip, true) // all of one zone
+		s.store.setRejected(n.ip, true) // all of one zone
 	}
 	for end := time.Now().Add(2 * revoke); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for i := range s.nodes {
@@ -454,7 +454,7 @@
 	n.quotas.mu.Lock()
 	n.quotas.pool.Put(clock.Boot(k), "blue", 5)
 	n.quotas.mu.Unlock()
-	s.store.turnAway(n.ip, true)
+	s.store.setRejected(n.ip, true)
 	for i := range 20 { // whoever notices the suspension first
 		k.stood.Add(int64(10 * time.Second))
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -121,7 +121,7 @@
 	}
 	cfg.Fill()
 	n, err := New(Options{
-		Settings: cfg, Names: testNames, Store: s.store.seam(f.ip), Decode: decodeTestState, Network: s.wire(),
+		Settings: cfg, Names: testNames, Store: s.store.storeFor(f.ip), Decode: decodeTestState, Network: s.wire(),
 		Control: func(*Node) http.Handler { return http.NotFoundHandler() }, Clock: s.clockOf(f.ip),
 		Logger: func(part string) *slog.Logger { return slog.New(slog.NewTextHandler(s.log, nil)).With("node", f.ip) },
 	})
--- a/pkg/mesh/wide_site_load_test.go
+++ b/pkg/mesh/wide_site_load_test.go
@@ -9,25 +9,25 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// wideTimes is how many times the servers and the load of the deep site the wide one has.
-const wideTimes = 5
+// wideFactor is how many times the servers and the load of the deep site the wide one has.
+const wideFactor = 5
 
 // overloadFromTheStart plays four times the room from the first request on, and returns the parts of the room that were served
 // in each two seconds.
 func overloadFromTheStart(t *testing.T, seconds int) []float64 {
-	s := deepSiteOf(t, wideTimes)
+	s := deepSiteOf(t, wideFactor)
 	time.Sleep(time.Second)
 	ctx, cancel := context.WithCancel(t.Context())
-	var k callers
+	var k clientLoad
 	begun := time.Now()
-	k.ask(ctx, s)
+	k.start(ctx, s)
 	time.Sleep(time.Duration(seconds) * time.Second)
 	cancel()
-	k.asking.Wait()
+	k.sending.Wait()
 	var parts []float64
 	for i := 0; i < seconds; i += 2 {
-		served := k.servedOf(begun.Add(time.Duration(i)*time.Second), 2*time.Second)
-		parts = append(parts, float64(served)/(2*wideTimes*floorRoom))
+		served := k.servedIn(begun.Add(time.Duration(i)*time.Second), 2*time.Second)
+		parts = append(parts, float64(served)/(2*wideFactor*floorCapacity))
 	}
 	t.Logf("parts of the room in each two seconds: %.2f", parts)
 	return parts
--- a/pkg/mesh/wire_layout_test.go
+++ b/pkg/mesh/wire_layout_test.go
@@ -19,8 +19,8 @@
 		names []string
 	}{
 		{message{}, []string{
-			"From", "Zone", "Version", "Digest", "Stopping", "Records", "Reports", "Zones", "State", "Unlearned", "Learned", "Sure", "Age",
-			"Ends", "Cases", "Held", "Wants", "Brief", "Era",
+			"From", "Zone", "Version", "Digest", "Stopping", "Records", "Reports", "Zones", "State", "WantsLearned", "Learned", "StateAgeKnown", "StateAge",
+			"Crashes", "Cases", "QuarantineDigest", "WantsState", "SuspectsOnly", "StoreEpoch",
 		}},
 		{loads.Report{}, []string{"Host", "Epoch", "Seq", "Service", "Room", "Entries", "Runs", "Away", "Leaving"}},
 		{poison.End{}, []string{"Lifetime", "Service", "Age", "Runs"}},
