--- a/pkg/mesh/admission_plan_test.go
+++ b/pkg/mesh/admission_plan_test.go
@@ -13,9 +13,9 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// A zone that was cut off from the only servers of a service went on to take in requests that need it: the reports
-// of their runs had lapsed, so they seemed to cost nothing there, and all of them failed half-way.
-func TestWhatNeedsAServiceOutOfReachIsRefusedAtItsEntry(t *testing.T) {
+// Guards against admitting requests that need a service out of reach: in a zone cut off from the service's only servers, the
+// reports of its runs expired, so the requests seemed to cost nothing there, and all of them failed half-way.
+func TestRequestsForAnUnreachableServiceAreRejectedAtEntry(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(100, 0)
 	n := &Node{cfg: settings.Settings{Zone: "a"}, ip: "n"}
--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -18,13 +18,13 @@
 // through the last three; both end in five calls of the last service, which is left with one server.
 const (
 	floorSlots = 10
-	// floorCapacity is how many reads or charges a second it has room for: each takes five times 30 ms.
+	// floorCapacity is how many reads or charges per second that server can process: each takes five times 30 ms.
 	floorCapacity = floorSlots * usableSlotFraction / (5 * 0.030)
-	// totalRate is how many requests a second come in all, four times as many.
+	// totalRate is the rate of all requests per second, four times the capacity.
 	totalRate = 4 * floorCapacity
 	// deepNodes is how many nodes the site has.
 	deepNodes = 8
-	// usableSlotFraction is the part of its slots that a gate uses.
+	// usableSlotFraction is the fraction of its slots that a gate uses.
 	usableSlotFraction = 0.92
 )
 
@@ -33,7 +33,7 @@
 	name, service string
 	work, limit   time.Duration
 	calls         []string
-	weight        float64 // share of all requests; 0: only servers call it
+	weight        float64 // share of all requests; 0: only backend servers call it
 }
 
 var deepRoutes = []deepRoute{
@@ -46,10 +46,10 @@
 	{"slot", "floor", 30 * time.Millisecond, 700 * time.Millisecond, nil, 0},
 }
 
-// deepSite is that site in made-up time.
+// deepSite returns the site in simulated time.
 func deepSite(t *testing.T) *site { return deepSiteOf(t, 1) }
 
-// deepSiteOf is the site with so many times the servers of each service.
+// deepSiteOf returns the site with the given multiple of the servers of each service.
 func deepSiteOf(t *testing.T, times int) *site {
 	s := newMemorySite(t)
 	s.seeds = []string{s.at(s.base+"1", 2), s.at(s.base+"4", 2), s.at(s.base+"8", 2)}
@@ -78,7 +78,7 @@
 	return s
 }
 
-// addDeep adds a node beside a server that runs the site's routes.
+// addDeep adds a node with a backend server that runs the site's routes.
 func (s *site) addDeep(service, zone string, slots int) {
 	_, f := s.add(service, zone, slots)
 	s.t.Cleanup(f.ways.CloseIdleConnections)
@@ -104,16 +104,16 @@
 	return time.Duration((0.5 + rand.Float64()) * float64(d))
 }
 
-// clientLoad are clients that send each request once.
+// clientLoad is a set of clients that send each request once.
 type clientLoad struct {
 	mu          sync.Mutex
-	served      []time.Time // when each request that was served was sent
+	served      []time.Time // send times of the served requests
 	sending     sync.WaitGroup
 	ids         atomic.Int64
-	extraTenths atomic.Int64 // by how many tenths more is asked than asked says; 0: as it says
+	extraTenths atomic.Int64 // the rate is totalRate*(1+extraTenths/10)
 }
 
-// start begins to send requests to all nodes until ctx ends.
+// start sends requests to all nodes in the background until ctx ends.
 func (k *clientLoad) start(ctx context.Context, s *site) {
 	for i := range s.nodes {
 		k.sending.Go(func() {
@@ -126,7 +126,7 @@
 	}
 }
 
-// sendOne sends one request to a node.
+// sendOne sends a request of a random kind to node i and records whether it was served.
 func (k *clientLoad) sendOne(s *site, i int) {
 	sent, x := time.Now(), rand.Float64()
 	for _, r := range deepRoutes {
@@ -143,7 +143,7 @@
 	}
 }
 
-// servedIn counts the requests that were sent from a time on, for a time, and served.
+// servedIn returns the number of served requests that were sent in the given span.
 func (k *clientLoad) servedIn(from time.Time, span time.Duration) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/mesh/exchange_period_test.go
+++ b/pkg/mesh/exchange_period_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// nodeOfZone is a node of a zone of so many nodes, to which nothing comes, and whose next exchange is far off.
+// talking returns a node of a zone with the given number of nodes, without arrivals, whose next exchange is an hour away.
 func nodeOfZone(nodes int, now time.Time) *Node {
 	n := &Node{clock: clock.Real{}}
 	n.stats.init()
@@ -18,7 +18,7 @@
 	return n
 }
 
-func TestExchangesOfACalmZoneGrowRarerWithItsNodes(t *testing.T) {
+func TestCalmExchangePeriodGrowsWithNodes(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	for nodes, period := range map[int]time.Duration{1: minExchangePeriod, 24: minExchangePeriod, 48: 2 * minExchangePeriod, 240: 10 * minExchangePeriod} {
@@ -29,8 +29,8 @@
 	}
 }
 
-// In a zone of 53 nodes news of an overload took a second longer to be planned with than in one of three.
-func TestExchangesAreSoonerWhileRequestsAreHeldDown(t *testing.T) {
+// Guards against slow reactions in large zones: with 53 nodes, the plan followed an overload a second later than with three.
+func TestExchangesAreMoreFrequentWhileAdmissionIsLimited(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := nodeOfZone(64, now)
@@ -42,11 +42,12 @@
 	c.Check(n.exchangePeriod(), qt.Equals, n.calmExchangePeriod())
 }
 
-func TestExchangesAreSoonerWhileWhatComesChanges(t *testing.T) {
+func TestExchangesAreMoreFrequentWhileArrivalsChange(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := nodeOfZone(64, now)
-	// pass lets some seconds go by with so many requests a second, and tells for how many looks exchanges were sooner.
+	// pass simulates 100 plan periods with the given requests per second, and returns in how many of them exchanges were more
+	// frequent.
 	pass := func(rate int) (sooner int) {
 		for range 100 {
 			for range rate / 5 {
@@ -62,8 +63,8 @@
 	}
 	c.Check(pass(0), qt.Equals, 0)
 	begins := pass(100)
-	c.Check(begins > 20 && begins < 60, qt.IsTrue, qt.Commentf("%d looks", begins))
-	c.Check(pass(100), qt.Equals, 0, qt.Commentf("what comes is usual by now"))
+	c.Check(begins > 20 && begins < 60, qt.IsTrue, qt.Commentf("%d plan periods", begins))
+	c.Check(pass(100), qt.Equals, 0, qt.Commentf("the rate is the usual one by now"))
 	ends := pass(20)
-	c.Check(ends > 5 && ends < 60, qt.IsTrue, qt.Commentf("%d looks", ends))
+	c.Check(ends > 5 && ends < 60, qt.IsTrue, qt.Commentf("%d plan periods", ends))
 }
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -15,8 +15,8 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// sampleMessage is what a node tells another one of its zone: eight routes begin and four run at each node, and
-// every zone has servers of all services.
+// sampleMessage returns a message between nodes of a zone: at each node eight routes begin and four run, and every zone has
+// servers of all services.
 func sampleMessage(zoneNodes, zones, services int) message {
 	m := message{From: "10.128.0.9", Zone: "accra-a", Version: 12}
 	for i := range zoneNodes {
@@ -53,7 +53,7 @@
 	return b
 }
 
-// BenchmarkExchange is the writing and reading of one message inside a zone, and its bytes.
+// BenchmarkExchange measures the encoding and decoding of one message inside a zone, and its size in bytes.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []struct{ nodes, zones, services int }{{15, 3, 4}, {83, 4, 4}, {520, 7, 18}} {
 		b.Run(fmt.Sprint(size.nodes), func(b *testing.B) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Messages to other zones once carried the report of every node, half a kilobyte each.
+// Guards against messages to other zones that contain the report of every node, half a kilobyte each.
 func TestAMessageToAnotherZoneDoesNotGrowWithNodes(t *testing.T) {
 	c := qt.New(t)
 	length := func(nodes int) int {
@@ -93,14 +93,14 @@
 	c.Assert(length(100) < length(2)+10, qt.IsTrue, qt.Commentf("%d and %d", length(2), length(100)))
 }
 
-// A node that lost what it knew, and one that knows of a server which others don't, end up with the same records.
+// A record that only one node knows, and that isn't among the recent changes, reaches all nodes through the digests.
 func TestExchangesCompleteRecords(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	s.store.setDown(true)
 	lost := directory.Record{Host: s.base + "200", Generation: 3, Instance: "i", Service: "a", Zone: "z9", Slots: 3, Phase: directory.Gone}
 	n := s.nodes[0]
-	n.do(func() { n.control.directory.Merge(lost) }) // it isn't news, so only the digests tell
+	n.do(func() { n.control.directory.Merge(lost) }) // not added to the recent changes, so only the digests differ
 	s.until("all know it", func() bool {
 		for _, n := range s.nodes {
 			if !slices.Contains(n.Dump().Records, lost) {
@@ -112,7 +112,7 @@
 	c.Assert(n.Dump().Records, qt.HasLen, 4)
 }
 
-func TestExchangesReachTheZonesThatAreMeant(t *testing.T) {
+func TestExchangeTargetsMatchTheZoneScope(t *testing.T) {
 	c := qt.New(t)
 	n := &Node{ip: "a1", cfg: settings.Settings{Zone: "a"}}
 	for _, r := range []directory.Record{{Host: "a1", Zone: "a"}, {Host: "a2", Zone: "a"}, {Host: "b1", Zone: "b"}} {
--- a/pkg/mesh/fake_store_test.go
+++ b/pkg/mesh/fake_store_test.go
@@ -15,7 +15,7 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// fakeStore is a store in memory that can be told to fail.
+// fakeStore is a store in memory that can be set to fail.
 type fakeStore struct {
 	mu          sync.Mutex
 	state       []byte
@@ -28,7 +28,7 @@
 	held        map[string]HeldBack
 	writeCount  int
 	down        bool
-	rejectedVMs map[string]bool   // VMs that are turned away
+	rejectedVMs map[string]bool   // VMs whose calls for the desired state fail
 	delay       time.Duration     // before each answer
 	calls       map[storeCall]int // by kind
 }
@@ -65,7 +65,7 @@
 	s.delay = d
 }
 
-// pause takes the time of one call.
+// pause sleeps for the configured delay of one call.
 func (s *fakeStore) pause() {
 	s.mu.Lock()
 	d := s.delay
@@ -73,7 +73,7 @@
 	time.Sleep(d)
 }
 
-// storeFor returns the calls as a VM makes them.
+// seam returns the Store that a VM uses.
 func (s *fakeStore) storeFor(vm string) Store {
 	return Store{
 		ReadState: func(ctx context.Context) ([]byte, Cursor, error) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// backUp keeps what the store has; comeBack puts it in place of what it has then.
+// copy makes a backup of the store's content; comeBack restores it and begins a new epoch.
 func (s *fakeStore) backUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	return s.epoch
 }
 
-// setRejected has the VM get no answer about the desired state, or answers again.
+// turnAway sets whether the VM's calls for the desired state fail.
 func (s *fakeStore) setRejected(vm string, away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,14 +127,14 @@
 	s.rejectedVMs[vm] = away
 }
 
-// rejects tells whether the VM gets no answer about the desired state.
+// turnsAway reports whether the VM's calls for the desired state fail.
 func (s *fakeStore) rejects(vm string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejectedVMs[vm]
 }
 
-// callCount returns how many calls of the kinds were made.
+// called returns the number of calls of the given kinds.
 func (s *fakeStore) callCount(kinds ...storeCall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,7 @@
 	}
 }
 
-// fakeParts is how many parts the records are spread over.
+// fakeParts is the number of parts over which the records are spread.
 const fakeParts = 4
 
 // partOf returns the part that a record is in.
@@ -213,14 +213,14 @@
 	return out, nil
 }
 
-// recordCount returns how many records are there.
+// stored returns the number of stored records.
 func (s *fakeStore) recordCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.records)
 }
 
-// recordWrites returns how often a record was written.
+// writes returns the number of successful record writes.
 func (s *fakeStore) recordWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -17,7 +17,7 @@
 	bigZone  = 16 // nodes of each
 )
 
-// bigSite is a site of two zones that are large enough to have followers, at its first start.
+// bigSite returns a site of two zones that are large enough to elect followers, after its first start.
 func bigSite(t *testing.T) *site {
 	s := newMemorySite(t)
 	s.first = true
@@ -36,7 +36,7 @@
 	s.store.put(desired.State{Version: version, Routes: []desired.Route{route("r", desired.Repeatable, "a")}})
 }
 
-// awaitInForce tells after how long a version is in force at all nodes but those that are left out.
+// inForce waits until a version is in force at all nodes except those in left, and returns how long that took.
 func (s *site) awaitInForce(version int64, left map[int]bool) time.Duration {
 	begun := time.Now()
 	s.until("the state is in force", func() bool {
@@ -50,7 +50,7 @@
 	return time.Since(begun)
 }
 
-// haltFollowers ends all that follow the store at once, and returns which they are.
+// haltFollowers halts all followers at once, and returns their indexes.
 func (s *site) haltFollowers() map[int]bool {
 	nodes := s.followers()
 	for i := range nodes {
@@ -59,7 +59,7 @@
 	return nodes
 }
 
-// followers returns the nodes that follow the store.
+// followersOf returns the indexes of the chosen followers.
 func (s *site) followers() map[int]bool {
 	chosen := map[int]bool{}
 	for i, n := range s.nodes {
@@ -72,9 +72,9 @@
 	return chosen
 }
 
-// Every node followed the store by itself: 32 nodes made 32 calls for each change, and at the start each read all four parts of the
-// records and the state.
-func TestAFewNodesFollowTheStoreForTheirZone(t *testing.T) {
+// Guards against every node following the store by itself: 32 nodes made 32 calls for each change, and at the start each read
+// all four parts of the records and the state.
+func TestOnlyAFewNodesPerZoneFollowTheStore(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -96,8 +96,8 @@
 	})
 }
 
-// Where all followers are lost at the moment of a change, the others find out by themselves, within the bound.
-func TestAChangeComesInForceThoughItsFollowersAreLost(t *testing.T) {
+// If all followers are lost at the moment of a change, the other nodes apply it within the bound.
+func TestAChangeIsAppliedAfterAllFollowersAreLost(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -113,12 +113,12 @@
 				chosen++
 			}
 		}
-		c.Check(chosen, qt.Equals, 3*bigZones, qt.Commentf("others take their place"))
+		c.Check(chosen, qt.Equals, 3*bigZones, qt.Commentf("other nodes replace them"))
 	})
 }
 
-// The store turns away just those that follow it for a zone that is cut off from the others, too.
-func TestAChangeComesInForceThoughTheStoreTurnsTheFollowersAway(t *testing.T) {
+// If the store fails for just the followers of all zones, the other nodes still apply a change.
+func TestAChangeIsAppliedWhileTheStoreFailsForFollowers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -137,8 +137,8 @@
 	})
 }
 
-// While the store is down for all, a call of each node every second or so finds it out no sooner than the followers do.
-func TestAStoreThatIsDownIsNotAskedByAll(t *testing.T) {
+// While the store is down for all nodes, frequent calls of each node would not detect its return sooner than the followers do.
+func TestAStoreThatIsDownGetsFewCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -155,9 +155,9 @@
 	})
 }
 
-// A node that was started anew read all records and the state, five calls, though its peers know them. Where its settings name
-// no seeds yet, as they come 0.3 s later on some sites, one part of the records tells it whom to ask.
-func TestARestartedNodeAsksItsPeersBeforeTheStore(t *testing.T) {
+// Guards against a restarted node reading all records and the state, five calls, although its peers know them. Without seeds
+// in its settings, which come 0.3 s later on some sites, one part of the records names peers to query.
+func TestARestartedNodeQueriesPeersBeforeTheStore(t *testing.T) {
 	t.Parallel()
 	for name, calls := range map[string]int{"with seeds": 0, "without": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// testRestartOfOne restarts a node that doesn't follow the store; without seeds it may make one call.
+// testRestartOfOne restarts a node that isn't a follower; it may make up to most calls, and has no seeds if most isn't 0.
 func testRestartOfOne(t *testing.T, most int) {
 	c := qt.New(t)
 	s := bigSite(t)
@@ -191,10 +191,10 @@
 	calls := s.store.callCount(readStateCall, followStateCall, readRecordsCall) - before
 	c.Check(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
 	s.beat(i, true)
-	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("what is new is stored"))
+	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("the changed record is stored"))
 }
 
-// deadReports counts, over the nodes that are left, the reports of dead ones that still count.
+// deadReports returns the number of unexpired reports of dead nodes, summed over the remaining nodes.
 func (s *site) deadReports(dead map[int]bool) int {
 	total := 0
 	for i, n := range s.nodes {
@@ -216,8 +216,8 @@
 	return total
 }
 
-// See TestAReportThatLapsedIsntTakenAgain.
-func TestDeadNodesAreForgottenInALargeZone(t *testing.T) {
+// Guards against the failure described at TestAnExpiredReportIsNotAcceptedAgain, in a large zone.
+func TestReportsOfDeadNodesExpireInALargeZone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/mesh/load_expiry_test.go
+++ b/pkg/mesh/load_expiry_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The report of a node that was dead went round between the others: one that had dropped it took it for news from one that
-// hadn't yet. What the dead node had told counted on in the plan, and it was taken for alive.
-func TestAReportThatLapsedIsntTakenAgain(t *testing.T) {
+// Guards against the report of a dead node circulating forever: a node that had expired it accepted it as new from one that
+// hadn't yet. The report still counted in the plan, and the dead node was taken for alive.
+func TestAnExpiredReportIsNotAcceptedAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := &Node{ip: "n"}
@@ -27,11 +27,11 @@
 	n.mergeReports(now, "peer", report(1, 5))
 	c.Assert(n.control.reports["dead"], qt.IsNil)
 	n.mergeReports(now, "peer", report(1, 6))
-	c.Assert(n.control.reports["dead"], qt.IsNotNil, qt.Commentf("it lives"))
+	c.Assert(n.control.reports["dead"], qt.IsNotNil, qt.Commentf("the node is alive"))
 	now = now.Add(minReportTTL + time.Second)
 	n.expireLoads(now)
 	n.mergeReports(now, "peer", report(2, 1))
-	c.Assert(n.control.reports["dead"], qt.IsNotNil, qt.Commentf("it was started anew"))
+	c.Assert(n.control.reports["dead"], qt.IsNotNil, qt.Commentf("the node was restarted"))
 	now = now.Add(2 * expiredRetention)
 	n.expireLoads(now)
 	n.expireLoads(now)
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -19,7 +19,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// fetchingNode is a node of a large zone with a desired state, and the hosts that it asked for a newer one.
+// asking is a node of a large zone with a desired state, and the hosts from which it requested a newer one.
 type fetchingNode struct {
 	*Node
 	mu        sync.Mutex
@@ -43,7 +43,7 @@
 	return a
 }
 
-// requestedDuring waits, looks at what is due as the control goroutine does, and returns the hosts that were asked meanwhile.
+// after runs fetchDueState as the control goroutine does for the given time, and returns the hosts queried meanwhile.
 func (a *fetchingNode) requestedDuring(d time.Duration) []string {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(tickPeriod) {
 		a.fetchDueState(time.Now())
@@ -56,7 +56,7 @@
 	return slices.Compact(asked)
 }
 
-// A state of a thousand routes came from other zones to each node that heard of it there first.
+// Guards against each node fetching a state of a thousand routes from another zone if it learns of the version there first.
 func TestANewerStateOfAnotherZoneIsLeftToTheFollowers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -65,15 +65,15 @@
 		a.scheduleFetch(time.Now(), "far", 2)
 		c.Assert(a.requestedDuring(crossZoneFetchDelay/2), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "near", 2)
-		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is asked at once"))
+		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is queried at once"))
 		a.state.Store(&desired.State{Version: 2})
 		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "far", 3)
-		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("nobody near has it"))
+		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("no node of the own zone has it"))
 	})
 }
 
-func TestANodeThatHasTheStateIsAskedAFewTimes(t *testing.T) {
+func TestStateRequestsToOneNodeAreBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -81,14 +81,14 @@
 		a.scheduleFetch(time.Now(), "near", 2)
 		a.requestedDuring(time.Second)
 		c.Assert(a.control.newer.tries, qt.Equals, maxFetchTries)
-		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0, qt.Commentf("it may be gone"))
+		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0, qt.Commentf("the node may no longer run"))
 		a.peer("other").near.Store(true)
 		a.scheduleFetch(time.Now(), "other", 2)
 		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"other"})
 	})
 }
 
-func TestANodeWithoutAStateAsksAnybody(t *testing.T) {
+func TestANodeWithoutAStateQueriesAnyZone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -99,8 +99,8 @@
 	})
 }
 
-// Between large zones the whole state goes only to a node that asks for it, or has none.
-func TestAnAnswerBetweenLargeZonesCarriesTheStateToWhoAsks(t *testing.T) {
+// Between large zones a response contains the state only for a node that requests it or has none.
+func TestAResponseBetweenLargeZonesContainsTheStateOnRequest(t *testing.T) {
 	c := qt.New(t)
 	a := newFetchingNode()
 	a.state.Store(&desired.State{Version: 5, Source: []byte("state")})
--- a/pkg/mesh/record_writer_test.go
+++ b/pkg/mesh/record_writer_test.go
@@ -8,9 +8,9 @@
 	"github.com/rockspoke/rockspoke/pkg/directory"
 )
 
-// What peers know of a node's own record is taken for stored after a restart; where the store lacks it the next reading of
-// all records shows that, and it is written.
-func TestWhatWasTakenForStoredAndIsntIsWritten(t *testing.T) {
+// After a restart, a local record known from peers counts as stored; if the store lacks it, the next read of all records
+// shows that, and the record is written.
+func TestARecordMissingInTheStoreIsWrittenAgain(t *testing.T) {
 	c := qt.New(t)
 	var w recordWriter
 	w.init()
--- a/pkg/mesh/replan_bench_test.go
+++ b/pkg/mesh/replan_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// BenchmarkReplan is the working out of one plan at a node of a mesh of 83 nodes in 4 zones: 0.25 ms before runs and demand
-// were remembered, 0.29 ms since; 0.39 ms if they are remembered with each plan (three runs each).
+// BenchmarkReplan measures the computation of one plan at a node of a mesh of 83 nodes in 4 zones: 0.29 ms with retained runs
+// and demand, 0.25 ms without; 0.39 ms if they are retained anew with each plan.
 func BenchmarkReplan(b *testing.B) {
 	n := &Node{ip: "10.0.0.1", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}}}
 	n.controlLog = slog.New(slog.DiscardHandler)
--- a/pkg/mesh/service_capacity_test.go
+++ b/pkg/mesh/service_capacity_test.go
@@ -14,8 +14,8 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// Servers of another zone count by its sum; those that it doesn't tell of, by their slots.
-func TestRoomOfAnotherZone(t *testing.T) {
+// Servers of another zone count by the zone's sum; those that it doesn't include, by their slots.
+func TestUsableSlotsOfAnotherZone(t *testing.T) {
 	c := qt.New(t)
 	peers := []*peer{{host: "a"}, {host: "b"}, {host: "c"}}
 	for _, p := range peers {
@@ -26,12 +26,12 @@
 	c.Assert(z.usableSlots("s", peers[:1]), qt.Equals, 9.0, qt.Commentf("one of the two has left since"))
 	c.Assert((*zoneLoad)(nil).usableSlots("s", peers), qt.Equals, 60.0)
 	peers[2].failed(time.Unix(100, 0))
-	c.Assert((*zoneLoad)(nil).usableSlots("s", peers), qt.Equals, 40.0, qt.Commentf("one can't be reached"))
+	c.Assert((*zoneLoad)(nil).usableSlots("s", peers), qt.Equals, 40.0, qt.Commentf("one peer can't be reached"))
 }
 
-// A zone that was cut off was planned with for three seconds by its last report, and later by its slots whenever it
-// was due to be tried again; meanwhile most calls found no room.
-func TestAZoneThatFallsSilentIsNotPlannedWith(t *testing.T) {
+// Guards against planning with a zone that was cut off: it counted by its last report for three seconds, and later by its
+// slots whenever its peers were due for a retry; meanwhile most calls were rejected for lack of slots.
+func TestAnUnresponsiveZoneHasNoCapacity(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(100, 0)
 	far := &peer{host: "f", zone: "b"}
@@ -42,20 +42,20 @@
 	n := &Node{cfg: settings.Settings{Zone: "a"}}
 	n.control.zones = map[string]*zoneLoad{}
 	n.view.Store(&view{services: map[string][]*peer{"s": {far}}})
-	c.Assert(n.capacity()["s"], qt.Equals, 20.0, qt.Commentf("it wasn't heard yet"))
+	c.Assert(n.capacity()["s"], qt.Equals, 20.0, qt.Commentf("the zone hasn't reported yet"))
 	n.mergeZoneLoads(now, "f", told(18))
 	n.expireLoads(now.Add(time.Second))
 	c.Assert(n.capacity()["s"], qt.Equals, 18.0)
 	n.expireLoads(now.Add(minZoneLoadTTL + time.Millisecond))
 	c.Assert(n.capacity()["s"], qt.Equals, 0.0)
-	c.Assert(n.currentReports(), qt.HasLen, 0, qt.Commentf("nor is its demand"))
+	c.Assert(n.currentReports(), qt.HasLen, 0, qt.Commentf("its demand doesn't count either"))
 	n.mergeZoneLoads(now.Add(5*time.Second), "f", told(17))
 	c.Assert(n.capacity()["s"], qt.Equals, 17.0)
 }
 
-// A service whose only server stands in this zone, can't be reached and doesn't report seemed not to be known, and
-// what needs it was let in.
-func TestAServiceOutOfReachInThisZoneHasNoRoom(t *testing.T) {
+// Guards against admitting requests for a service whose only server is in this zone, can't be reached and doesn't report: the
+// service counted as unknown, and unknown services don't limit admission.
+func TestAnUnreachableServiceInThisZoneHasNoCapacity(t *testing.T) {
 	c := qt.New(t)
 	p := &peer{host: "n", zone: "a"}
 	p.slots.Store(20)
@@ -66,9 +66,10 @@
 	c.Assert(n.capacity(), qt.DeepEquals, map[string]float64{"s": 0})
 }
 
-// A server ended for good beside its idle node: the plan went on with all of its slots, while the last one of its service turned two calls in five away. Of a
-// day with one of three servers left at its bottom service 0.45 of the requests failed half-way, 0.24 since such a server has no room (one play each).
-func TestAServerThatHasEndedHasNoRoom(t *testing.T) {
+// Guards against planning with the slots of a server that ended while its node was idle. The plan still counted them, and the
+// last server of the service rejected two calls in five. In a day with one of three servers left at the bottom service, 0.45
+// of the requests failed half-way, 0.24 since such a server has no usable slots.
+func TestAServerThatIsNotListeningHasNoCapacity(t *testing.T) {
 	t.Parallel()
 	for name, busy := range map[string]bool{"with runs": true, "idle": false} {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +97,7 @@
 				for _, f := range s.servers[:2] {
 					f.srv.Close()
 				}
-				for i := range 8 { // they find that nobody is there
+				for i := range 8 { // they find that the servers aren't listening
 					go s.ask(i%4, http.MethodGet, "/read/y", fmt.Sprint("r", i), 3*time.Second)
 				}
 				time.Sleep(4 * time.Second)
--- a/pkg/mesh/store_availability_test.go
+++ b/pkg/mesh/store_availability_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node that started while the store was silent had its records 0.9 s before its desired state, which it was still
-// waiting for on a call that hung.
-func TestACallThatHangsIsMadeAgainOnceTheStoreAnswers(t *testing.T) {
+// Guards against a slow start after a store outage: a node had the records 0.9 s before its desired state, since the call for
+// the state still hung.
+func TestAHangingCallIsRetriedOnceTheStoreAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -34,8 +34,8 @@
 	})
 }
 
-// Calls that the store answers don't disturb each other.
-func TestACallIsLeftAloneWhileTheStoreIsWell(t *testing.T) {
+// While the store is available, an answered call doesn't cancel the others.
+func TestACallIsNotCanceledWhileTheStoreIsAvailable(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/mesh/store_epoch_test.go
+++ b/pkg/mesh/store_epoch_test.go
@@ -12,18 +12,18 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// What the system wrote since the copy is written again by itself.
-func TestRecordsAreWrittenAgainAfterTheStoreCameBack(t *testing.T) {
+// What nodes wrote since the backup is written again without the operator.
+func TestRecordsAreWrittenAgainAfterAStoreRestore(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testRecordsAreWrittenAgainAfterTheStoreCameBack)
+	synctest.Test(t, testRecordsAreWrittenAgainAfterAStoreRestore)
 }
 
-func testRecordsAreWrittenAgainAfterTheStoreCameBack(t *testing.T) {
+func testRecordsAreWrittenAgainAfterAStoreRestore(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
 	s.first = true
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.store.backUp() // before any node has written
+	s.store.backUp() // before any node has written its record
 	for i := range 4 {
 		s.add("a", fmt.Sprint("z", i%2), 5)
 	}
@@ -36,13 +36,13 @@
 	s.settled(2)
 }
 
-// A change that is written under a version that was given out before the store came back is found all the same.
-func TestAChangeUnderAVersionThatWasGivenOutBefore(t *testing.T) {
+// A change is applied even if its store version was already assigned before the store was restored.
+func TestAChangeUnderAReassignedVersionIsApplied(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testAChangeUnderAVersionThatWasGivenOutBefore)
+	synctest.Test(t, testAChangeUnderAReassignedVersionIsApplied)
 }
 
-func testAChangeUnderAVersionThatWasGivenOutBefore(t *testing.T) {
+func testAChangeUnderAReassignedVersionIsApplied(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
 	s.add("a", "z", 5)
@@ -56,12 +56,12 @@
 	put(3)
 	s.settled(3)
 	s.store.restoreBackup()
-	put(4) // the store's version of this row is that of the second before
+	put(4) // the store assigns this row the version that it assigned to the second one before
 	s.settled(4)
 	c.Assert(s.nodes[0].stateVersion(), qt.Equals, int64(4))
 }
 
-// A store that came back without the state that took a key away doesn't let the key pass again.
+// A store restored without the state that revoked a key must not let the key pass again.
 func TestAnOldStateOfTheStoreProvesNothing(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testAnOldStateOfTheStoreProvesNothing)
@@ -84,17 +84,17 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	status, _ := s.send(0, "/read/x", "unproven", withKey("kr1"))
-	c.Check(status, qt.Equals, http.StatusServiceUnavailable) // it can't be known whether there is a newer one
+	c.Check(status, qt.Equals, http.StatusServiceUnavailable) // it isn't known whether there is a newer state
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
 	s.awaitKeys("kr1")
 }
 
-// Once a new era is known nothing that was sent before it has settled proves anything, whoever looks when.
-func TestAnEraAndItsSettlingAreKnownAtOnce(t *testing.T) {
+// Once a new epoch is known, no answer to a call sent before it has settled proves freshness, at whatever moment it is evaluated.
+func TestAStoreEpochAndItsSettlingAreSetTogether(t *testing.T) {
 	c := qt.New(t)
 	var e storeEpoch
 	at := func(s int) time.Time { return time.Time{}.Add(time.Duration(s) * time.Second) }
-	c.Check(e.advance(1, at(2)), qt.Equals, int64(0)) // the first that was told isn't a return
+	c.Check(e.advance(1, at(2)), qt.Equals, int64(0)) // the first known epoch isn't a restore
 	c.Check(e.proves(at(0)), qt.IsTrue)
 	c.Check(e.advance(2, at(12)), qt.Equals, int64(1))
 	c.Check(e.advance(2, at(15)), qt.Equals, int64(0))
--- a/pkg/mesh/store_learned_test.go
+++ b/pkg/mesh/store_learned_test.go
@@ -15,7 +15,7 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// sampleLearned is what is known of one route.
+// sampleLearned returns the learned values of one route.
 func sampleLearned() []loads.Learned {
 	return []loads.Learned{{
 		Service: "a", Calls: map[string]callgraph.Rates{"r": {"x": 5}},
@@ -23,8 +23,8 @@
 	}}
 }
 
-// After a loss of all processes nodes learned the calls anew, in the middle of the overload, and let in too much.
-func TestANodeRecallsWhatWasLearnedBeforeItsStart(t *testing.T) {
+// Guards against over-admission after a loss of all processes: the nodes had to learn the calls again during the overload.
+func TestANodeRestoresLearnedCallsAtStart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.store.learned["a"] = loads.Learned{Service: "a", Calls: map[string]callgraph.Rates{"r": {"called": 4}}}
@@ -39,7 +39,7 @@
 	c.Assert(n.isServiceWriter(), qt.IsTrue)
 }
 
-func TestOneNodeOfAServiceKeepsWhatWasLearned(t *testing.T) {
+func TestOneNodePerServiceStoresLearnedCalls(t *testing.T) {
 	c := qt.New(t)
 	s := three(t)
 	keepers := 0
@@ -69,20 +69,20 @@
 	c.Assert(learnedDiffers(calls(4), calls(2)), qt.IsTrue)
 	c.Assert(learnedDiffers(calls(0.1), none), qt.IsFalse)
 	c.Assert(learnedDiffers(none, calls(4)), qt.IsFalse)
-	c.Assert(learnedDiffers(loads.Learned{Calls: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that isn't made any more"))
+	c.Assert(learnedDiffers(loads.Learned{Calls: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that is no longer made"))
 	c.Assert(learnedDiffers(holds(0.03), holds(0.05)), qt.IsFalse)
 	c.Assert(learnedDiffers(holds(0.03), holds(0.1)), qt.IsTrue)
-	c.Assert(learnedDiffers(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a time that isn't stored yet"))
+	c.Assert(learnedDiffers(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a hold time that isn't stored yet"))
 	c.Assert(learnedDiffers(called, calls(4)), qt.IsTrue, qt.Commentf("a route that only servers call"))
 }
 
-// Every restart wrote the record twice and read all others three times, though nothing had changed.
+// Guards against useless store calls: every restart wrote the record twice and read all others three times without a change.
 func TestARestartedNodeWritesNothingNew(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	known := directory.Record{Host: s.base + "1", Generation: 7, Instance: "i-" + s.base + "1", Service: "a", Zone: "z", Slots: 10, Phase: directory.Serving}
 	s.store.records[known.Host] = known
-	n, _ := s.add("a", "z", 10) // its heartbeat comes before the store's answer
+	n, _ := s.add("a", "z", 10) // its heartbeat arrives before the store's answer
 	s.until("it is recalled", func() bool { return n.view.Load().own.Generation >= 7 })
 	time.Sleep(50 * time.Millisecond)
 	c.Assert(n.view.Load().own, qt.Equals, known)
@@ -92,9 +92,9 @@
 	c.Assert(n.view.Load().own.Generation, qt.Equals, int64(8))
 }
 
-// The node of a service's only server was restarted while the store was silent: nobody could tell it which calls its runs
-// make, so they seemed to make none, and the plan of all nodes let in too much.
-func TestANodeLearnsFromItsPeersWhileTheStoreIsDown(t *testing.T) {
+// Guards against over-admission after the restart of the node of a service's only server during a store outage: nothing told
+// it which calls its runs make, so they seemed to make none, and all nodes admitted too much.
+func TestANodeRestoresLearnedCallsFromPeersWhileTheStoreIsDown(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.seeds = []string{s.at(s.base+"1", 0)}
@@ -123,8 +123,8 @@
 	c.Assert(low.stats.callsPerRun("called")["x"], qt.Equals, 5.0)
 }
 
-// Requests that came between the first desired state and what was learned were taken in whatever they cost.
-func TestRequestsWaitForWhatWasLearned(t *testing.T) {
+// Guards against admitting requests regardless of their cost between the first desired state and the learned costs.
+func TestRequestsWaitForLearnedCosts(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -141,14 +141,14 @@
 		begun = time.Now()
 		n.knowledge.firstStateAt.Store(&begun)
 		n.awaitLearned(t.Context())
-		c.Assert(time.Since(begun) < learnedWait+2*startPoll, qt.IsTrue, qt.Commentf("nobody has it: %v", time.Since(begun)))
+		c.Assert(time.Since(begun) < learnedWait+2*startPoll, qt.IsTrue, qt.Commentf("nothing arrives: %v", time.Since(begun)))
 		c.Assert(n.knowledge.complete.Load(), qt.IsTrue)
 	})
 }
 
-// Nodes that passed on what they had of each other took a guess of one for the knowledge of all, again with each message:
-// for 15 s eight calls were believed of a route that makes none, and served were 15 % of the requests where there was room for 27 %.
-func TestWhatPeersKnowIsTakenOnce(t *testing.T) {
+// Guards against nodes restoring each other's values with every message, which spread the wrong estimate of one node to all:
+// for 15 s eight calls were assumed for a route that makes none, and 15 % of the requests were served with capacity for 27 %.
+func TestLearnedCallsOfPeersAreRestoredOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
@@ -170,9 +170,9 @@
 	c.Assert(<-taken, qt.Equals, 1.0)
 }
 
-// After the loss of all processes backend servers went on with runs that their nodes knew nothing of: the calls of these came
-// alone, as clients' requests do, and were judged so, to and fro for 1.2 s.
-func TestWhatWasJudgedBeforeHoldsAfterAStart(t *testing.T) {
+// Guards against classifying internal routes wrongly after a loss of all processes. Backend servers continued runs unknown to
+// their restarted nodes, so their calls looked like clients' requests, and the classification alternated for 1.2 s.
+func TestRouteClassificationHoldsAfterARestart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
@@ -191,7 +191,7 @@
 	c.Assert(<-judged, qt.Equals, [2]bool{true, false})
 }
 
-// A node that was halted while it put together what to store waited for its control goroutine, which had ended.
+// Guards against a halted node that hangs while it collects what to store, waiting for its ended control goroutine.
 func TestAHaltedNodeStoresNothing(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/traffic_at_gate_test.go
+++ b/pkg/mesh/traffic_at_gate_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// After a route's limit was lowered all its calls looked seconds older than they were, and went before those of other routes
-// for the rest of the process's life.
+// Guards against overestimated ages: after a route's timeout was lowered, all its calls looked seconds older than they were,
+// and went before those of other routes until the process ended.
 func TestCallsDontLookOldAfterTheirLimitWasLowered(t *testing.T) {
 	c := qt.New(t)
 	var s trafficStats
--- a/pkg/mesh/traffic_entries_test.go
+++ b/pkg/mesh/traffic_entries_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-func TestAdmissionTellsThoseWhoComeBackFromFirstAttempts(t *testing.T) {
+func TestAdmissionDistinguishesRetriesFromFirstAttempts(t *testing.T) {
 	c := qt.New(t)
 	var s trafficStats
 	s.init()
--- a/pkg/mesh/traffic_runs_test.go
+++ b/pkg/mesh/traffic_runs_test.go
@@ -9,8 +9,8 @@
 	"github.com/rockspoke/rockspoke/pkg/gate"
 )
 
-// Runs that fail end before they have made their calls. Learning from them made an overloaded service look
-// cheaper to call, so more was admitted, and the overload stayed for as long as it was watched.
+// Guards against learning from failed runs, which end before they have made all their calls. That made an overloaded service
+// look cheaper to call, so more was admitted, and the overload persisted.
 func TestFailingRunsArentLearnedFrom(t *testing.T) {
 	c := qt.New(t)
 	var s trafficStats
--- a/pkg/mesh/wire_layout_test.go
+++ b/pkg/mesh/wire_layout_test.go
@@ -10,9 +10,9 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// Fields go by their place on the wire. While one release replaces another, nodes of both talk to each other: a field in the midst of the others
-// would have what comes behind it read as something else.
-func TestFieldsKeepTheirPlaceOnTheWire(t *testing.T) {
+// Messages are encoded as arrays, and nodes of two releases exchange them while one replaces the other: a field inserted
+// between others would shift all later ones.
+func TestFieldsKeepTheirPositionOnTheWire(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
 		of    any
