--- a/pkg/mesh/service_capacity_test.go
+++ b/pkg/mesh/service_capacity_test.go
@@ -36,20 +36,20 @@
 	now := time.Unix(100, 0)
 	far := &peer{host: "f", zone: "b"}
 	far.slots.Store(20)
-	told := func(room float64) []packedZone {
-		return []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: loads.Report{Service: "s", Room: room}}})}}
+	sumWith := func(usable float64) []packedZone {
+		return []packedZone{{Zone: "b", Body: mustPack([]loads.ServiceSum{{Nodes: 1, Load: loads.Report{Service: "s", Room: usable}}})}}
 	}
 	n := &Node{cfg: settings.Settings{Zone: "a"}}
 	n.control.zones = map[string]*zoneLoad{}
 	n.view.Store(&view{services: map[string][]*peer{"s": {far}}})
 	c.Assert(n.capacity()["s"], qt.Equals, 20.0, qt.Commentf("the zone hasn't reported yet"))
-	n.mergeZoneLoads(now, "f", told(18))
+	n.mergeZoneLoads(now, "f", sumWith(18))
 	n.expireLoads(now.Add(time.Second))
 	c.Assert(n.capacity()["s"], qt.Equals, 18.0)
 	n.expireLoads(now.Add(minZoneLoadTTL + time.Millisecond))
 	c.Assert(n.capacity()["s"], qt.Equals, 0.0)
 	c.Assert(n.currentReports(), qt.HasLen, 0, qt.Commentf("its demand doesn't count either"))
-	n.mergeZoneLoads(now.Add(5*time.Second), "f", told(17))
+	n.mergeZoneLoads(now.Add(5*time.Second), "f", sumWith(17))
 	c.Assert(n.capacity()["s"], qt.Equals, 17.0)
 }
 
--- a/pkg/mesh/store_learned_test.go
+++ b/pkg/mesh/store_learned_test.go
@@ -92,8 +92,8 @@
 	c.Assert(n.view.Load().own.Generation, qt.Equals, int64(8))
 }
 
-// Guards against over-admission after the restart of the node of a service's only server during a store outage: nothing told
-// it which calls its runs make, so they seemed to make none, and all nodes admitted too much.
+// Guards against over-admission after the restart of the node of a service's only server during a store outage: it had
+// no source for the calls that its runs make, so they seemed to make none, and all nodes admitted too much.
 func TestANodeRestoresLearnedCallsFromPeersWhileTheStoreIsDown(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
@@ -152,7 +152,7 @@
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
-	told := func(calls float64) []loads.Learned {
+	learnedWith := func(calls float64) []loads.Learned {
 		return []loads.Learned{{
 			Service: "a", Calls: map[string]callgraph.Rates{"r": {"x": calls}},
 			Times: map[string]loads.RunTimes{"r": {Rate: 1, Hold: 1}},
@@ -160,8 +160,8 @@
 	}
 	taken := make(chan float64)
 	n.do(func() {
-		n.restoreFromPeer("peer", told(1))
-		n.restoreFromPeer("peer", told(8))
+		n.restoreFromPeer("peer", learnedWith(1))
+		n.restoreFromPeer("peer", learnedWith(8))
 		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
