--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -26,15 +26,15 @@
 	State   []byte             `codec:"s,omitempty"` // desired state, for a peer that has an older one
 	// WantsLearned requests what was learned before the sender's start; Learned is the response for all services.
 	WantsLearned bool            `codec:"u,omitempty"`
-	Learned      []loads.Learned `codec:"k,omitempty"`
+	Learned   []loads.Learned `codec:"k,omitempty"`
 	// StateAge is how long ago the desired state was last known to be the newest, if StateAgeKnown.
 	StateAgeKnown bool          `codec:"c,omitempty"`
-	StateAge      time.Duration `codec:"a,omitempty"`
+	StateAge  time.Duration `codec:"a,omitempty"`
 	// Crashes and Cases are recent updates on possible poison requests. QuarantineDigest covers those that the sender has
 	// quarantined; a peer with another digest responds with its own.
-	Crashes          []poison.End  `codec:"e,omitempty"`
-	Cases            []poison.Case `codec:"p,omitempty"`
-	QuarantineDigest uint64        `codec:"h,omitempty"`
+	Crashes  []poison.Crash `codec:"e,omitempty"`
+	Cases []poison.Case  `codec:"p,omitempty"`
+	QuarantineDigest  uint64         `codec:"h,omitempty"`
 	// WantsState requests the desired state.
 	WantsState bool `codec:"w,omitempty"`
 	// SuspectsOnly marks a message that contains only updates on poison requests; its response is as short.
@@ -86,7 +86,7 @@
 		Digest: n.control.directory.Digest(), Records: n.control.news.current(now),
 		WantsLearned: n.wantsLearned(now), QuarantineDigest: n.heldDigest(now), StoreEpoch: n.era.current(),
 	}
-	n.watch.with(func(w *follow.Watch) { m.StateAge, m.StateAgeKnown = w.Age(now) })
+	n.watch.with(func(w *follow.Tracker) { m.StateAge, m.StateAgeKnown = w.StateAge(now) })
 	if zone == n.cfg.Zone {
 		// The node that saw a crash reports it to other zones once. With crashes in each exchange between zones, 57 of 95
 		// servers that crashed together, four times in half a minute, caused 0.374 GB between zones at 194 nodes, 0.148 without.
@@ -115,7 +115,7 @@
 		m.Learned = n.allLearned()
 	}
 	if to.QuarantineDigest != m.QuarantineDigest {
-		m.Cases = append(m.Cases, n.poison.Held(n.clock.Now())...)
+		m.Cases = append(m.Cases, n.poison.QuarantinedCases(n.clock.Now())...)
 	}
 	return m
 }
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -15,15 +15,15 @@
 // stateWatch is a follow.Watch that all goroutines of a node use.
 type stateWatch struct {
 	mu sync.Mutex
-	follow.Watch
+	follow.Tracker
 	peersQueried chan struct{} // closed once peers were queried after a restart
 }
 
 // with calls f with the watch, under its lock.
-func (w *stateWatch) with(f func(w *follow.Watch)) {
+func (w *stateWatch) with(f func(w *follow.Tracker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f(&w.Watch)
+	f(&w.Tracker)
 }
 
 // The times of following the store.
@@ -36,7 +36,7 @@
 	// fallbackRetryFirst and fallbackRetryMax bound the wait between calls of a node that isn't one of its zone's followers,
 	// and reads only because no peer confirms the state: where the store is down for all, the followers detect its return.
 	fallbackRetryFirst = 600 * time.Millisecond
-	fallbackRetryMax   = 3 * time.Second
+	fallbackRetryMax  = 3 * time.Second
 )
 
 // followState follows the desired state in the store while this node has to, until ctx ends.
@@ -83,17 +83,17 @@
 			return false
 		}
 	}
-	n.watch.with(func(w *follow.Watch) { w.Begin(n.clock.Now(), patience) })
+	n.watch.with(func(w *follow.Tracker) { w.Start(n.clock.Now(), patience) })
 	return true
 }
 
 // followRole reports whether the node has to follow the store now, and whether it is one of its zone's chosen followers.
 func (n *Node) followRole() (follows, chosen bool) {
-	n.watch.with(func(w *follow.Watch) {
+	n.watch.with(func(w *follow.Tracker) {
 		now := n.clock.Now()
-		follows, chosen = w.Follows(now), w.Chosen()
+		follows, chosen = w.ShouldContactStore(now), w.IsFollower()
 		if !follows {
-			w.Left(now)
+			w.WatchStopped(now)
 		}
 	})
 	return follows, chosen
@@ -101,7 +101,7 @@
 
 // stateIsFresh reports whether the desired state in force is known to have been the newest recently.
 func (n *Node) stateIsFresh() (sure bool) {
-	n.watch.with(func(w *follow.Watch) { sure = w.Sure(n.clock.Now()) })
+	n.watch.with(func(w *follow.Tracker) { sure = w.IsCurrent(n.clock.Now()) })
 	return sure
 }
 
@@ -115,7 +115,7 @@
 
 // noteFollowFailure records and logs that a call to follow the store failed.
 func (n *Node) noteFollowFailure(err error) {
-	n.watch.with(func(w *follow.Watch) { w.Lost(n.clock.Now()) })
+	n.watch.with(func(w *follow.Tracker) { w.WatchLost(n.clock.Now()) })
 	n.controlLog.Warn("failed to follow desired state", "err", err)
 }
 
@@ -138,7 +138,7 @@
 		return next, err
 	}
 	version := n.applyStored(data)
-	n.watch.with(func(w *follow.Watch) { w.Fed(n.clock.Now()) })
+	n.watch.with(func(w *follow.Tracker) { w.WatchStarted(n.clock.Now()) })
 	if kind == readStateCall {
 		n.proven(sent, own, version)
 	}
@@ -183,7 +183,7 @@
 		if !n.state.CompareAndSwap(old, s) {
 			continue
 		}
-		n.proofs.with(func(k *freshness.Keeper) { k.Raised(s.Version) })
+		n.proofs.with(func(k *freshness.ProofTracker) { k.VersionApplied(s.Version) })
 		if old == nil {
 			now := n.clock.Now()
 			n.knowledge.firstStateAt.Store(&now)
@@ -209,10 +209,10 @@
 			alive = append(alive, host)
 		}
 	}
-	n.watch.with(func(w *follow.Watch) {
-		w.Look(now)
-		if w.Elect(n.ip, alive) {
-			n.controlLog.Info("follower of the desired state", "chosen", w.Chosen(), "alive", len(alive))
+	n.watch.with(func(w *follow.Tracker) {
+		w.NoteRunning(now)
+		if w.UpdateRole(n.ip, alive) {
+			n.controlLog.Info("follower of the desired state", "chosen", w.IsFollower(), "alive", len(alive))
 		}
 	})
 }
