--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -21,8 +21,8 @@
 	// them per zone and period: traffic between zones is paid for, and updates spread within a zone by themselves. With
 	// fewer, sums of other zones were often older than minZoneLoadTTL: in a minute with one zone cut off, 14 nodes earned
 	// 0.707 and 0.675 of the value of all answers with one peer of the own zone and a share of a quarter, 0.748 with two.
-	crossZoneShare = 0.35
-	crossZoneExchanges     = 4.0
+	crossZoneShare     = 0.35
+	crossZoneExchanges = 4.0
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = 800 * time.Millisecond
 	// maxMessageBytes bounds a message; a desired state of thousands of routes fits.
--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -26,15 +26,15 @@
 	State   []byte             `codec:"s,omitempty"` // desired state, for a peer that has an older one
 	// WantsLearned requests what was learned before the sender's start; Learned is the response for all services.
 	WantsLearned bool            `codec:"u,omitempty"`
-	Learned   []loads.Learned `codec:"k,omitempty"`
+	Learned      []loads.Learned `codec:"k,omitempty"`
 	// StateAge is how long ago the desired state was last known to be the newest, if StateAgeKnown.
 	StateAgeKnown bool          `codec:"c,omitempty"`
-	StateAge  time.Duration `codec:"a,omitempty"`
+	StateAge      time.Duration `codec:"a,omitempty"`
 	// Crashes and Cases are recent updates on possible poison requests. QuarantineDigest covers those that the sender has
 	// quarantined; a peer with another digest responds with its own.
-	Crashes  []poison.Crash `codec:"e,omitempty"`
-	Cases []poison.Case  `codec:"p,omitempty"`
-	QuarantineDigest  uint64         `codec:"h,omitempty"`
+	Crashes          []poison.Crash `codec:"e,omitempty"`
+	Cases            []poison.Case  `codec:"p,omitempty"`
+	QuarantineDigest uint64         `codec:"h,omitempty"`
 	// WantsState requests the desired state.
 	WantsState bool `codec:"w,omitempty"`
 	// SuspectsOnly marks a message that contains only updates on poison requests; its response is as short.
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -36,7 +36,7 @@
 	// fallbackRetryFirst and fallbackRetryMax bound the wait between calls of a node that isn't one of its zone's followers,
 	// and reads only because no peer confirms the state: where the store is down for all, the followers detect its return.
 	fallbackRetryFirst = 600 * time.Millisecond
-	fallbackRetryMax  = 3 * time.Second
+	fallbackRetryMax   = 3 * time.Second
 )
 
 // followState follows the desired state in the store while this node has to, until ctx ends.
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -15,16 +15,16 @@
 	// fetchRetryDelay is the time until a state is requested again, and maxFetchTries is how often one node is queried; then
 	// the next node that announces the version is queried.
 	fetchRetryDelay = 150 * time.Millisecond
-	maxFetchTries = 3
+	maxFetchTries   = 3
 )
 
 // newerState is a desired state that others have and this node doesn't; only the control goroutine uses it.
 type newerState struct {
-	version int64
-	host    string    // that announced it
-	otherZone     bool      // in another zone
-	due     time.Time // when to request it
-	tries   int
+	version   int64
+	host      string    // that announced it
+	otherZone bool      // in another zone
+	due       time.Time // when to request it
+	tries     int
 }
 
 // noteVersion has the control goroutine fetch a peer's desired state if its version is newer.
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -22,7 +22,7 @@
 // asking is a node of a large zone with a desired state, and the hosts from which it requested a newer one.
 type fetchingNode struct {
 	*Node
-	mu    sync.Mutex
+	mu        sync.Mutex
 	requested []string
 }
 
