--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -8,33 +8,33 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// The constants of the line about the plan.
+// The constants of the log line about the plan.
 const (
-	// planLogPeriod is the time between lines about a plan that holds something down, or lacks costs.
+	// planLogPeriod is the time between log lines about a plan that limits some kind or lacks the cost of one.
 	planLogPeriod = time.Second
-	// missedRate is the rate a second from which a kind without a known cost is written down: a few requests on a
-	// route that nobody else asks for are no loss to the plan.
-	missedRate = 5.0
+	// minUncostedRate is the rate in requests per second from which a kind without a known cost is logged: a few requests
+	// on a rarely used route don't distort the plan.
+	minUncostedRate = 5.0
 )
 
-// holdsDown tells whether the plan lets in only a part of some kind.
-func holdsDown(roots []overload.KindDemand, plan *admissionPlan) bool {
+// limitsAnyKind reports whether the plan admits less than all first attempts of some kind.
+func limitsAnyKind(roots []overload.KindDemand, plan *admissionPlan) bool {
 	return slices.ContainsFunc(roots, func(r overload.KindDemand) bool { return plan.shares[r.Kind].Fresh < 1 })
 }
 
-// logPlan writes down what decided the shares, for a plan that holds some kind down or lacks the cost of one.
+// logPlan logs the inputs and shares of a plan that limits some kind or lacks the cost of one, once per planLogPeriod.
 func (n *Node) logPlan(now time.Time, plan *admissionPlan, roots []overload.KindDemand, capacity map[string]float64, missing []string) {
 	if now.Before(n.control.logged.nextPlanLog) {
 		return
 	}
 	n.control.logged.nextPlanLog = now.Add(planLogPeriod)
-	demand, costs := demandOf(roots)
-	n.controlLog.Info("admission", "shares", shownShares(plan.shares), "demand", demand, "costs", costs, "capacity", capacity,
-		"without_cost", missing, "reports", len(n.control.reports), "zones", len(n.otherZones(now)))
+	demand, costs := demandAndCosts(roots)
+	n.controlLog.Info("admission", "shares", sharesByDisplayName(plan.shares), "demand", demand, "costs", costs, "capacity", capacity,
+		"without_cost", missing, "reports", len(n.control.reports), "zones", len(n.packedOtherZones(now)))
 }
 
-// shownShares returns the shares by names for people.
-func shownShares(shares map[string]overload.Share) map[string]overload.Share {
+// sharesByDisplayName returns the shares keyed by the display names of their kinds.
+func sharesByDisplayName(shares map[string]overload.Share) map[string]overload.Share {
 	shown := make(map[string]overload.Share, len(shares))
 	for kind, s := range shares {
 		shown[loads.KindLabel(kind)] = s
@@ -42,11 +42,11 @@
 	return shown
 }
 
-// withoutCost returns the kinds that are asked for and take nothing by what is known.
-func withoutCost(roots []overload.KindDemand) []string {
+// kindsWithoutCost returns the sorted display names of the kinds that are requested and have no known cost.
+func kindsWithoutCost(roots []overload.KindDemand) []string {
 	var routes []string
 	for _, r := range roots {
-		if len(r.SlotSeconds) == 0 && r.Fresh+r.Returning >= missedRate {
+		if len(r.SlotSeconds) == 0 && r.Fresh+r.Returning >= minUncostedRate {
 			routes = append(routes, loads.KindLabel(r.Kind))
 		}
 	}
@@ -54,8 +54,8 @@
 	return routes
 }
 
-// showShares sets the metric of each kind that is held down, or ever was.
-func (n *Node) showShares(plan *admissionPlan) {
+// setShareMetrics sets the share metric of each kind that is limited now or has been since the start.
+func (n *Node) setShareMetrics(plan *admissionPlan) {
 	for route, s := range plan.shares {
 		if s.Fresh < 1 || n.control.logged.shares[route] {
 			n.control.logged.shares[route] = true
@@ -64,9 +64,9 @@
 	}
 }
 
-// demandOf returns the slots that first attempts would take of each service, and the slot seconds of one request
-// of each kind.
-func demandOf(roots []overload.KindDemand) (demand map[string]float64, costs map[string]map[string]float64) {
+// demandAndCosts returns the slots of each service that all first attempts would occupy, and the slot seconds that one
+// request of each kind takes at each service.
+func demandAndCosts(roots []overload.KindDemand) (demand map[string]float64, costs map[string]map[string]float64) {
 	demand, costs = map[string]float64{}, map[string]map[string]float64{}
 	for _, r := range roots {
 		costs[loads.KindLabel(r.Kind)] = r.SlotSeconds
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -10,26 +10,26 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// admissionPlan is what requests see of what was learned; it is never changed once published.
+// admissionPlan holds the admission shares and the learned costs that requests read. It is immutable once published.
 type admissionPlan struct {
-	shares map[string]overload.Share     // by kind of root request (loads.Kind)
-	inner  map[string]bool               // routes that only backend servers call
-	runs   map[string]map[string]float64 // runs by service of one request of a route, its calls included
-	holds  map[string]time.Duration      // how long one run of a route holds a slot, at any server
-	// binding holds the services that what is admitted fills.
-	binding map[string]bool
+	shares         map[string]overload.Share     // admitted share by kind of root request (loads.Kind)
+	internalRoutes map[string]bool               // routes that only backend servers call
+	runsPerRequest map[string]map[string]float64 // by route, then service: runs caused by one request, its calls included
+	slotHoldTimes  map[string]time.Duration      // by route: average slot hold time of one run, over all servers
+	// bottlenecks holds the services whose usable slots the admitted requests fill.
+	bottlenecks map[string]bool
 }
 
-// isBinding tells whether what the plan admits fills a service, as far as costs are known.
-func (n *Node) isBinding(service string) bool {
+// isBottleneck reports whether the requests that the plan admits fill the service, as far as their costs are known.
+func (n *Node) isBottleneck(service string) bool {
 	p := n.plan.Load()
-	return p != nil && p.binding[service]
+	return p != nil && p.bottlenecks[service]
 }
 
-// usualHold returns how long a run of the route holds a slot at any server, or 0 where that isn't known.
-func (n *Node) usualHold(route string) time.Duration {
+// slotHoldTime returns the average slot hold time of a run of the route over all servers, or 0 if it isn't known.
+func (n *Node) slotHoldTime(route string) time.Duration {
 	if p := n.plan.Load(); p != nil && !n.off[settings.KindHolds] {
-		return p.holds[route]
+		return p.slotHoldTimes[route]
 	}
 	return 0
 }
@@ -37,38 +37,39 @@
 // planPeriod is the time between plans.
 const planPeriod = 200 * time.Millisecond
 
-// replan works out the shares from the reports that still count.
+// replan computes and publishes a new admission plan from the reports that haven't expired.
 func (n *Node) replan(now time.Time) {
-	n.forgetLoads(now)
-	reports := n.loads()
+	n.expireLoads(now)
+	reports := n.currentReports()
 	n.control.retainedRuns.Update(now, reports)
 	all := n.control.retainedRuns.WithRetained(reports)
 	places := loads.Placements(all)
 	n.updateInternalRoutes(now)
 	plan := &admissionPlan{
-		inner: maps.Clone(n.control.internalRoutes.internal), runs: make(map[string]map[string]float64), holds: loads.HoldTimes(places),
+		internalRoutes: maps.Clone(n.control.internalRoutes.internal), runsPerRequest: make(map[string]map[string]float64), slotHoldTimes: loads.HoldTimes(places),
 	}
 	costs := callgraph.Costs(loads.CallGraph(all), places)
 	for route, c := range costs {
-		plan.runs[route] = c.Runs
+		plan.runsPerRequest[route] = c.Runs
 	}
-	roots, capacity := n.roots(now, reports, plan, costs), n.capacity()
+	roots, capacity := n.rootDemand(now, reports, plan, costs), n.capacity()
 	options := overload.Options{NoMinimumShare: n.off[settings.LeastPart], EqualShares: n.off[settings.CostWeight]}
 	plan.shares = options.PlanShares(roots, capacity)
-	plan.binding = overload.BottleneckServices(roots, plan.shares, capacity)
-	missing := withoutCost(roots)
-	urgent := holdsDown(roots, plan) || len(missing) > 0
-	n.noteUrgency(now, urgent)
+	plan.bottlenecks = overload.BottleneckServices(roots, plan.shares, capacity)
+	missing := kindsWithoutCost(roots)
+	urgent := limitsAnyKind(roots, plan) || len(missing) > 0
+	n.updateUrgency(now, urgent)
 	if urgent {
 		n.logPlan(now, plan, roots, capacity, missing)
 	}
-	n.showShares(plan)
+	n.setShareMetrics(plan)
 	n.plan.Store(plan)
 }
 
-// roots returns the demand for each kind of root request: what is counted, and what can't have been counted yet.
-func (n *Node) roots(now time.Time, reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) []overload.KindDemand {
-	byKind := n.countedRoots(reports, plan, costs)
+// rootDemand returns the demand for each kind of root request: the reported rates, plus the retained rates of kinds that
+// can't have been reported yet.
+func (n *Node) rootDemand(now time.Time, reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) []overload.KindDemand {
+	byKind := n.reportedRoots(reports, plan, costs)
 	n.control.attemptRates = make(map[string]float64, len(byKind))
 	for kind, r := range byKind {
 		n.control.attemptRates[kind] = r.Fresh
@@ -77,11 +78,11 @@
 		n.control.retainedDemand.MarkReported(now)
 	}
 	for kind, missing := range n.control.retainedDemand.Uncounted(now) {
-		if plan.inner[routeOf(kind)] {
+		if plan.internalRoutes[routeOf(kind)] {
 			continue
 		}
 		if byKind[kind] == nil {
-			byKind[kind] = n.root(kind, costs)
+			byKind[kind] = n.newRoot(kind, costs)
 		}
 		byKind[kind].Fresh += missing
 	}
@@ -92,22 +93,22 @@
 	return roots
 }
 
-// root returns a kind of root request for which there is no demand.
-func (n *Node) root(kind string, costs map[string]callgraph.Cost) *overload.KindDemand {
+// newRoot returns a root request of the given kind with its rank and cost, and with no demand yet.
+func (n *Node) newRoot(kind string, costs map[string]callgraph.Cost) *overload.KindDemand {
 	route, team := loads.SplitKind(kind)
 	return &overload.KindDemand{Kind: kind, Priority: n.state.Load().Rank(route, team), SlotSeconds: costs[route].SlotSeconds}
 }
 
-// countedRoots returns the demand that reports tell of.
-func (n *Node) countedRoots(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.KindDemand {
+// reportedRoots returns the demand that the reports contain, by kind of root request.
+func (n *Node) reportedRoots(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.KindDemand {
 	byKind := map[string]*overload.KindDemand{}
 	for _, r := range reports {
 		for kind, e := range r.Entries {
-			if plan.inner[routeOf(kind)] {
+			if plan.internalRoutes[routeOf(kind)] {
 				continue
 			}
 			if byKind[kind] == nil {
-				byKind[kind] = n.root(kind, costs)
+				byKind[kind] = n.newRoot(kind, costs)
 			}
 			byKind[kind].Fresh += e.Fresh
 			byKind[kind].Returning += e.Returning
--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -84,7 +84,7 @@
 	}
 	age, proven := n.proofAge()
 	n.callLog.Info("key refused", "request", r.Header.Get(n.names.AttemptID), "route", route.Name, "reason", refusal.reason,
-		"key", n.keyFingerprint(r.Header[n.names.Key]), "version", n.version(), "proven", proven, "proof_age", age)
+		"key", n.keyFingerprint(r.Header[n.names.Key]), "version", n.stateVersion(), "proven", proven, "proof_age", age)
 	n.refuseUnrouted(w, r, refusal.reason, refusal.status)
 }
 
@@ -109,7 +109,7 @@
 
 // mayRejectKeys reports whether a key that the given state lacks is certain to be unknown.
 func (n *Node) mayRejectKeys(s *desired.State) bool {
-	if !n.sureOfState() {
+	if !n.stateIsFresh() {
 		return false
 	}
 	certain := true
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -51,7 +51,7 @@
 	}
 	reason := b.waitAtGate(ctx, q)
 	if !q.RejectedElsewhere {
-		b.n.stats.atGate(b.n.clock.Now(), q.Internal, reason == wire.ReasonQueue)
+		b.n.stats.noteGateArrival(b.n.clock.Now(), q.Internal, reason == wire.ReasonQueue)
 	}
 	if reason != wire.ReasonNone {
 		return notRunAnswer(reason)
@@ -64,7 +64,7 @@
 // runAtServer sends a request that holds a slot to the server, and counts its outcome.
 func (b *backend) runAtServer(ctx context.Context, q *request, own directory.Record) *answer {
 	started := b.n.clock.Now()
-	run := b.n.stats.begin(started, q.Route, q.deadline.Add(-answerMargin))
+	run := b.n.stats.beginRun(started, q.Route, q.deadline.Add(-answerMargin))
 	at := &serverRun{q: q, lifetime: own.LifeName(), started: started}
 	b.runs.begin(at)
 	a, outcome := b.send(ctx, q, own.Instance)
@@ -79,14 +79,14 @@
 	now := b.n.clock.Now()
 	holdTime := min(now.Sub(started), max(q.deadline.Sub(started), 0)) // a run holds no slot while the VM is suspended
 	b.n.gateMu.Lock()
-	b.n.gate.Finish(now, holdTime, b.n.usualHold(q.Route), outcome)
+	b.n.gate.Finish(now, holdTime, b.n.slotHoldTime(q.Route), outcome)
 	b.n.gateMu.Unlock()
 	if a.outcome == wire.NotRun {
-		b.n.stats.drop(now, run)
+		b.n.stats.dropRun(now, run)
 		a.notListening = b.n.serverNotListening.Load()
 		return a
 	}
-	b.n.stats.end(now, q.Route, run, holdTime, outcome)
+	b.n.stats.endRun(now, q.Route, run, holdTime, outcome)
 	b.n.metrics.count("runs_total", "route", q.Route, "outcome", outcome.String())
 	b.n.metrics.add(holdTime.Milliseconds(), "slot_ms_total", "route", q.Route, "outcome", outcome.String())
 	return a
@@ -96,7 +96,7 @@
 func (b *backend) waitAtGate(ctx context.Context, q *request) wire.Reason {
 	verdicts := make(chan gate.Decision, 1)
 	t := &gate.Ticket{
-		Internal: q.Internal, Priority: q.Priority, Deadline: q.deadline, TypicalHold: b.n.usualHold(q.Route), Age: b.n.minWorkAge(q),
+		Internal: q.Internal, Priority: q.Priority, Deadline: q.deadline, TypicalHold: b.n.slotHoldTime(q.Route), Age: b.n.minWorkAge(q),
 		Notify: func(v gate.Decision) { verdicts <- v },
 	}
 	b.n.gateMu.Lock()
@@ -190,7 +190,7 @@
 	b.n.gateMu.Lock()
 	pace := b.n.gate.Snapshot().Slowdown
 	b.n.gateMu.Unlock()
-	return b.n.expectedResponseTime(expectedHoldTime(pace, b.n.usualHold(q.Route)))
+	return b.n.expectedResponseTime(expectedHoldTime(pace, b.n.slotHoldTime(q.Route)))
 }
 
 // notExecuted reports whether the server says that it hasn't run the request.
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -17,15 +17,15 @@
 type controlState struct {
 	localServer         directory.OwnServer
 	directory           directory.Directory
-	recentRecords       recordNews
+	recentRecords       recentRecords
 	newer               newerState
 	nextExchange        time.Time
 	urgentUpdates       bool    // updates have to spread sooner than usual
 	smoothedArrivalRate float64 // requests a second to this node, averaged over some seconds
 	nextPlan            time.Time
 	logged              loggedLines
-	reports             map[string]*heldReport // newest report of each node of this zone, by host
-	expiredReports      map[string]*heldReport // last valid report of nodes that stopped sending, without its content
+	reports             map[string]*nodeReport // newest report of each node of this zone, by host
+	expiredReports      map[string]*nodeReport // last valid report of nodes that stopped sending, without its content
 	zoneLoads           map[string]*zoneLoad   // newest aggregate load of each other zone
 	retainedRuns        loads.RetainedRuns
 	retainedDemand      loads.RetainedDemand
@@ -115,7 +115,7 @@
 	n.gateMu.Unlock()
 	n.backOffUnresponsivePeers(now)
 	n.queryOverdueRequests(ctx, now)
-	n.fetchNewer(now)
+	n.fetchDueState(now)
 	n.sendCleared(now)
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
@@ -123,12 +123,12 @@
 		n.poison.RemoveExpired(now)
 	}
 	if !now.Before(n.control.nextStatsUpdate) {
-		n.control.nextStatsUpdate = now.Add(lookPeriod)
-		n.stats.look(now)
+		n.control.nextStatsUpdate = now.Add(learnPeriod)
+		n.stats.updateLearner(now)
 	}
 	if !now.Before(n.control.nextPlan) {
 		n.control.nextPlan = now.Add(planPeriod)
-		n.reportOwn(now)
+		n.reportLocalLoad(now)
 		n.electFollowers(now)
 		n.updateTeamRoles(now)
 		n.replan(now)
@@ -136,8 +136,8 @@
 	if now.Before(n.control.nextExchange) {
 		return
 	}
-	n.control.nextExchange = now.Add(jitter(n.talkPeriod()))
-	n.talk(ctx)
+	n.control.nextExchange = now.Add(jitter(n.exchangePeriod()))
+	n.gossip(ctx)
 }
 
 // sweepPeriod is the time between closings of connections that have been idle for too long.
@@ -189,7 +189,7 @@
 	n.publishView()
 	n.controlLog.Info("local backend server changed", "instance", r.Instance, "service", r.Service, "phase", r.Phase.String(),
 		"generation", r.Generation, "slots", r.Slots)
-	n.records.want(r)
+	n.records.requestWrite(r)
 	n.announce()
 }
 
@@ -202,7 +202,7 @@
 		if r.Phase == directory.Serving {
 			// An earlier process of this node sent this record and stored it at the same time; the next read of all
 			// records shows whether it is stored. The record of a leaving server is always stored again.
-			n.records.done(r.Generation)
+			n.records.markDurable(r.Generation)
 		}
 		n.localServerChanged(true)
 	}
@@ -245,7 +245,7 @@
 		generation = n.control.localServer.Record().Generation
 	})
 	if done && r.Draining {
-		n.records.await(ctx, generation)
+		n.records.awaitDurable(ctx, generation)
 	}
 }
 
@@ -259,7 +259,7 @@
 		generation = n.control.localServer.Record().Generation
 	})
 	if done {
-		n.records.await(ctx, generation)
+		n.records.awaitDurable(ctx, generation)
 	}
 }
 
--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -18,14 +18,14 @@
 // through the last three; both end in five calls of the last service, which is left with one server.
 const (
 	floorSlots = 10
-	// floorRoom is how many reads or charges a second it has room for: each takes five times 30 ms.
-	floorRoom = floorSlots * limitOfSlots / (5 * 0.030)
-	// asked is how many requests a second come in all, four times as many.
-	asked = 4 * floorRoom
+	// floorCapacity is how many reads or charges per second that server can process: each takes five times 30 ms.
+	floorCapacity = floorSlots * usableSlotFraction / (5 * 0.030)
+	// totalRate is the rate of all requests per second, four times the capacity.
+	totalRate = 4 * floorCapacity
 	// deepNodes is how many nodes the site has.
 	deepNodes = 8
-	// limitOfSlots is the part of its slots that a gate uses.
-	limitOfSlots = 0.92
+	// usableSlotFraction is the fraction of its slots that a gate uses.
+	usableSlotFraction = 0.92
 )
 
 // deepRoute is a kind of request of the site.
@@ -33,7 +33,7 @@
 	name, service string
 	work, limit   time.Duration
 	calls         []string
-	weight        float64 // share of all requests; 0: only servers call it
+	weight        float64 // share of all requests; 0: only backend servers call it
 }
 
 var deepRoutes = []deepRoute{
@@ -46,10 +46,10 @@
 	{"slot", "floor", 30 * time.Millisecond, 700 * time.Millisecond, nil, 0},
 }
 
-// deepSite is that site in made-up time.
+// deepSite returns the site in simulated time.
 func deepSite(t *testing.T) *site { return deepSiteOf(t, 1) }
 
-// deepSiteOf is the site with so many times the servers of each service.
+// deepSiteOf returns the site with the given multiple of the servers of each service.
 func deepSiteOf(t *testing.T, times int) *site {
 	s := newMemorySite(t)
 	s.seeds = []string{s.at(s.base+"1", 2), s.at(s.base+"4", 2), s.at(s.base+"8", 2)}
@@ -78,7 +78,7 @@
 	return s
 }
 
-// addDeep adds a node beside a server that runs the site's routes.
+// addDeep adds a node with a backend server that runs the site's routes.
 func (s *site) addDeep(service, zone string, slots int) {
 	_, f := s.add(service, zone, slots)
 	s.t.Cleanup(f.client.CloseIdleConnections)
@@ -88,7 +88,7 @@
 			if r.URL.Path != "/"+x.name+"/x" {
 				continue
 			}
-			time.Sleep(around(x.work))
+			time.Sleep(randomAround(x.work))
 			for i, called := range x.calls {
 				if !f.call(r.Header.Get(testNames.AttemptID), i, "/"+called+"/x", deadline) {
 					w.WriteHeader(http.StatusInternalServerError)
@@ -100,34 +100,34 @@
 	}
 }
 
-func around(d time.Duration) time.Duration {
+func randomAround(d time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(d))
 }
 
-// callers are clients that send each request once.
-type callers struct {
-	mu     sync.Mutex
-	served []time.Time // when each request that was served was sent
-	asking sync.WaitGroup
-	ids    atomic.Int64
-	times  atomic.Int64 // by how many tenths more is asked than asked says; 0: as it says
+// clientLoad is a set of clients that send each request once.
+type clientLoad struct {
+	mu          sync.Mutex
+	served      []time.Time // send times of the served requests
+	sending     sync.WaitGroup
+	ids         atomic.Int64
+	extraTenths atomic.Int64 // the rate is totalRate*(1+extraTenths/10)
 }
 
-// ask begins to send requests to all nodes until ctx ends.
-func (k *callers) ask(ctx context.Context, s *site) {
+// start sends requests to all nodes in the background until ctx ends.
+func (k *clientLoad) start(ctx context.Context, s *site) {
 	for i := range s.nodes {
-		k.asking.Go(func() {
+		k.sending.Go(func() {
 			for ctx.Err() == nil {
-				k.asking.Go(func() { k.once(s, i) })
-				rate := asked * (1 + float64(k.times.Load())/10) / deepNodes // of one node
+				k.sending.Go(func() { k.sendOne(s, i) })
+				rate := totalRate * (1 + float64(k.extraTenths.Load())/10) / deepNodes // of one node
 				time.Sleep(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
 			}
 		})
 	}
 }
 
-// once sends one request to a node.
-func (k *callers) once(s *site, i int) {
+// sendOne sends a request of a random kind to node i and records whether it was served.
+func (k *clientLoad) sendOne(s *site, i int) {
 	sent, x := time.Now(), rand.Float64()
 	for _, r := range deepRoutes {
 		if x -= r.weight; x >= 0 {
@@ -143,8 +143,8 @@
 	}
 }
 
-// servedOf counts the requests that were sent from a time on, for a time, and served.
-func (k *callers) servedOf(from time.Time, span time.Duration) int {
+// servedIn returns the number of served requests that were sent in the given span.
+func (k *clientLoad) servedIn(from time.Time, span time.Duration) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -9,102 +9,102 @@
 	"github.com/rockspoke/rockspoke/pkg/follow"
 )
 
-// exchangePath is where nodes talk to each other about control state.
+// exchangePath is the path at which nodes exchange control state.
 const exchangePath = "/exchange"
 
 // The bounds of exchanges.
 const (
-	nearFanout = 2 // peers of the own availability zone that are told at a time
-	// announceFanout is how many peers hear of news at once; they tell others in turn.
+	ownZoneFanout = 2 // peers of the own availability zone per exchange
+	// announceFanout is how many peers receive a recent update at once; they pass it on in turn.
 	announceFanout = 3
-	// farTalkShare of the exchanges go to a peer of another zone as well, and farTalks of all exchanges of a zone in
-	// one period at the most: bytes between zones are paid for, and news of a zone spreads in it by itself. With
-	// less, sums of other zones were often older than zoneLifeLeast: of the worth of all answers in a minute with a zone
-	// cut off, 14 nodes earned 0.707 and 0.675 with one near peer and a quarter, 0.748 with two (one play each).
-	farTalkShare = 0.35
-	farTalks     = 4.0
-	// talkTime bounds one exchange.
-	talkTime = 800 * time.Millisecond
-	// maxMessage bounds a message in bytes: a desired state of thousands of routes fits.
-	maxMessage = 8 << 20
+	// crossZoneShare is the share of a node's exchanges that include a peer of another zone, and crossZoneExchanges bounds
+	// them per zone and period: traffic between zones is paid for, and updates spread within a zone by themselves. With
+	// fewer, sums of other zones were often older than minZoneLoadTTL: in a minute with one zone cut off, 14 nodes earned
+	// 0.707 and 0.675 of the value of all answers with one peer of the own zone and a share of a quarter, 0.748 with two.
+	crossZoneShare     = 0.35
+	crossZoneExchanges = 4.0
+	// exchangeTimeout bounds one exchange.
+	exchangeTimeout = 800 * time.Millisecond
+	// maxMessageBytes bounds a message; a desired state of thousands of routes fits.
+	maxMessageBytes = 8 << 20
 )
 
-// talk exchanges with some peers taken at random.
-func (n *Node) talk(ctx context.Context) {
-	targets := n.talkTargets(nearFanout, nearOnly)
-	if rand.Float64() < min(farTalkShare, farTalks/float64(max(len(n.control.zoneHosts), 1))) {
-		targets = append(targets, n.talkTargets(1, farOnly)...)
+// gossip starts exchanges with a few random peers.
+func (n *Node) gossip(ctx context.Context) {
+	targets := n.exchangeTargets(ownZoneFanout, ownZoneOnly)
+	if rand.Float64() < min(crossZoneShare, crossZoneExchanges/float64(max(len(n.control.zoneHosts), 1))) {
+		targets = append(targets, n.exchangeTargets(1, otherZonesOnly)...)
 	}
-	n.tell(ctx, targets)
+	n.exchangeWithAll(ctx, targets)
 }
 
-// tell exchanges with the given peers.
-func (n *Node) tell(ctx context.Context, targets []talkTarget) {
+// exchangeWithAll starts exchanges with the given peers, with one message per zone.
+func (n *Node) exchangeWithAll(ctx context.Context, targets []exchangeTarget) {
 	bodies := map[string][]byte{} // by zone
 	for _, t := range targets {
 		body, ok := bodies[t.zone]
 		if !ok {
-			body = n.encode(n.newMessage(t.zone))
+			body = n.encodeMessage(n.newMessage(t.zone))
 			bodies[t.zone] = body
 		}
-		n.tellAndComplete(ctx, t.host, body)
+		n.exchangeAndComplete(ctx, t.host, body)
 	}
 }
 
-// tellAndComplete sends a message to a peer, which is told all records if its answer shows that it lacks some.
-func (n *Node) tellAndComplete(ctx context.Context, host string, body []byte) {
+// exchangeAndComplete sends a message to a peer in the background, then all records if its answer shows that it lacks some.
+func (n *Node) exchangeAndComplete(ctx context.Context, host string, body []byte) {
 	go func() {
 		if n.exchangeWith(ctx, host, body) {
-			n.enqueue(func() { n.completeRecords(ctx, host) })
+			n.enqueue(func() { n.sendMissing(ctx, host) })
 		}
 	}()
 }
 
-// encode writes a message of this node's.
-func (n *Node) encode(m message) []byte {
+// encodeMessage encodes a message; it logs an error and returns what was encoded if that fails.
+func (n *Node) encodeMessage(m message) []byte {
 	body, err := pack(m)
 	if err != nil {
-		n.controlLog.Error("message can't be written", "err", err)
+		n.controlLog.Error("failed to encode message", "err", err)
 	}
 	return body
 }
 
-// announce tells news to some peers at once.
-func (n *Node) announce() { n.announceTo(anywhere) }
+// announce sends recent updates to some random peers of any zone at once.
+func (n *Node) announce() { n.announceTo(anyZone) }
 
-// announceTo tells news to some peers of the zones that are meant.
-func (n *Node) announceTo(where reach) {
-	n.tell(context.Background(), n.talkTargets(announceFanout, where))
+// announceTo sends recent updates to some random peers of the given zones at once.
+func (n *Node) announceTo(where zoneScope) {
+	n.exchangeWithAll(context.Background(), n.exchangeTargets(announceFanout, where))
 }
 
-// exchangeWith sends a message to a peer and takes its answer; it reports whether there was one.
+// exchangeWith sends a message to a peer and merges its answer; it reports whether there was a readable one.
 func (n *Node) exchangeWith(ctx context.Context, host string, body []byte) bool {
-	ctx, cancel := context.WithTimeout(ctx, talkTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	p := n.peer(host)
 	res, err := p.post(ctx, time.Time{}, exchangePath, body)
 	if err != nil {
 		if p.backOff(n.clock.Now()) {
-			n.controlLog.Warn("peer doesn't answer", "peer", host, "err", err)
+			n.controlLog.Warn("peer does not respond", "peer", host, "err", err)
 		}
 		return false
 	}
-	data, err := readAndClose(res.Body, maxMessage)
+	data, err := readAndClose(res.Body, maxMessageBytes)
 	if err != nil {
-		n.controlLog.Warn("exchange broke off", "peer", host, "err", err)
+		n.controlLog.Warn("exchange failed", "peer", host, "err", err)
 		return false
 	}
-	return n.takeMessage(host, data) != nil
+	return n.mergeMessage(host, data) != nil
 }
 
 // serveExchange answers a peer's message with what this node knows.
 func (n *Node) serveExchange(w http.ResponseWriter, r *http.Request) {
-	data, err := readAndClose(r.Body, maxMessage)
+	data, err := readAndClose(r.Body, maxMessageBytes)
 	if err != nil {
-		n.controlLog.Debug("exchange broke off", "peer", r.RemoteAddr, "err", err)
+		n.controlLog.Debug("exchange failed", "peer", r.RemoteAddr, "err", err)
 		return
 	}
-	m := n.takeMessage(r.RemoteAddr, data)
+	m := n.mergeMessage(r.RemoteAddr, data)
 	if m == nil {
 		http.Error(w, "not a message", http.StatusBadRequest)
 		return
@@ -118,56 +118,56 @@
 		_, err = w.Write(body)
 	}
 	if err != nil {
-		n.controlLog.Debug("exchange broke off", "peer", m.From, "err", err)
+		n.controlLog.Debug("exchange failed", "peer", m.From, "err", err)
 	}
 }
 
-// takeMessage takes over what a peer knows better; it returns nil if the message can't be read.
-func (n *Node) takeMessage(from string, data []byte) *message {
+// mergeMessage merges what is newer in a peer's message; it returns nil if the message can't be decoded.
+func (n *Node) mergeMessage(from string, data []byte) *message {
 	var m message
 	if err := unpack(data, &m); err != nil {
-		n.controlLog.Warn("message can't be read", "peer", from, "err", err)
+		n.controlLog.Warn("failed to decode message", "peer", from, "err", err)
 		return nil
 	}
 	n.peer(m.From).receivedExchange(n.clock.Now(), m.Stopping)
-	n.noteEra(m.From, m.Era)
+	n.noteStoreEpoch(m.From, m.StoreEpoch)
 	switch {
-	case m.Version <= n.version(): // a state of which it is known that it isn't newer needn't be read
+	case m.Version <= n.stateVersion(): // not newer, so the state needn't be decoded
 	case len(m.State) > 0:
-		n.takeState(m.From, m.State)
+		n.applyState(m.From, m.State)
 	default:
-		n.noticeVersion(m.From, m.Version)
+		n.noteVersion(m.From, m.Version)
 	}
-	if m.Sure {
-		n.watch.with(func(w *follow.Tracker) { w.AddPeerReport(n.clock.Now(), n.version(), m.Version, m.Age) })
+	if m.StateAgeKnown {
+		n.watch.with(func(w *follow.Tracker) { w.AddPeerReport(n.clock.Now(), n.stateVersion(), m.Version, m.StateAge) })
 	}
 	n.enqueue(func() {
 		now := n.clock.Now()
-		n.recallTold(m.From, m.Learned)
+		n.restoreFromPeer(m.From, m.Learned)
 		n.mergeRecords(m.From, m.Records)
-		n.takeReports(now, m.From, m.Reports)
-		n.takeZones(now, m.From, m.Zones)
-		n.applySuspectUpdates(now, m.Ends, m.Cases)
+		n.mergeReports(now, m.From, m.Reports)
+		n.mergeZoneLoads(now, m.From, m.Zones)
+		n.applySuspectUpdates(now, m.Crashes, m.Cases)
 		p := n.peer(m.From)
-		p.digest, p.lacksLearned = m.Digest, m.Unlearned
+		p.digest, p.lacksLearned = m.Digest, m.WantsLearned
 	})
 	return &m
 }
 
-// completeRecords tells a peer all records, and what was learned, if its answer showed that it lacks some of it.
-func (n *Node) completeRecords(ctx context.Context, host string) {
+// sendMissing sends a peer all records, and what was learned, if its answer showed that it lacks some of them.
+func (n *Node) sendMissing(ctx context.Context, host string) {
 	p := n.peer(host)
 	lacksLearned := p.lacksLearned && !n.control.retainedRuns.Empty()
 	if p.digest == n.control.directory.Digest() && !lacksLearned {
 		return
 	}
-	body := n.encode(n.newRecords(lacksLearned))
+	body := n.encodeMessage(n.newRecordsMessage(lacksLearned))
 	go n.exchangeWith(ctx, host, body)
 }
 
-// fetchState asks a peer for its newer desired state.
-func (n *Node) fetchState(host string) {
+// requestState requests a peer's newer desired state.
+func (n *Node) requestState(host string) {
 	m := n.newMessage("")
-	m.Wants = true
-	n.tellAndComplete(context.Background(), host, n.encode(m))
+	m.WantsState = true
+	n.exchangeAndComplete(context.Background(), host, n.encodeMessage(m))
 }
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -15,8 +15,8 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// sampleMessage is what a node tells another one of its zone: eight routes begin and four run at each node, and
-// every zone has servers of all services.
+// sampleMessage returns a message between nodes of a zone: at each node eight routes begin and four run, and every zone has
+// servers of all services.
 func sampleMessage(zoneNodes, zones, services int) message {
 	m := message{From: "10.128.0.9", Zone: "accra-a", Version: 12}
 	for i := range zoneNodes {
@@ -33,8 +33,8 @@
 	return m
 }
 
-func sampleReport(host string) heldReport {
-	r := heldReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", UsableSlots: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}}
+func sampleReport(host string) nodeReport {
+	r := nodeReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", UsableSlots: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}}
 	for k := range 8 {
 		r.Entries[fmt.Sprintf("r-n2ctnf%d", k)] = loads.Entry{Fresh: 12.3456, Returning: 1.2345}
 	}
@@ -53,7 +53,7 @@
 	return b
 }
 
-// BenchmarkExchange is the writing and reading of one message inside a zone, and its bytes.
+// BenchmarkExchange measures the encoding and decoding of one message inside a zone, and its size in bytes.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []struct{ nodes, zones, services int }{{15, 3, 4}, {83, 4, 4}, {520, 7, 18}} {
 		b.Run(fmt.Sprint(size.nodes), func(b *testing.B) {
@@ -76,12 +76,12 @@
 	}
 }
 
-// Messages to other zones once carried the report of every node, half a kilobyte each.
+// Guards against messages to other zones that contain the report of every node, half a kilobyte each.
 func TestAMessageToAnotherZoneDoesNotGrowWithNodes(t *testing.T) {
 	c := qt.New(t)
 	length := func(nodes int) int {
 		n := &Node{ip: "10.0.0.1", clock: clock.Real{}, cfg: settings.Settings{Zone: "a"}}
-		n.control.reports = map[string]*heldReport{}
+		n.control.reports = map[string]*nodeReport{}
 		for i := range nodes {
 			r := sampleReport(fmt.Sprint("10.0.0.", i))
 			n.control.reports[r.Host] = &r
@@ -93,14 +93,14 @@
 	c.Assert(length(100) < length(2)+10, qt.IsTrue, qt.Commentf("%d and %d", length(2), length(100)))
 }
 
-// A node that lost what it knew, and one that knows of a server which others don't, end up with the same records.
+// A record that only one node knows, and that isn't among the recent changes, reaches all nodes through the digests.
 func TestExchangesCompleteRecords(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
 	s.store.setDown(true)
 	lost := directory.Record{Host: s.base + "200", Generation: 3, Instance: "i", Service: "a", Zone: "z9", Slots: 3, Phase: directory.Gone}
 	n := s.nodes[0]
-	n.enqueue(func() { n.control.directory.Merge(lost) }) // it isn't news, so only the digests tell
+	n.enqueue(func() { n.control.directory.Merge(lost) }) // not added to the recent changes, so only the digests differ
 	s.waitFor("all know it", func() bool {
 		for _, n := range s.nodes {
 			if !slices.Contains(n.Dump().Records, lost) {
@@ -112,14 +112,14 @@
 	c.Assert(n.Dump().Records, qt.HasLen, 4)
 }
 
-func TestExchangesReachTheZonesThatAreMeant(t *testing.T) {
+func TestExchangeTargetsMatchTheZoneScope(t *testing.T) {
 	c := qt.New(t)
 	n := &Node{ip: "a1", cfg: settings.Settings{Zone: "a"}}
 	for _, r := range []directory.Record{{Host: "a1", Zone: "a"}, {Host: "a2", Zone: "a"}, {Host: "b1", Zone: "b"}} {
 		n.control.directory.Merge(r)
 	}
-	near, far := n.talkTargets(5, nearOnly), n.talkTargets(5, farOnly)
-	c.Assert(slices.Equal(near, []talkTarget{{"a2", "a"}}), qt.IsTrue, qt.Commentf("%v", near))
-	c.Assert(slices.Equal(far, []talkTarget{{"b1", "b"}}), qt.IsTrue, qt.Commentf("%v", far))
-	c.Assert(n.talkTargets(5, anywhere), qt.HasLen, 2)
+	near, far := n.exchangeTargets(5, ownZoneOnly), n.exchangeTargets(5, otherZonesOnly)
+	c.Assert(slices.Equal(near, []exchangeTarget{{"a2", "a"}}), qt.IsTrue, qt.Commentf("%v", near))
+	c.Assert(slices.Equal(far, []exchangeTarget{{"b1", "b"}}), qt.IsTrue, qt.Commentf("%v", far))
+	c.Assert(n.exchangeTargets(5, anyZone), qt.HasLen, 2)
 }
--- a/pkg/mesh/exchange_zone_loads.go
+++ b/pkg/mesh/exchange_zone_loads.go
@@ -6,20 +6,21 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// zoneStep is how much newer the sum of another zone has to be to be taken: each of its nodes adds up its own.
-const zoneStep = 50 * time.Millisecond
+// zoneLoadStep is how much newer the sum of a zone has to be to replace the known one, since each node of a zone computes
+// its own sums.
+const zoneLoadStep = 50 * time.Millisecond
 
-// takeZones takes over sums of other availability zones that are newer than those held.
-func (n *Node) takeZones(now time.Time, from string, zones []packedZone) {
+// mergeZoneLoads stores those sums of other availability zones that are newer than the known ones.
+func (n *Node) mergeZoneLoads(now time.Time, from string, zones []packedZone) {
 	for _, p := range zones {
-		made := now.Add(-max(p.Age, 0))
+		computedAt := now.Add(-max(p.Age, 0))
 		old := n.control.zoneLoads[p.Zone]
-		if p.Zone == n.cfg.Zone || (old != nil && made.Sub(old.made) < zoneStep) {
-			continue // the reports themselves are at hand, or it is no news
+		if p.Zone == n.cfg.Zone || (old != nil && computedAt.Sub(old.computedAt) < zoneLoadStep) {
+			continue // this node has the zone's reports, or the sum isn't newer
 		}
-		z := &zoneLoad{made: made, packed: p.Body}
+		z := &zoneLoad{computedAt: computedAt, packed: p.Body}
 		if err := unpack(p.Body, &z.services); err != nil {
-			n.controlLog.Warn("report can't be read", "peer", from, "host", p.Zone, "err", err)
+			n.controlLog.Warn("failed to decode load report", "peer", from, "host", p.Zone, "err", err)
 			continue
 		}
 		if len(z.services) > 0 {
@@ -28,25 +29,25 @@
 	}
 }
 
-// ownZone returns the sum of this zone, as told to other zones.
-func (n *Node) ownZone(now time.Time) []packedZone {
-	if now.Sub(n.control.localZoneLoad.made) >= zoneStep {
-		body, err := pack(loads.SumByService(n.ownReports()))
+// packedOwnZone returns the sum of this zone's reports, as sent to other zones; it is reused for zoneLoadStep.
+func (n *Node) packedOwnZone(now time.Time) []packedZone {
+	if now.Sub(n.control.localZoneLoad.computedAt) >= zoneLoadStep {
+		body, err := pack(loads.SumByService(n.ownZoneReports()))
 		if err != nil {
-			n.controlLog.Error("report can't be written", "err", err)
+			n.controlLog.Error("failed to encode load report", "err", err)
 			return nil
 		}
-		n.control.localZoneLoad = zoneLoad{made: now, packed: body}
+		n.control.localZoneLoad = zoneLoad{computedAt: now, packed: body}
 	}
-	return []packedZone{{Zone: n.cfg.Zone, Age: now.Sub(n.control.localZoneLoad.made), Body: n.control.localZoneLoad.packed}}
+	return []packedZone{{Zone: n.cfg.Zone, Age: now.Sub(n.control.localZoneLoad.computedAt), Body: n.control.localZoneLoad.packed}}
 }
 
-// otherZones returns the sums of the other availability zones, for the nodes of this one.
-func (n *Node) otherZones(now time.Time) []packedZone {
+// packedOtherZones returns the unexpired sums of the other availability zones, as sent to nodes of this zone.
+func (n *Node) packedOtherZones(now time.Time) []packedZone {
 	var all []packedZone
 	for name, z := range n.control.zoneLoads {
 		if len(z.services) > 0 {
-			all = append(all, packedZone{Zone: name, Age: now.Sub(z.made), Body: z.packed})
+			all = append(all, packedZone{Zone: name, Age: now.Sub(z.computedAt), Body: z.packed})
 		}
 	}
 	return all
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -17,7 +17,7 @@
 	bigZone  = 16 // nodes of each
 )
 
-// bigSite is a site of two zones that are large enough to have followers, at its first start.
+// bigSite returns a site of two zones that are large enough to elect followers, after its first start.
 func bigSite(t *testing.T) *site {
 	s := newMemorySite(t)
 	s.firstStart = true
@@ -36,12 +36,12 @@
 	s.store.put(desired.State{Version: version, Routes: []desired.Route{route("r", desired.Repeatable, "a")}})
 }
 
-// inForce tells after how long a version is in force at all nodes but those that are left out.
-func (s *site) inForce(version int64, left map[int]bool) time.Duration {
+// inForce waits until a version is in force at all nodes except those in left, and returns how long that took.
+func (s *site) awaitInForce(version int64, left map[int]bool) time.Duration {
 	begun := time.Now()
 	s.waitFor("the state is in force", func() bool {
 		for i, n := range s.nodes {
-			if !left[i] && n.version() < version {
+			if !left[i] && n.stateVersion() < version {
 				return false
 			}
 		}
@@ -50,17 +50,17 @@
 	return time.Since(begun)
 }
 
-// haltFollowers ends all that follow the store at once, and returns which they are.
+// haltFollowers halts all followers at once, and returns their indexes.
 func (s *site) haltFollowers() map[int]bool {
-	nodes := s.followersOf()
+	nodes := s.followers()
 	for i := range nodes {
 		s.nodes[i].halt()
 	}
 	return nodes
 }
 
-// followersOf returns the nodes that follow the store.
-func (s *site) followersOf() map[int]bool {
+// followersOf returns the indexes of the chosen followers.
+func (s *site) followers() map[int]bool {
 	chosen := map[int]bool{}
 	for i, n := range s.nodes {
 		n.watch.with(func(w *follow.Tracker) {
@@ -72,92 +72,92 @@
 	return chosen
 }
 
-// Every node followed the store by itself: 32 nodes made 32 calls for each change, and at the start each read all four parts of the
-// records and the state.
-func TestAFewNodesFollowTheStoreForTheirZone(t *testing.T) {
+// Guards against every node following the store by itself: 32 nodes made 32 calls for each change, and at the start each read
+// all four parts of the records and the state.
+func TestOnlyAFewNodesPerZoneFollowTheStore(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := bigSite(t)
 		nodes := len(s.nodes)
-		c.Check(s.store.called(readStateCall) <= nodes/2, qt.IsTrue, qt.Commentf("%d readings of the state at the start", s.store.called(readStateCall)))
-		c.Check(s.store.called(readRecordsCall) <= 3*nodes, qt.IsTrue, qt.Commentf("%d readings of parts", s.store.called(readRecordsCall)))
-		c.Check(s.store.called(writeRecordCall), qt.Equals, nodes)
-		c.Check(s.followersOf(), qt.HasLen, 3*bigZones)
-		before := s.store.called(readStateCall, followStateCall)
+		c.Check(s.store.callCount(readStateCall) <= nodes/2, qt.IsTrue, qt.Commentf("%d readings of the state at the start", s.store.callCount(readStateCall)))
+		c.Check(s.store.callCount(readRecordsCall) <= 3*nodes, qt.IsTrue, qt.Commentf("%d readings of parts", s.store.callCount(readRecordsCall)))
+		c.Check(s.store.callCount(writeRecordCall), qt.Equals, nodes)
+		c.Check(s.followers(), qt.HasLen, 3*bigZones)
+		before := s.store.callCount(readStateCall, followStateCall)
 		for v := int64(2); v < 7; v++ {
 			s.put(v)
-			took := s.inForce(v, nil)
+			took := s.awaitInForce(v, nil)
 			c.Check(took < time.Second, qt.IsTrue, qt.Commentf("%v", took))
 			time.Sleep(time.Second)
 		}
-		calls := s.store.called(readStateCall, followStateCall) - before
+		calls := s.store.callCount(readStateCall, followStateCall) - before
 		c.Check(calls <= 5*3*bigZones+nodes/4, qt.IsTrue, qt.Commentf("%d calls for five changes", calls))
 	})
 }
 
-// Where all followers are lost at the moment of a change, the others find out by themselves, within the bound.
-func TestAChangeComesInForceThoughItsFollowersAreLost(t *testing.T) {
+// If all followers are lost at the moment of a change, the other nodes apply it within the bound.
+func TestAChangeIsAppliedAfterAllFollowersAreLost(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := bigSite(t)
 		lost := s.haltFollowers()
 		s.put(2)
-		took := s.inForce(2, lost)
+		took := s.awaitInForce(2, lost)
 		c.Check(took < 2500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 		time.Sleep(5 * time.Second)
 		chosen := 0
-		for i := range s.followersOf() {
+		for i := range s.followers() {
 			if !lost[i] {
 				chosen++
 			}
 		}
-		c.Check(chosen, qt.Equals, 3*bigZones, qt.Commentf("others take their place"))
+		c.Check(chosen, qt.Equals, 3*bigZones, qt.Commentf("other nodes replace them"))
 	})
 }
 
-// The store turns away just those that follow it for a zone that is cut off from the others, too.
-func TestAChangeComesInForceThoughTheStoreTurnsTheFollowersAway(t *testing.T) {
+// If the store fails for just the followers of all zones, the other nodes still apply a change.
+func TestAChangeIsAppliedWhileTheStoreFailsForFollowers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := bigSite(t)
 		away := map[string]bool{}
-		for i := range s.followersOf() {
+		for i := range s.followers() {
 			away[s.servers[i].ip] = true
 		}
 		s.store.mu.Lock()
-		s.store.away = away
+		s.store.rejectedVMs = away
 		s.store.mu.Unlock()
 		time.Sleep(time.Second)
 		s.put(2)
-		took := s.inForce(2, nil)
+		took := s.awaitInForce(2, nil)
 		c.Check(took < 3*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 	})
 }
 
-// While the store is down for all, a call of each node every second or so finds it out no sooner than the followers do.
-func TestAStoreThatIsDownIsNotAskedByAll(t *testing.T) {
+// While the store is down for all nodes, frequent calls of each node would not detect its return sooner than the followers do.
+func TestAStoreThatIsDownGetsFewCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := bigSite(t)
-		before := s.store.called(readStateCall, followStateCall)
+		before := s.store.callCount(readStateCall, followStateCall)
 		s.store.setDown(true)
 		time.Sleep(6 * time.Second)
-		calls := s.store.called(readStateCall, followStateCall) - before
+		calls := s.store.callCount(readStateCall, followStateCall) - before
 		c.Check(calls < 5*len(s.nodes), qt.IsTrue, qt.Commentf("%d calls in 6 s", calls))
 		s.store.setDown(false)
 		s.put(2)
-		took := s.inForce(2, nil)
+		took := s.awaitInForce(2, nil)
 		c.Check(took < 2*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 	})
 }
 
-// A node that was started anew read all records and the state, five calls, though its peers know them. Where its settings name
-// no seeds yet, as they come 0.3 s later on some sites, one part of the records tells it whom to ask.
-func TestARestartedNodeAsksItsPeersBeforeTheStore(t *testing.T) {
+// Guards against a restarted node reading all records and the state, five calls, although its peers know them. Without seeds
+// in its settings, which come 0.3 s later on some sites, one part of the records names peers to query.
+func TestARestartedNodeQueriesPeersBeforeTheStore(t *testing.T) {
 	t.Parallel()
 	for name, calls := range map[string]int{"with seeds": 0, "without": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// testRestartOfOne restarts a node that doesn't follow the store; without seeds it may make one call.
+// testRestartOfOne restarts a node that isn't a follower; it may make up to most calls, and has no seeds if most isn't 0.
 func testRestartOfOne(t *testing.T, most int) {
 	c := qt.New(t)
 	s := bigSite(t)
@@ -174,27 +174,27 @@
 		s.seeds = nil
 	}
 	for _, n := range s.nodes {
-		n.enqueue(func() { n.recallLearned("test", sampleLearned()) })
+		n.enqueue(func() { n.restoreLearned("test", sampleLearned()) })
 	}
 	i := 3
-	for followers := s.followersOf(); followers[i]; {
+	for followers := s.followers(); followers[i]; {
 		i++
 	}
-	before := s.store.called(readStateCall, followStateCall, readRecordsCall)
+	before := s.store.callCount(readStateCall, followStateCall, readRecordsCall)
 	s.nodes[i].halt()
 	time.Sleep(100 * time.Millisecond)
 	s.start(i)
-	took := s.inForce(1, nil)
+	took := s.awaitInForce(1, nil)
 	c.Check(took < 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 	time.Sleep(3 * time.Second)
 	c.Check(s.nodes[i].knownNodes.Load(), qt.Equals, int64(len(s.nodes)))
-	calls := s.store.called(readStateCall, followStateCall, readRecordsCall) - before
+	calls := s.store.callCount(readStateCall, followStateCall, readRecordsCall) - before
 	c.Check(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
 	s.heartbeat(i, true)
-	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("what is new is stored"))
+	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("the changed record is stored"))
 }
 
-// deadReports counts, over the nodes that are left, the reports of dead ones that still count.
+// deadReports returns the number of unexpired reports of dead nodes, summed over the remaining nodes.
 func (s *site) deadReports(dead map[int]bool) int {
 	total := 0
 	for i, n := range s.nodes {
@@ -216,8 +216,8 @@
 	return total
 }
 
-// See TestAReportThatLapsedIsntTakenAgain.
-func TestDeadNodesAreForgottenInALargeZone(t *testing.T) {
+// Guards against the failure described at TestAnExpiredReportIsNotAcceptedAgain, in a large zone.
+func TestReportsOfDeadNodesExpireInALargeZone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -124,7 +124,7 @@
 // send sends the request to one server through its node, and returns the answer.
 func (d *delivery) send(ctx context.Context, p *peer) *answer {
 	lifetime := p.knownLifetime()
-	usual := p.recordSend(d.n.clock.Now(), d.n.usualHold(d.route.Name))
+	usual := p.recordSend(d.n.clock.Now(), d.n.slotHoldTime(d.route.Name))
 	defer p.inflight.Add(-1)
 	if p.local {
 		a := d.n.backend.serve(ctx, d.q)
@@ -155,7 +155,7 @@
 	if r.NotListening {
 		p.markServerCrashed(d.n.clock.Now(), lifetime)
 	}
-	d.n.noticeVersion(p.host, r.Version)
+	d.n.noteVersion(p.host, r.Version)
 	return d.readAnswer(p, res, r)
 }
 
--- a/pkg/mesh/freshness_proof.go
+++ b/pkg/mesh/freshness_proof.go
@@ -48,7 +48,7 @@
 
 // keepProofFresh renews this node's freshness proof until ctx ends, if keys are strictly revoked.
 func (n *Node) keepProofFresh(ctx context.Context) {
-	if !n.cfg.Mesh.StrictRevoke || n.cfg.Mesh.FirstStart && !clock.Sleep(ctx, firstLook) {
+	if !n.cfg.Mesh.StrictRevoke || n.cfg.Mesh.FirstStart && !clock.Sleep(ctx, firstElectionDelay) {
 		return
 	}
 	for clock.Sleep(ctx, proofPollInterval) {
@@ -99,7 +99,7 @@
 func (n *Node) randomReachableNode(ctx context.Context) string {
 	var hosts []string
 	if n.enqueueAndWait(ctx, func() {
-		for _, t := range n.talkTargets(announceFanout, anywhere) {
+		for _, t := range n.exchangeTargets(announceFanout, anyZone) {
 			hosts = append(hosts, t.host)
 		}
 	}) {
@@ -111,9 +111,9 @@
 // readProofFromStore reads the desired state from the store as a freshness proof. A read reflects the store at one moment; the store's feed of
 // changes may lag or stall without an error.
 func (n *Node) readProofFromStore(ctx context.Context) {
-	sent, current := clock.Boot(n.clock), n.version()
+	sent, current := clock.Boot(n.clock), n.stateVersion()
 	var data []byte
-	err := n.callStore(ctx, n.storeWatch.try(), proveStateCall, proofReadTimeout, func(ctx context.Context) (err error) {
+	err := n.callStore(ctx, n.storeWatch.newAttempt(), proveStateCall, proofReadTimeout, func(ctx context.Context) (err error) {
 		data, _, err = n.store.ReadState(ctx)
 		return err
 	})
@@ -121,7 +121,7 @@
 		n.controlLog.Debug("freshness proof not read from the store", "err", err)
 		return
 	}
-	n.addStoreProof(sent, current, n.takeStored(data))
+	n.addStoreProof(sent, current, n.applyStored(data))
 }
 
 // addStoreProof records the version that the store returned for a call sent at the given time, when the version current was in force here;
@@ -138,12 +138,12 @@
 
 // addProof records a freshness proof from the store or another node.
 func (n *Node) addProof(p freshness.Proof) {
-	n.proofs.withKeeper(func(k *freshness.ProofTracker) { k.AddProof(p, n.version()) })
+	n.proofs.withKeeper(func(k *freshness.ProofTracker) { k.AddProof(p, n.stateVersion()) })
 }
 
 // proofAge returns the age of the freshness proof for the state in force; known is false if there is none.
 func (n *Node) proofAge() (age time.Duration, known bool) {
-	now, current := clock.Boot(n.clock), n.version()
+	now, current := clock.Boot(n.clock), n.stateVersion()
 	n.proofs.withKeeper(func(k *freshness.ProofTracker) { age, known = k.ProofAge(now, current) })
 	return age, known
 }
@@ -160,12 +160,12 @@
 		return
 	}
 	n.addProof(freshness.Proof{Version: res.Version, Sent: sent.Add(-res.Age)})
-	n.noticeVersion(host, res.Version)
+	n.noteVersion(host, res.Version)
 }
 
 // serveProof answers another node with the newest freshness proof.
 func (n *Node) serveProof(w http.ResponseWriter, _ *http.Request) {
-	current := n.version()
+	current := n.stateVersion()
 	var res proofResponse
 	n.proofs.withKeeper(func(k *freshness.ProofTracker) {
 		now := clock.Boot(n.clock)
--- a/pkg/mesh/harmless_kinds_test.go
+++ b/pkg/mesh/harmless_kinds_test.go
@@ -128,7 +128,7 @@
 // sendPoison sends the poison request for the time span at the rate.
 func (p *harmlessPlay) sendPoison(span time.Duration, perS float64) {
 	p.work.Go(func() {
-		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(around(time.Duration(float64(time.Second) / perS))) {
+		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(randomAround(time.Duration(float64(time.Second) / perS))) {
 			p.mu.Lock()
 			p.sent = append(p.sent, time.Now())
 			p.mu.Unlock()
--- a/pkg/mesh/inbound_server.go
+++ b/pkg/mesh/inbound_server.go
@@ -43,7 +43,7 @@
 	done := n.stop.beginRequest()
 	defer done()
 	defer n.peerRequests.Start(r.Header.Get(n.names.AttemptID))()
-	n.noticeVersion(r.RemoteAddr, c.Version)
+	n.noteVersion(r.RemoteAddr, c.Version)
 	if n.stop.refusesPeers() {
 		n.writeReply(w, notRunAnswer(wire.ReasonLeaving))
 		return
@@ -88,7 +88,7 @@
 	return peerReply{
 		Outcome: a.outcome, Reason: a.reason, RefusedByServer: a.arrived,
 		Running: g.Running, Queued: g.Queued, Limit: int(g.Limit), Slowdown: int(g.Slowdown*100 + 0.5),
-		Success: int(g.SuccessShare*(1-g.ShedShare)*100 + 0.5), Stopping: n.stop.stopping(), NotListening: a.notListening, Version: n.version(),
+		Success: int(g.SuccessShare*(1-g.ShedShare)*100 + 0.5), Stopping: n.stop.stopping(), NotListening: a.notListening, Version: n.stateVersion(),
 		CrashedLifetime: a.crashedLifetime, RetryAfter: a.retryAfter,
 	}
 }
--- a/pkg/mesh/internal_routes.go
+++ b/pkg/mesh/internal_routes.go
@@ -12,7 +12,7 @@
 // isInternalRoute reports whether only backend servers call the route, as far as is known.
 func (n *Node) isInternalRoute(route string) bool {
 	p := n.plan.Load()
-	return p != nil && p.inner[route]
+	return p != nil && p.internalRoutes[route]
 }
 
 // internalRoutes records for each route whether only backend servers call it. Its zero value knows no route.
--- /dev/null
+++ b/pkg/mesh/load_expiry.go
@@ -0,0 +1,91 @@
+package mesh
+
+import (
+	"time"
+
+	"github.com/rockspoke/rockspoke/pkg/loads"
+)
+
+// The times after which load reports and sums expire.
+const (
+	// minReportTTL is the least time after which a report expires without a newer one, as that of a node that was cut off.
+	minReportTTL = 3 * time.Second
+	// reportTTLPeriods is the same in exchange periods, which are longer in a larger mesh: enough for a report to reach all
+	// nodes.
+	reportTTLPeriods = 6
+	// minZoneLoadTTL and zoneLoadTTLPeriods are the same for the sum of another zone. Sums arrive several times a second,
+	// and once a zone is cut off, the plan must not count its servers.
+	minZoneLoadTTL     = 2500 * time.Millisecond
+	zoneLoadTTLPeriods = 7
+	// expiredRetention is how long the epoch and sequence number of an expired report are retained. Other nodes expire the
+	// report a little later and send it until then. If it were accepted as new each time, it would circulate forever: in a
+	// mesh of 32 nodes, the 26 remaining ones still counted the reports of six nodes that had been dead for five seconds.
+	expiredRetention = time.Minute
+)
+
+// mergeReports stores those load reports of other nodes that are newer than the known ones.
+func (n *Node) mergeReports(now time.Time, from string, reports []packedReport) {
+	for _, p := range reports {
+		r := &nodeReport{Report: loads.Report{Host: p.Host, Epoch: p.Epoch, Seq: p.Seq}}
+		if r.Host == n.ip || !n.isNewerReport(&r.Report) {
+			continue
+		}
+		if err := unpack(p.Body, &r.Report); err != nil {
+			n.controlLog.Warn("failed to decode load report", "peer", from, "host", p.Host, "err", err)
+			continue
+		}
+		r.Host, r.Epoch, r.Seq, r.receivedAt, r.packed = p.Host, p.Epoch, p.Seq, now, p.Body
+		n.control.reports[r.Host] = r
+	}
+}
+
+// isNewerReport reports whether a report is newer than the last one known from its node, expired ones included.
+func (n *Node) isNewerReport(r *loads.Report) bool {
+	if known := n.control.reports[r.Host]; known != nil {
+		return r.Supersedes(&known.Report)
+	}
+	lapsed := n.control.expiredReports[r.Host]
+	return lapsed == nil || r.Supersedes(&lapsed.Report)
+}
+
+// ownZoneReports returns the unexpired reports of this zone's nodes.
+func (n *Node) ownZoneReports() []*loads.Report {
+	all := make([]*loads.Report, 0, len(n.control.reports)+len(n.control.zoneLoads))
+	for _, r := range n.control.reports {
+		all = append(all, &r.Report)
+	}
+	return all
+}
+
+// expireLoads drops reports and sums that are older than their TTL.
+func (n *Node) expireLoads(now time.Time) {
+	ttl := max(minReportTTL, reportTTLPeriods*n.calmExchangePeriod())
+	for host, r := range n.control.reports {
+		if now.Sub(r.receivedAt) > ttl {
+			delete(n.control.reports, host)
+			n.control.expiredReports[host] = &nodeReport{Report: loads.Report{Host: host, Epoch: r.Epoch, Seq: r.Seq}, receivedAt: r.receivedAt}
+		}
+	}
+	for host, r := range n.control.expiredReports {
+		if now.Sub(r.receivedAt) > expiredRetention {
+			delete(n.control.expiredReports, host)
+		}
+	}
+	zoneTTL := max(minZoneLoadTTL, zoneLoadTTLPeriods*n.calmExchangePeriod())
+	for _, z := range n.control.zoneLoads {
+		if now.Sub(z.computedAt) > zoneTTL {
+			z.services = nil // the entry stays, so that the zone isn't taken for one that never reported
+		}
+	}
+}
+
+// currentReports returns the reports of this zone's nodes, and the sums of the other zones, one for each service and zone.
+func (n *Node) currentReports() []*loads.Report {
+	all := n.ownZoneReports()
+	for _, z := range n.control.zoneLoads {
+		for i := range z.services {
+			all = append(all, &z.services[i].Load)
+		}
+	}
+	return all
+}
--- a/pkg/mesh/network.go
+++ b/pkg/mesh/network.go
@@ -70,7 +70,7 @@
 // NewStoreHTTP returns the HTTP client for the store, which dials from the address of this VM.
 func NewStoreHTTP(ip string) *http.Client {
 	return &http.Client{Transport: &storeTransport{http.Transport{
-		DialContext:         newDialer(ip, storeCallTime).DialContext,
+		DialContext:         newDialer(ip, storeCallTimeout).DialContext,
 		MaxIdleConnsPerHost: maxIdleStoreConns,
 		IdleConnTimeout:     storeIdleTimeout,
 		DisableCompression:  true,
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -44,8 +44,8 @@
 	proofs     freshnessProofs
 	quotas     teamQuotas
 	roles      atomic.Pointer[teamRoles]
-	storeEpoch storeEra
-	knowledge  knowledge
+	storeEpoch storeEpoch
+	knowledge  startKnowledge
 	view       atomic.Pointer[view]
 	started    time.Time
 	knownNodes atomic.Int64 // number of known nodes, including this one
@@ -73,7 +73,7 @@
 	done       chan struct{} // closed when the node is halted; made before the start, since a signal handler may enqueue work by then
 	control    controlState
 	records    recordWriter
-	storeWatch storeWatch
+	storeWatch storeAvailability
 
 	servers []*http.Server
 	cancel  context.CancelFunc
@@ -102,8 +102,8 @@
 	}
 	n.backend = newBackend(n)
 	n.control.localServer.Host = host
-	n.control.reports = make(map[string]*heldReport)
-	n.control.expiredReports = make(map[string]*heldReport)
+	n.control.reports = make(map[string]*nodeReport)
+	n.control.expiredReports = make(map[string]*nodeReport)
 	n.control.zoneLoads = make(map[string]*zoneLoad)
 	n.control.logged = loggedLines{calls: make(map[string]callgraph.Rates), shares: make(map[string]bool)}
 	n.records.init()
@@ -112,12 +112,12 @@
 	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
 	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
-	n.watch.mayBegin = make(chan struct{})
+	n.watch.peersQueried = make(chan struct{})
 	n.watch.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
 	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
-	n.knowledge.told = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
+	n.knowledge.fromPeer = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
 	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
 	n.updateRetryBudget()
 	n.view.Store(&view{})
@@ -146,7 +146,7 @@
 	n.startBackground(func() { n.followState(ctx) })
 	n.startBackground(func() { n.syncRecords(ctx) })
 	n.startBackground(func() { n.writeRecords(ctx) })
-	n.startBackground(func() { n.keepLearned(ctx) })
+	n.startBackground(func() { n.storeLearned(ctx) })
 	n.startBackground(func() { n.storeQuarantined(ctx) })
 	n.startBackground(func() { n.keepProofFresh(ctx) })
 	n.controlLog.Info("started", "host", n.ip, "zone", n.cfg.Zone, "service", n.cfg.Service, "epoch", n.epoch, "off", n.cfg.Mesh.Off)
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -56,9 +56,9 @@
 		n.writeFinal(w, q, a)
 		return
 	}
-	n.stats.begins(n.clock.Now(), q.kind(), q.clientDeadline)
+	n.stats.noteEntry(n.clock.Now(), q.kind(), q.clientDeadline)
 	if q.Internal {
-		n.stats.called(n.clock.Now(), route.Name, q.clientDeadline)
+		n.stats.noteCall(n.clock.Now(), route.Name, q.clientDeadline)
 	}
 	if a := n.entryRefusal(q); a != nil {
 		n.returnQuotaToken(q)
@@ -119,7 +119,7 @@
 // refuseNoRoute answers a request that no route matches: with 404, or with 503 while the desired state may be out of
 // date, since a newer one may have the route.
 func (n *Node) refuseNoRoute(w http.ResponseWriter, r *http.Request) {
-	if !n.sureOfState() {
+	if !n.stateIsFresh() {
 		n.refuseUnrouted(w, r, wire.ReasonNoRoute, http.StatusServiceUnavailable)
 		return
 	}
--- a/pkg/mesh/poison_site_test.go
+++ b/pkg/mesh/poison_site_test.go
@@ -124,7 +124,7 @@
 		closeConnection(w) // a crashed server answers nothing, not even a copy that ran there at the same time
 		return
 	}
-	time.Sleep(around(readWork))
+	time.Sleep(randomAround(readWork))
 	fmt.Fprint(w, "ok")
 }
 
--- a/pkg/mesh/query_node.go
+++ b/pkg/mesh/query_node.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		// Back off only an unreachable node: one that is busy for a moment can still serve requests.
 		if isUnsent(err) && ctx.Err() == nil && p.backOff(n.clock.Now()) {
-			n.controlLog.Warn("peer doesn't answer", "peer", host, "path", path, "err", err)
+			n.controlLog.Warn("peer does not respond", "peer", host, "path", path, "err", err)
 		}
 		return err
 	}
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -99,7 +99,7 @@
 // serveQuotaHandover receives the tokens that a former owner hands over.
 func (n *Node) serveQuotaHandover(w http.ResponseWriter, r *http.Request) {
 	var balances []quota.Balance
-	if !n.readNodeRequest(w, r, maxMessage, &balances, func() bool { return true }) {
+	if !n.readNodeRequest(w, r, maxMessageBytes, &balances, func() bool { return true }) {
 		return
 	}
 	now, state := clock.Boot(n.clock), n.state.Load()
--- a/pkg/mesh/record_writer.go
+++ b/pkg/mesh/record_writer.go
@@ -8,101 +8,101 @@
 	"github.com/rockspoke/rockspoke/pkg/directory"
 )
 
-// recordWriter keeps this VM's record in the store.
+// recordWriter tracks which generation of this VM's record the store has, and signals reads and writes of records.
 type recordWriter struct {
-	mu      sync.Mutex
-	newest  directory.Record
-	durable int64 // generation that the store has
-	changed chan struct{}
-	stored  chan struct{} // closed and made anew at each write
-	read    chan struct{} // asks for the records of all VMs
-
-	firstRead sync.Once
-	wasRead   chan struct{} // closed once all records were read, or couldn't be, for the first time
+	mu                sync.Mutex
+	latest            directory.Record
+	durableGeneration int64 // newest generation that the store has
+	changed           chan struct{}
+	storedSignal      chan struct{} // closed and made anew at each write
+	readRequests      chan struct{} // requests a read of the records of all VMs
+
+	firstRead     sync.Once
+	firstReadDone chan struct{} // closed after the first attempt to read all records
 }
 
 func (w *recordWriter) init() {
 	w.changed = make(chan struct{}, 1)
-	w.stored = make(chan struct{})
-	w.read = make(chan struct{}, 1)
-	w.wasRead = make(chan struct{})
+	w.storedSignal = make(chan struct{})
+	w.readRequests = make(chan struct{}, 1)
+	w.firstReadDone = make(chan struct{})
 }
 
-// noteFirstRead notes that all records were read, or couldn't be.
-func (w *recordWriter) noteFirstRead() { w.firstRead.Do(func() { close(w.wasRead) }) }
+// noteFirstRead marks the first attempt to read all records as done.
+func (w *recordWriter) noteFirstRead() { w.firstRead.Do(func() { close(w.firstReadDone) }) }
 
-// awaitFirstRead returns once they were; it reports false if ctx ends first.
+// awaitFirstRead waits for the first attempt to read all records; it reports false if ctx ends first.
 func (w *recordWriter) awaitFirstRead(ctx context.Context) bool {
 	select {
-	case <-w.wasRead:
+	case <-w.firstReadDone:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// want asks for a record to be written.
-func (w *recordWriter) want(r directory.Record) {
+// requestWrite requests that a record be written.
+func (w *recordWriter) requestWrite(r directory.Record) {
 	w.mu.Lock()
-	w.newest = r
+	w.latest = r
 	w.mu.Unlock()
-	w.askWrite()
+	w.signalWrite()
 }
 
-// pending returns the record to be written, if there is one.
+// pending returns the latest record, and whether it has to be written.
 func (w *recordWriter) pending() (directory.Record, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.newest, w.newest.Generation > w.durable
+	return w.latest, w.latest.Generation > w.durableGeneration
 }
 
-// done notes that a generation is in the store, or most likely is.
-func (w *recordWriter) done(generation int64) {
+// markDurable notes that the store has a generation, or most likely has it.
+func (w *recordWriter) markDurable(generation int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.setDurable(max(w.durable, generation))
+	w.setDurable(max(w.durableGeneration, generation))
 }
 
-// setDurable wakes those who wait for it; w.mu is held.
+// setDurable sets the stored generation and wakes awaitDurable; w.mu must be held.
 func (w *recordWriter) setDurable(generation int64) {
-	w.durable = generation
-	close(w.stored)
-	w.stored = make(chan struct{})
+	w.durableGeneration = generation
+	close(w.storedSignal)
+	w.storedSignal = make(chan struct{})
 }
 
-// found takes what all records have of this VM, 0 if nothing: what was taken for stored and isn't is written.
-func (w *recordWriter) found(generation int64) {
+// reconcile sets the generation that the store was found to have, 0 for none, and requests a write if it lacks the latest.
+func (w *recordWriter) reconcile(generation int64) {
 	w.mu.Lock()
 	w.setDurable(generation)
-	missing := w.newest.Generation > w.durable
+	missing := w.latest.Generation > w.durableGeneration
 	w.mu.Unlock()
 	if missing {
-		w.askWrite()
+		w.signalWrite()
 	}
 }
 
-// lost notes that the store may have lost the record: it is written again.
-func (w *recordWriter) lost() { w.found(0) }
+// markLost requests that the record be written again, since the store may have lost it.
+func (w *recordWriter) markLost() { w.reconcile(0) }
 
-// askWrite has the record looked at.
-func (w *recordWriter) askWrite() {
+// signalWrite wakes the goroutine that writes the record.
+func (w *recordWriter) signalWrite() {
 	select {
 	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-// ackWait is how long a leaving server waits for its word to be stored; its node holds to it anyway, and
-// the server takes only an answer within a second.
-const ackWait = 400 * time.Millisecond
+// ackTimeout is how long the answer to a leaving server waits until its record is stored. Its node stops using the server
+// anyway, and the server accepts an answer only within a second.
+const ackTimeout = 400 * time.Millisecond
 
-// await returns when the generation is in the store, or after ackWait.
-func (w *recordWriter) await(ctx context.Context, generation int64) {
-	ctx, cancel := context.WithTimeout(ctx, ackWait)
+// awaitDurable returns when the store has the generation, after ackTimeout, or when ctx ends.
+func (w *recordWriter) awaitDurable(ctx context.Context, generation int64) {
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
 	for {
 		w.mu.Lock()
-		stored, done := w.stored, w.durable >= generation
+		stored, done := w.storedSignal, w.durableGeneration >= generation
 		w.mu.Unlock()
 		if done {
 			return
@@ -115,12 +115,12 @@
 	}
 }
 
-// askRead asks for the records of all VMs. A node that knows hardly any other, as at the first start, has written
-// its own record and then reads those of all that wrote before it, and tells them of itself: so all know all, though
-// nothing lists the VMs.
-func (w *recordWriter) askRead() {
+// requestRead requests a read of the records of all VMs. A node that knows few others, as at the first start, writes its own
+// record, then reads all records written before and exchanges with those nodes. So all nodes discover each other without a
+// list of VMs.
+func (w *recordWriter) requestRead() {
 	select {
-	case w.read <- struct{}{}:
+	case w.readRequests <- struct{}{}:
 	default:
 	}
 }
--- a/pkg/mesh/replan_bench_test.go
+++ b/pkg/mesh/replan_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// BenchmarkReplan is the working out of one plan at a node of a mesh of 83 nodes in 4 zones: 0.25 ms before runs and demand
-// were remembered, 0.29 ms since; 0.39 ms if they are remembered with each plan (three runs each).
+// BenchmarkReplan measures the computation of one plan at a node of a mesh of 83 nodes in 4 zones: 0.29 ms with retained runs
+// and demand, 0.25 ms without; 0.39 ms if they are retained anew with each plan.
 func BenchmarkReplan(b *testing.B) {
 	n := &Node{ip: "10.0.0.1", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}}}
 	n.controlLog = slog.New(slog.DiscardHandler)
@@ -21,14 +21,14 @@
 	n.state.Store(&desired.State{})
 	n.view.Store(&view{})
 	n.control.logged.shares = map[string]bool{}
-	n.control.reports, n.control.zoneLoads = map[string]*heldReport{}, map[string]*zoneLoad{}
+	n.control.reports, n.control.zoneLoads = map[string]*nodeReport{}, map[string]*zoneLoad{}
 	for i := range 21 {
 		r := sampleReport(fmt.Sprint("10.0.0.", i))
-		r.Service, r.heard = fmt.Sprint("s", i%4), time.Now().Add(time.Hour)
+		r.Service, r.receivedAt = fmt.Sprint("s", i%4), time.Now().Add(time.Hour)
 		n.control.reports[r.Host] = &r
 	}
 	for _, zone := range []string{"b", "c", "d"} {
-		n.control.zoneLoads[zone] = &zoneLoad{services: loads.SumByService(n.ownReports()), made: time.Now().Add(time.Hour)}
+		n.control.zoneLoads[zone] = &zoneLoad{services: loads.SumByService(n.ownZoneReports()), computedAt: time.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/mesh/retry_budget.go
+++ b/pkg/mesh/retry_budget.go
@@ -9,7 +9,7 @@
 // anotherServerMayHelp reports whether a request that one server failed could succeed at another one.
 func (n *Node) anotherServerMayHelp(q *request) bool {
 	p := n.plan.Load()
-	if p == nil || p.runs[q.Route][q.Service] == 0 {
+	if p == nil || p.runsPerRequest[q.Route][q.Service] == 0 {
 		return false // the cost of a retry to the services it calls isn't known
 	}
 	if s, limited := p.shares[q.kind()]; limited && s.Fresh < 1 {
@@ -48,7 +48,7 @@
 // service.
 func (n *Node) expectedRuns(q *request) map[string]float64 {
 	if p := n.plan.Load(); p != nil {
-		if runs := p.runs[q.Route]; runs[q.Service] > 0 {
+		if runs := p.runsPerRequest[q.Route]; runs[q.Service] > 0 {
 			return runs
 		}
 	}
--- a/pkg/mesh/store_era_test.go
+++ b/pkg/mesh/store_epoch_test.go
@@ -12,37 +12,37 @@
 	"github.com/rockspoke/rockspoke/pkg/desired"
 )
 
-// What the system wrote since the copy is written again by itself.
-func TestRecordsAreWrittenAgainAfterTheStoreCameBack(t *testing.T) {
+// What nodes wrote since the backup is written again without the operator.
+func TestRecordsAreWrittenAgainAfterAStoreRestore(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testRecordsAreWrittenAgainAfterTheStoreCameBack)
+	synctest.Test(t, testRecordsAreWrittenAgainAfterAStoreRestore)
 }
 
-func testRecordsAreWrittenAgainAfterTheStoreCameBack(t *testing.T) {
+func testRecordsAreWrittenAgainAfterAStoreRestore(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
 	s.firstStart = true
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.store.copy() // before any node has written
+	s.store.backUp() // before any node has written its record
 	for i := range 4 {
 		s.add("a", fmt.Sprint("z", i%2), 5)
 	}
 	s.waitUntilKnown(1)
-	s.waitFor("all records are stored", func() bool { return s.store.stored() == 4 })
-	s.store.comeBack()
-	c.Assert(s.store.stored(), qt.Equals, 0)
+	s.waitFor("all records are stored", func() bool { return s.store.recordCount() == 4 })
+	s.store.restoreBackup()
+	c.Assert(s.store.recordCount(), qt.Equals, 0)
 	s.store.put(desired.State{Version: 2, Routes: []desired.Route{route("read", desired.Repeatable, "a")}})
-	s.waitFor("all records are stored again", func() bool { return s.store.stored() == 4 })
+	s.waitFor("all records are stored again", func() bool { return s.store.recordCount() == 4 })
 	s.waitUntilKnown(2)
 }
 
-// A change that is written under a version that was given out before the store came back is found all the same.
-func TestAChangeUnderAVersionThatWasGivenOutBefore(t *testing.T) {
+// A change is applied even if its store version was already assigned before the store was restored.
+func TestAChangeUnderAReassignedVersionIsApplied(t *testing.T) {
 	t.Parallel()
-	synctest.Test(t, testAChangeUnderAVersionThatWasGivenOutBefore)
+	synctest.Test(t, testAChangeUnderAReassignedVersionIsApplied)
 }
 
-func testAChangeUnderAVersionThatWasGivenOutBefore(t *testing.T) {
+func testAChangeUnderAReassignedVersionIsApplied(t *testing.T) {
 	c := qt.New(t)
 	s := newMemorySite(t)
 	s.add("a", "z", 5)
@@ -51,17 +51,17 @@
 	}
 	put(1)
 	s.waitUntilKnown(1)
-	s.store.copy()
+	s.store.backUp()
 	put(2)
 	put(3)
 	s.waitUntilKnown(3)
-	s.store.comeBack()
-	put(4) // the store's version of this row is that of the second before
+	s.store.restoreBackup()
+	put(4) // the store assigns this row the version that it assigned to the second one before
 	s.waitUntilKnown(4)
-	c.Assert(s.nodes[0].version(), qt.Equals, int64(4))
+	c.Assert(s.nodes[0].stateVersion(), qt.Equals, int64(4))
 }
 
-// A store that came back without the state that took a key away doesn't let the key pass again.
+// A store restored without the state that revoked a key must not let the key pass again.
 func TestAnOldStateOfTheStoreProvesNothing(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testAnOldStateOfTheStoreProvesNothing)
@@ -71,10 +71,10 @@
 	c := qt.New(t)
 	const revoke = 2 * time.Second
 	s := newServingTeamSite(t, 1, 2, revoke)
-	s.store.copy()
+	s.store.backUp()
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
 	s.waitUntilKnown(2)
-	s.store.comeBack()
+	s.store.restoreBackup()
 	lost := time.Now()
 	for time.Since(lost) < 3*revoke/2 {
 		for i := range s.nodes {
@@ -84,21 +84,21 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	status, _ := s.send(0, "/read/x", "unproven", withKey("kr1"))
-	c.Check(status, qt.Equals, http.StatusServiceUnavailable) // it can't be known whether there is a newer one
+	c.Check(status, qt.Equals, http.StatusServiceUnavailable) // it isn't known whether there is a newer state
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
 	s.waitUntilAccepted("kr1")
 }
 
-// Once a new era is known nothing that was sent before it has settled proves anything, whoever looks when.
-func TestAnEraAndItsSettlingAreKnownAtOnce(t *testing.T) {
+// Once a new epoch is known, no answer to a call sent before it has settled proves freshness, at whatever moment it is evaluated.
+func TestAStoreEpochAndItsSettlingAreSetTogether(t *testing.T) {
 	c := qt.New(t)
-	var e storeEra
+	var e storeEpoch
 	at := func(s int) time.Time { return time.Time{}.Add(time.Duration(s) * time.Second) }
-	c.Check(e.rise(1, at(2)), qt.Equals, int64(0)) // the first that was told isn't a return
+	c.Check(e.advance(1, at(2)), qt.Equals, int64(0)) // the first known epoch isn't a restore
 	c.Check(e.proves(at(0)), qt.IsTrue)
-	c.Check(e.rise(2, at(12)), qt.Equals, int64(1))
-	c.Check(e.rise(2, at(15)), qt.Equals, int64(0))
+	c.Check(e.advance(2, at(12)), qt.Equals, int64(1))
+	c.Check(e.advance(2, at(15)), qt.Equals, int64(0))
 	c.Check(e.proves(at(11)), qt.IsFalse)
 	c.Check(e.proves(at(12)), qt.IsTrue)
-	c.Check(e.now(), qt.Equals, int64(2))
+	c.Check(e.current(), qt.Equals, int64(2))
 }
--- a/pkg/mesh/keep_learned_test.go
+++ b/pkg/mesh/store_learned_test.go
@@ -15,7 +15,7 @@
 	"github.com/rockspoke/rockspoke/pkg/loads"
 )
 
-// sampleLearned is what is known of one route.
+// sampleLearned returns the learned values of one route.
 func sampleLearned() []loads.Learned {
 	return []loads.Learned{{
 		Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"x": 5}},
@@ -23,28 +23,28 @@
 	}}
 }
 
-// After a loss of all processes nodes learned the calls anew, in the middle of the overload, and let in too much.
-func TestANodeRecallsWhatWasLearnedBeforeItsStart(t *testing.T) {
+// Guards against over-admission after a loss of all processes: the nodes had to learn the calls again during the overload.
+func TestANodeRestoresLearnedCallsAtStart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.store.learned["a"] = loads.Learned{Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"called": 4}}}
 	s.store.learned["b"] = loads.Learned{Service: "b", CallsPerRun: map[string]callgraph.Rates{"r": {"called": 9}}}
 	n, _ := s.add("a", "z", 10)
 	s.waitFor("it is recalled", func() bool {
-		n.stats.drop(time.Now(), n.stats.begin(time.Now(), "r", time.Now()))
+		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
-		return n.stats.callsOf("r")["called"] == 4
+		return n.stats.callsPerRun("r")["called"] == 4
 	})
-	c.Assert(n.storesForService(), qt.IsTrue)
+	c.Assert(n.isServiceWriter(), qt.IsTrue)
 }
 
-func TestOneNodeOfAServiceKeepsWhatWasLearned(t *testing.T) {
+func TestOneNodePerServiceStoresLearnedCalls(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
 	keepers := 0
 	for _, n := range s.nodes {
-		if n.storesForService() {
+		if n.isServiceWriter() {
 			keepers++
 		}
 	}
@@ -64,37 +64,37 @@
 	}
 	called := calls(4)
 	called.InternalRoutes = []string{"r"}
-	c.Assert(differ(calls(4), none), qt.IsTrue)
-	c.Assert(differ(calls(4), calls(3.5)), qt.IsFalse)
-	c.Assert(differ(calls(4), calls(2)), qt.IsTrue)
-	c.Assert(differ(calls(0.1), none), qt.IsFalse)
-	c.Assert(differ(none, calls(4)), qt.IsFalse)
-	c.Assert(differ(loads.Learned{CallsPerRun: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that isn't made any more"))
-	c.Assert(differ(holds(0.03), holds(0.05)), qt.IsFalse)
-	c.Assert(differ(holds(0.03), holds(0.1)), qt.IsTrue)
-	c.Assert(differ(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a time that isn't stored yet"))
-	c.Assert(differ(called, calls(4)), qt.IsTrue, qt.Commentf("a route that only servers call"))
+	c.Assert(learnedDiffers(calls(4), none), qt.IsTrue)
+	c.Assert(learnedDiffers(calls(4), calls(3.5)), qt.IsFalse)
+	c.Assert(learnedDiffers(calls(4), calls(2)), qt.IsTrue)
+	c.Assert(learnedDiffers(calls(0.1), none), qt.IsFalse)
+	c.Assert(learnedDiffers(none, calls(4)), qt.IsFalse)
+	c.Assert(learnedDiffers(loads.Learned{CallsPerRun: map[string]callgraph.Rates{"r": {}}}, calls(4)), qt.IsTrue, qt.Commentf("a call that is no longer made"))
+	c.Assert(learnedDiffers(holds(0.03), holds(0.05)), qt.IsFalse)
+	c.Assert(learnedDiffers(holds(0.03), holds(0.1)), qt.IsTrue)
+	c.Assert(learnedDiffers(holds(0.03), calls(4)), qt.IsTrue, qt.Commentf("a hold time that isn't stored yet"))
+	c.Assert(learnedDiffers(called, calls(4)), qt.IsTrue, qt.Commentf("a route that only servers call"))
 }
 
-// Every restart wrote the record twice and read all others three times, though nothing had changed.
+// Guards against useless store calls: every restart wrote the record twice and read all others three times without a change.
 func TestARestartedNodeWritesNothingNew(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	known := directory.Record{Host: s.base + "1", Generation: 7, Instance: "i-" + s.base + "1", Service: "a", Zone: "z", Slots: 10, Phase: directory.Serving}
 	s.store.records[known.Host] = known
-	n, _ := s.add("a", "z", 10) // its heartbeat comes before the store's answer
+	n, _ := s.add("a", "z", 10) // its heartbeat arrives before the store's answer
 	s.waitFor("it is recalled", func() bool { return n.view.Load().localServer.Generation >= 7 })
 	time.Sleep(50 * time.Millisecond)
 	c.Assert(n.view.Load().localServer, qt.Equals, known)
-	c.Assert(s.store.writes(), qt.Equals, 0)
+	c.Assert(s.store.recordWrites(), qt.Equals, 0)
 	s.heartbeat(0, true)
-	c.Assert(s.store.writes(), qt.Equals, 1)
+	c.Assert(s.store.recordWrites(), qt.Equals, 1)
 	c.Assert(n.view.Load().localServer.Generation, qt.Equals, int64(8))
 }
 
-// The node of a service's only server was restarted while the store was silent: nobody could tell it which calls its runs
-// make, so they seemed to make none, and the plan of all nodes let in too much.
-func TestANodeLearnsFromItsPeersWhileTheStoreIsDown(t *testing.T) {
+// Guards against over-admission after the restart of the node of a service's only server during a store outage: it had
+// no source for the calls that its runs make, so they seemed to make none, and all nodes admitted too much.
+func TestANodeRestoresLearnedCallsFromPeersWhileTheStoreIsDown(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	s.seeds = []string{s.at(s.base+"1", 0)}
@@ -104,7 +104,7 @@
 	s.waitUntilKnown(1)
 	known := make(chan struct{})
 	top.enqueue(func() {
-		top.recallLearned("test", []loads.Learned{{
+		top.restoreLearned("test", []loads.Learned{{
 			Service: "b", CallsPerRun: map[string]callgraph.Rates{"called": {"x": 5}},
 			Times: map[string]loads.RunTiming{"called": {Rate: 10, HoldSeconds: 0.1}}, InternalRoutes: []string{"called"},
 		}})
@@ -117,20 +117,20 @@
 	low = s.nodes[1]
 	s.waitFor("the restarted node knows the calls", func() bool { return low.isInternalRoute("called") })
 	c.Assert(low.knowledge.complete.Load(), qt.IsTrue)
-	low.stats.drop(time.Now(), low.stats.begin(time.Now(), "called", time.Now()))
+	low.stats.dropRun(time.Now(), low.stats.beginRun(time.Now(), "called", time.Now()))
 	low.stats.mu.Lock()
 	defer low.stats.mu.Unlock()
-	c.Assert(low.stats.callsOf("called")["x"], qt.Equals, 5.0)
+	c.Assert(low.stats.callsPerRun("called")["x"], qt.Equals, 5.0)
 }
 
-// Requests that came between the first desired state and what was learned were taken in whatever they cost.
-func TestRequestsWaitForWhatWasLearned(t *testing.T) {
+// Guards against admitting requests regardless of their cost between the first desired state and the learned costs.
+func TestRequestsWaitForLearnedCosts(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		n := &Node{clock: clock.Real{}}
 		begun := time.Now()
-		n.knowledge.stateSince.Store(&begun)
+		n.knowledge.firstStateAt.Store(&begun)
 		go func() {
 			time.Sleep(learnedWait / 2)
 			n.knowledge.complete.Store(true)
@@ -139,20 +139,20 @@
 		c.Assert(time.Since(begun) < learnedWait/2+2*startupPollInterval, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 		n = &Node{clock: clock.Real{}}
 		begun = time.Now()
-		n.knowledge.stateSince.Store(&begun)
+		n.knowledge.firstStateAt.Store(&begun)
 		n.awaitLearned(t.Context())
-		c.Assert(time.Since(begun) < learnedWait+2*startupPollInterval, qt.IsTrue, qt.Commentf("nobody has it: %v", time.Since(begun)))
+		c.Assert(time.Since(begun) < learnedWait+2*startupPollInterval, qt.IsTrue, qt.Commentf("nothing arrives: %v", time.Since(begun)))
 		c.Assert(n.knowledge.complete.Load(), qt.IsTrue)
 	})
 }
 
-// Nodes that passed on what they had of each other took a guess of one for the knowledge of all, again with each message:
-// for 15 s eight calls were believed of a route that makes none, and served were 15 % of the requests where there was room for 27 %.
-func TestWhatPeersKnowIsTakenOnce(t *testing.T) {
+// Guards against nodes restoring each other's values with every message, which spread the wrong estimate of one node to all:
+// for 15 s eight calls were assumed for a route that makes none, and 15 % of the requests were served with capacity for 27 %.
+func TestLearnedCallsOfPeersAreRestoredOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
-	told := func(calls float64) []loads.Learned {
+	learnedWith := func(calls float64) []loads.Learned {
 		return []loads.Learned{{
 			Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"x": calls}},
 			Times: map[string]loads.RunTiming{"r": {Rate: 1, HoldSeconds: 1}},
@@ -160,19 +160,19 @@
 	}
 	taken := make(chan float64)
 	n.enqueue(func() {
-		n.recallTold("peer", told(1))
-		n.recallTold("peer", told(8))
-		n.stats.drop(time.Now(), n.stats.begin(time.Now(), "r", time.Now()))
+		n.restoreFromPeer("peer", learnedWith(1))
+		n.restoreFromPeer("peer", learnedWith(8))
+		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
-		taken <- n.stats.callsOf("r")["x"]
+		taken <- n.stats.callsPerRun("r")["x"]
 	})
 	c.Assert(<-taken, qt.Equals, 1.0)
 }
 
-// After the loss of all processes backend servers went on with runs that their nodes knew nothing of: the calls of these came
-// alone, as clients' requests do, and were judged so, to and fro for 1.2 s.
-func TestWhatWasJudgedBeforeHoldsAfterAStart(t *testing.T) {
+// Guards against classifying internal routes wrongly after a loss of all processes. Backend servers continued runs unknown to
+// their restarted nodes, so their calls looked like clients' requests, and the classification alternated for 1.2 s.
+func TestRouteClassificationHoldsAfterARestart(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
@@ -180,7 +180,7 @@
 	n.enqueue(func() {
 		now := time.Now()
 		n.control.internalRoutes.recall(now, loads.Learned{CallsPerRun: map[string]callgraph.Rates{"called": {}, "root": {}}, InternalRoutes: []string{"called"}})
-		n.control.reports = map[string]*heldReport{"x": {heard: now, Report: loads.Report{
+		n.control.reports = map[string]*nodeReport{"x": {receivedAt: now, Report: loads.Report{
 			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, WithoutCaller: 90}, "root": {Fresh: 100, WithoutCaller: 90}},
 		}}}
 		n.updateInternalRoutes(now)
@@ -191,13 +191,13 @@
 	c.Assert(<-judged, qt.Equals, [2]bool{true, false})
 }
 
-// A node that was halted while it put together what to store waited for its control goroutine, which had ended.
+// Guards against a halted node that hangs while it collects what to store, waiting for its ended control goroutine.
 func TestAHaltedNodeStoresNothing(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
 	ctx, cancel := context.WithCancel(t.Context())
-	_, ok := n.learnedNow(ctx)
+	_, ok := n.collectLearned(ctx)
 	c.Assert(ok, qt.IsTrue)
 	cancel()
 	for range eventQueueSize {
@@ -206,6 +206,6 @@
 		default:
 		}
 	}
-	_, ok = n.learnedNow(ctx)
+	_, ok = n.collectLearned(ctx)
 	c.Assert(ok, qt.IsFalse)
 }
--- a/pkg/mesh/store_quarantined.go
+++ b/pkg/mesh/store_quarantined.go
@@ -25,15 +25,15 @@
 	var stored uint64
 	var era int64
 	for clock.Sleep(ctx, jitter(storeQuarantinePeriod)) {
-		if n.storeEpoch.left(&era) {
+		if n.storeEpoch.changed(&era) {
 			stored = 0 // the store may have lost what was written
 		}
 		cases := n.quarantinedOf(n.cfg.Service)
 		digest := digestOfCases(cases)
-		if digest == stored || !n.storesForService() {
+		if digest == stored || !n.isServiceWriter() {
 			continue
 		}
-		err := n.callStore(ctx, n.storeWatch.try(), writeHeldCall, storeCallTime, func(ctx context.Context) error {
+		err := n.callStore(ctx, n.storeWatch.newAttempt(), writeHeldCall, storeCallTimeout, func(ctx context.Context) error {
 			return n.store.WriteQuarantined(ctx, Quarantined{Service: n.cfg.Service, Cases: cases})
 		})
 		if err != nil {
--- a/pkg/mesh/suspect_updates.go
+++ b/pkg/mesh/suspect_updates.go
@@ -24,7 +24,7 @@
 	// confined to one server until then.
 	clearedBatchTime = 100 * time.Millisecond
 	// suspectUpdateTime is how long an update is sent with every exchange.
-	suspectUpdateTime = newsTime
+	suspectUpdateTime = recentRecordTTL
 	// maxCaseUpdates bounds the cases in one message, and maxUpdateRuns the runs of all crashes in it, some 90 bytes
 	// each. The newest go first.
 	maxCaseUpdates = 64
@@ -105,21 +105,21 @@
 
 // updateTargets returns up to near random nodes of this zone and up to farOfEach of each other zone. Seeds are left
 // out: they may be the same nodes again, and other nodes would then receive a crash only with the next exchange.
-func (n *Node) updateTargets(near, farOfEach int) []talkTarget {
-	targets := someOf(n.knownTargets(nearOnly), near)
-	byZone := map[string][]talkTarget{}
-	for _, t := range n.knownTargets(farOnly) {
+func (n *Node) updateTargets(near, farOfEach int) []exchangeTarget {
+	targets := randomTargets(n.knownTargets(ownZoneOnly), near)
+	byZone := map[string][]exchangeTarget{}
+	for _, t := range n.knownTargets(otherZonesOnly) {
 		byZone[t.zone] = append(byZone[t.zone], t)
 	}
 	for _, zone := range byZone {
-		targets = append(targets, someOf(zone, farOfEach)...)
+		targets = append(targets, randomTargets(zone, farOfEach)...)
 	}
 	return targets
 }
 
 // sendSuspectUpdates sends urgent updates to the targets, without the content of regular exchanges.
-func (n *Node) sendSuspectUpdates(targets []talkTarget, crashes []poison.Crash, cases []poison.Case) {
-	body := n.encode(n.newSuspectMessage(crashes, cases))
+func (n *Node) sendSuspectUpdates(targets []exchangeTarget, crashes []poison.Crash, cases []poison.Case) {
+	body := n.encodeMessage(n.newSuspectMessage(crashes, cases))
 	for _, t := range targets {
 		go n.exchangeWith(context.Background(), t.host, body)
 	}
@@ -128,8 +128,8 @@
 // newSuspectMessage returns a message with only updates about suspects.
 func (n *Node) newSuspectMessage(crashes []poison.Crash, cases []poison.Case) message {
 	return message{
-		From: n.ip, Zone: n.cfg.Zone, Version: n.version(), Digest: n.control.directory.Digest(), Stopping: n.stop.stopping(),
-		Brief: true, Ends: crashes, Cases: cases,
+		From: n.ip, Zone: n.cfg.Zone, Version: n.stateVersion(), Digest: n.control.directory.Digest(), Stopping: n.stop.stopping(),
+		SuspectsOnly: true, Crashes: crashes, Cases: cases,
 	}
 }
 
--- a/pkg/mesh/suspect_updates_test.go
+++ b/pkg/mesh/suspect_updates_test.go
@@ -26,13 +26,13 @@
 // day.
 func TestCrashUpdateIsSmall(t *testing.T) {
 	c := qt.New(t)
-	body, err := pack(message{Brief: true, Ends: []poison.Crash{crashWithRuns(46)}})
+	body, err := pack(message{SuspectsOnly: true, Crashes: []poison.Crash{crashWithRuns(46)}})
 	c.Assert(err, qt.IsNil)
 	t.Logf("%d bytes", len(body))
 	c.Assert(len(body) < 5<<10, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
 	var back message
 	c.Assert(unpack(body, &back), qt.IsNil)
-	c.Assert(back.Ends, qt.DeepEquals, []poison.Crash{crashWithRuns(46)})
+	c.Assert(back.Crashes, qt.DeepEquals, []poison.Crash{crashWithRuns(46)})
 }
 
 // Updates age while they are retained, are sent for two seconds, and never exceed the bounds of a message; only locally
@@ -61,20 +61,20 @@
 // Exchanges between zones don't repeat updates that were already sent across zones.
 func TestSuspectUpdatesAreNotExchangedAcrossZones(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	a.control.suspects.addCrash(a.clock.Now(), crashWithRuns(3))
 	a.control.suspects.addCase(a.clock.Now(), poison.Case{})
 	near, far := a.newMessage("a"), a.newMessage("b")
-	c.Assert(near.Ends, qt.HasLen, 1)
+	c.Assert(near.Crashes, qt.HasLen, 1)
 	c.Assert(near.Cases, qt.HasLen, 1)
-	c.Assert(len(far.Ends)+len(far.Cases), qt.Equals, 0)
+	c.Assert(len(far.Crashes)+len(far.Cases), qt.Equals, 0)
 }
 
 // A crash is sent to known nodes only, not to seeds, which may be the same nodes again: all nodes of a zone of four
 // receive it.
 func TestCrashIsSentToEachNodeOnce(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	a.cfg.Seeds = []string{"n1:2", "n2:2", "n3:2"}
 	for _, zone := range []string{"a", "b", "c"} {
 		for i := range 4 {
@@ -83,7 +83,7 @@
 	}
 	targets := a.updateTargets(crashNearNodes, crashFarNodes)
 	c.Assert(targets, qt.HasLen, 4+2*crashFarNodes)
-	seen := map[talkTarget]bool{}
+	seen := map[exchangeTarget]bool{}
 	near := 0
 	for _, x := range targets {
 		c.Check(seen[x], qt.IsFalse)
@@ -99,7 +99,7 @@
 // Crash updates about unknown servers must not use memory beyond the bounds of the table.
 func TestCrashesOfUnknownServersCreateNoPeers(t *testing.T) {
 	c := qt.New(t)
-	a := newAsking()
+	a := newFetchingNode()
 	var ends []poison.Crash
 	for i := range 1000 {
 		e := crashWithRuns(1)
@@ -117,7 +117,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := &backend{n: newAsking().Node}
+		b := &backend{n: newFetchingNode().Node}
 		suspect := func() *request { return &request{peerCall: peerCall{Stages: poison.Stages{0, 0, 2}}} }
 		done, refusal := b.awaitTrialTurn(t.Context(), suspect())
 		c.Assert(refusal, qt.IsNil)
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -33,7 +33,7 @@
 	plan := &admissionPlan{}
 	shares := make(chan map[string]overload.Share, 1)
 	n.enqueue(func() {
-		roots := n.roots(time.Now(), []*loads.Report{report}, plan, costs)
+		roots := n.rootDemand(time.Now(), []*loads.Report{report}, plan, costs)
 		shares <- overload.Options{NoMinimumShare: true}.PlanShares(roots, map[string]float64{"a": 2 / overload.TargetUtilization})
 	})
 	got := <-shares
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -69,7 +69,7 @@
 // all known nodes.
 func (n *Node) roleCandidates(now time.Time) zoneMembers {
 	m := zoneMembers{byZone: make(map[string][]string)}
-	justStarted := now.Sub(n.started) < reportLifeLeast
+	justStarted := now.Sub(n.started) < minReportTTL
 	for _, r := range n.control.directory.All() {
 		local := r.Zone == n.cfg.Zone || r.Host == n.ip
 		alive := !local || r.Host == n.ip || n.hasRecentReport(now, r.Host) || justStarted
@@ -97,7 +97,7 @@
 // hasRecentReport reports whether a node of the local zone has sent a report lately and isn't leaving.
 func (n *Node) hasRecentReport(now time.Time, host string) bool {
 	r := n.control.reports[host]
-	return r != nil && !r.Leaving && now.Sub(r.heard) <= max(memberExchanges*n.calmTalkPeriod(), minMemberTime)
+	return r != nil && !r.Leaving && now.Sub(r.receivedAt) <= max(memberExchanges*n.calmExchangePeriod(), minMemberTime)
 }
 
 // isStopping reports whether a node is known to be stopping.
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -227,7 +227,7 @@
 	const revoke = 1500 * time.Millisecond
 	s := newServingTeamSite(t, 2, 2, revoke)
 	for _, n := range s.nodes {
-		s.store.turnAway(n.ip, true)
+		s.store.setRejected(n.ip, true)
 	}
 	s.store.put(teamState(2, func(st *desired.State) { st.Teams[0].Keys = nil }))
 	confirmed := time.Now()
@@ -250,7 +250,7 @@
 	}
 	c.Check(served > 0, qt.IsTrue) // served for as long as is safe
 	for _, n := range s.nodes {
-		s.store.turnAway(n.ip, false)
+		s.store.setRejected(n.ip, false)
 	}
 	back := time.Now()
 	s.waitUntilAccepted("kr1")
@@ -270,7 +270,7 @@
 	const revoke = 1500 * time.Millisecond
 	s := newServingTeamSite(t, 2, 3, revoke)
 	for _, n := range s.nodes[:3] {
-		s.store.turnAway(n.ip, true) // all nodes of one zone
+		s.store.setRejected(n.ip, true) // all nodes of one zone
 	}
 	for end := time.Now().Add(2 * revoke); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for i := range s.nodes {
@@ -345,7 +345,7 @@
 	c.Check(log.String(), qt.Contains, "red key")
 	c.Check(log.String(), qt.Not(qt.Contains), "very-secret")
 	c.Check(fmt.Sprintf("%+v", s.nodes[0].Dump()), qt.Not(qt.Contains), "very-secret")
-	c.Check(s.nodes[0].version(), qt.Equals, int64(1))
+	c.Check(s.nodes[0].stateVersion(), qt.Equals, int64(1))
 	status, _ := s.send(0, "/read/x", "still", withKey("very-secret"))
 	c.Check(status, qt.Equals, http.StatusOK)
 }
@@ -459,7 +459,7 @@
 	n.quotas.mu.Lock()
 	n.quotas.pool.AddGranted(clock.Boot(k), "blue", 5)
 	n.quotas.mu.Unlock()
-	s.store.turnAway(n.ip, true)
+	s.store.setRejected(n.ip, true)
 	for i := range 20 { // a request or the control goroutine may notice the suspension first
 		k.suspended.Add(int64(10 * time.Second))
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
--- a/pkg/mesh/traffic_at_gate_test.go
+++ b/pkg/mesh/traffic_at_gate_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// After a route's limit was lowered all its calls looked seconds older than they were, and went before those of other routes
-// for the rest of the process's life.
+// Guards against overestimated ages: after a route's timeout was lowered, all its calls looked seconds older than they were,
+// and went before those of other routes until the process ended.
 func TestCallsDontLookOldAfterTheirLimitWasLowered(t *testing.T) {
 	c := qt.New(t)
 	var s trafficStats
@@ -19,7 +19,7 @@
 	now = now.Add(time.Second)
 	c.Assert(age(2*time.Second), qt.Equals, time.Second)
 	for range 2 {
-		now = now.Add(mostMemory)
+		now = now.Add(recentMaxWindow)
 		age(700 * time.Millisecond)
 	}
 	c.Assert(age(500*time.Millisecond), qt.Equals, 200*time.Millisecond)
--- a/pkg/mesh/traffic_entries.go
+++ b/pkg/mesh/traffic_entries.go
@@ -6,33 +6,34 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// entryStats counts the requests of one kind (loads.Kind) that begin on this VM.
+// entryStats counts the requests of one kind (loads.Kind) that begin on this VM, and limits their admission.
 type entryStats struct {
-	fresh, returning overload.DecayingRate
-	alone            overload.DecayingRate // came while no run was in progress that can have made them
-	longest          time.Duration         // most time that a client of this kind ever had left
-	mayFresh         overload.AdmissionBucket
-	mayReturning     overload.AdmissionBucket
+	firstAttempts, retries overload.DecayingRate
+	standalone             overload.DecayingRate // came while no run in progress can have made them
+	maxTimeLeft            time.Duration         // longest time to the deadline that a request of this kind ever had
+	firstAllowance         overload.AdmissionBucket
+	retryAllowance         overload.AdmissionBucket
 }
 
-// returningShare of the longest time that clients of a kind have is the time left below which an attempt
-// is one of a client that was refused before: a first attempt brings the whole time.
-const returningShare = 0.995
+// retryTimeFraction is the fraction of a kind's longest time to the deadline below which an attempt counts as a client's
+// retry after a refusal: a first attempt still has the client's whole timeout.
+const retryTimeFraction = 0.995
 
-// admit counts a request and decides whether it is taken in; the shares are those of its kind.
-func (s *trafficStats) admit(now time.Time, kind string, left time.Duration, share overload.Share) (ok, returning bool) {
+// admit counts a request with the given time to its deadline, and decides by its kind's shares whether it is admitted;
+// retry tells whether it counts as a client's retry after a refusal.
+func (s *trafficStats) admit(now time.Time, kind string, left time.Duration, share overload.Share) (ok, retry bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entry(kind)
-	if e.isReturning(left) {
-		e.returning.Add(now, 1)
-		return e.mayReturning.Admit(now, share.Returning, &e.returning), true
+	if e.isRetry(left) {
+		e.retries.Add(now, 1)
+		return e.retryAllowance.Admit(now, share.Returning, &e.retries), true
 	}
-	e.fresh.Add(now, 1)
-	return e.mayFresh.Admit(now, share.Fresh, &e.fresh), false
+	e.firstAttempts.Add(now, 1)
+	return e.firstAllowance.Admit(now, share.Fresh, &e.firstAttempts), false
 }
 
-// entry returns the counts of a kind, made if it is new.
+// entry returns the counts of a kind, and creates them if the kind is new. s.mu must be held.
 func (s *trafficStats) entry(kind string) *entryStats {
 	e := s.entries[kind]
 	if e == nil {
@@ -42,17 +43,18 @@
 	return e
 }
 
-// begins notes a request that begins on this VM, with its time limit: it may be a call of a run in progress or not.
-func (s *trafficStats) begins(now time.Time, kind string, deadline time.Time) {
+// noteEntry counts a request that begins on this VM as standalone, unless its deadline allows that a run in progress made
+// it.
+func (s *trafficStats) noteEntry(now time.Time, kind string, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.learner.HasPossibleCaller(deadline) {
-		s.entry(kind).alone.Add(now, 1)
+		s.entry(kind).standalone.Add(now, 1)
 	}
 }
 
-// isReturning tells whether an attempt with that time left is one of a client that was refused before.
-func (e *entryStats) isReturning(left time.Duration) bool {
-	e.longest = max(e.longest, left)
-	return float64(left) < returningShare*float64(e.longest)
+// isRetry notes an attempt's time to its deadline, and reports whether it counts as a client's retry after a refusal.
+func (e *entryStats) isRetry(left time.Duration) bool {
+	e.maxTimeLeft = max(e.maxTimeLeft, left)
+	return float64(left) < retryTimeFraction*float64(e.maxTimeLeft)
 }
--- a/pkg/mesh/traffic_runs_test.go
+++ b/pkg/mesh/traffic_runs_test.go
@@ -9,8 +9,8 @@
 	"github.com/rockspoke/rockspoke/pkg/gate"
 )
 
-// Runs that fail end before they have made their calls. Learning from them made an overloaded service look
-// cheaper to call, so more was admitted, and the overload stayed for as long as it was watched.
+// Guards against learning from failed runs, which end before they have made all their calls. That made an overloaded service
+// look cheaper to call, so more was admitted, and the overload persisted.
 func TestFailingRunsArentLearnedFrom(t *testing.T) {
 	c := qt.New(t)
 	var s trafficStats
@@ -19,18 +19,18 @@
 	step := func(good int) float64 {
 		for i := range 10 {
 			end := now.Add(time.Second)
-			run := s.begin(now, "r", end)
-			s.called(now, "call", end)
+			run := s.beginRun(now, "r", end)
+			s.noteCall(now, "call", end)
 			outcome := gate.Failed
 			if i < good {
-				s.called(now, "call", end)
+				s.noteCall(now, "call", end)
 				outcome = gate.Answered
 			}
 			now = now.Add(10 * time.Millisecond)
-			s.end(now, "r", run, 10*time.Millisecond, outcome)
+			s.endRun(now, "r", run, 10*time.Millisecond, outcome)
 		}
-		s.look(now)
-		return s.callsOf("r")["call"]
+		s.updateLearner(now)
+		return s.callsPerRun("r")["call"]
 	}
 	for range 20 {
 		c.Assert(step(10), qt.Equals, 2.0)
--- a/pkg/mesh/traffic_stats.go
+++ b/pkg/mesh/traffic_stats.go
@@ -9,61 +9,61 @@
 	"github.com/rockspoke/rockspoke/pkg/overload"
 )
 
-// trafficStats counts this node's own traffic.
+// trafficStats counts the requests that begin at this node, arrive at its gate and run at the local backend server.
 type trafficStats struct {
 	mu      sync.Mutex
 	entries map[string]*entryStats // by loads.Kind
 	runs    map[string]*runStats
-	// longestCall is the most time that a call of each route had left when it came to the gate.
-	longestCall map[string]*recentMost
-	learner     callgraph.Learner     // of the calls that the server on this VM makes
-	arrived     overload.DecayingRate // requests at the gate
-	turned      overload.DecayingRate // calls that the gate refused for want of room
-	refused     overload.DecayingRate // the same, roots included
+	// maxTimeLeft is, by route, the longest time to the deadline that recent calls had when they arrived at the gate.
+	maxTimeLeft      map[string]*recentMax
+	learner          callgraph.Learner     // of the calls that the local backend server makes
+	gateArrivals     overload.DecayingRate // all requests that arrive at the gate
+	rejectedCalls    overload.DecayingRate // internal calls that the gate rejected for lack of slots
+	rejectedRequests overload.DecayingRate // the same, root requests included
 }
 
 func (s *trafficStats) init() {
 	s.entries = make(map[string]*entryStats)
 	s.runs = make(map[string]*runStats)
-	s.longestCall = make(map[string]*recentMost)
+	s.maxTimeLeft = make(map[string]*recentMax)
 }
 
-// leastReported is the rate a second below which a route isn't reported: it takes no part worth planning for.
-const leastReported = 0.3
+// minReportedRate is the rate per second below which a route isn't reported: its load is too small to plan for.
+const minReportedRate = 0.3
 
-// report returns the counts as rates.
+// report returns the counts as rates per second, and the average slot hold times in seconds.
 func (s *trafficStats) report(now time.Time) loads.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := loads.Report{Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}
 	for kind, e := range s.entries {
-		f, b := e.fresh.PerSecond(now), e.returning.PerSecond(now)
-		if f+b > leastReported {
-			r.Entries[kind] = loads.Entry{Fresh: round(f), Returning: round(b), WithoutCaller: round(e.alone.PerSecond(now))}
+		first, retries := e.firstAttempts.PerSecond(now), e.retries.PerSecond(now)
+		if first+retries > minReportedRate {
+			r.Entries[kind] = loads.Entry{Fresh: round(first), Returning: round(retries), WithoutCaller: round(e.standalone.PerSecond(now))}
 		}
 	}
 	for route, x := range s.runs {
-		rate, held := x.rate.PerSecond(now), x.held.PerSecond(now)
-		if rate > leastReported {
-			r.Runs[route] = loads.RunStats{Rate: round(rate), HoldSeconds: round(held / rate), CallsPerRun: s.callsOf(route)}
+		rate, held := x.rate.PerSecond(now), x.holdSeconds.PerSecond(now)
+		if rate > minReportedRate {
+			r.Runs[route] = loads.RunStats{Rate: round(rate), HoldSeconds: round(held / rate), CallsPerRun: s.callsPerRun(route)}
 		}
 	}
 	return r
 }
 
-// coming returns how many requests a second begin at this node or come to its gate.
-func (s *trafficStats) coming(now time.Time) float64 {
+// arrivalRate returns the requests per second that begin at this node or arrive at its gate.
+func (s *trafficStats) arrivalRate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := s.arrived.PerSecond(now)
+	sum := s.gateArrivals.PerSecond(now)
 	for _, e := range s.entries {
-		sum += e.fresh.PerSecond(now) + e.returning.PerSecond(now)
+		sum += e.firstAttempts.PerSecond(now) + e.retries.PerSecond(now)
 	}
 	return sum
 }
 
-// callsOf returns the calls of one run of a route, as far as they are learned.
-func (s *trafficStats) callsOf(route string) callgraph.Rates {
+// callsPerRun returns the calls that one run of a route makes, by called route, as far as they are learned.
+func (s *trafficStats) callsPerRun(route string) callgraph.Rates {
 	calls := callgraph.Rates{}
 	for called, n := range s.learner.CallsPerRun(route) {
 		calls[called] = round(n)
@@ -71,5 +71,5 @@
 	return calls
 }
 
-// round keeps four decimals, so that messages stay short.
+// round rounds a non-negative value to four decimals, which keeps messages short.
 func round(v float64) float64 { return float64(int64(v*1e4+0.5)) / 1e4 }
--- a/pkg/mesh/write_records.go
+++ b/pkg/mesh/write_records.go
@@ -9,22 +9,22 @@
 
 // The times of calls to the store.
 const (
-	// storeCallTime bounds one call.
-	storeCallTime = 1500 * time.Millisecond
-	// followTime bounds a call that waits for changes: longer than any store holds one.
-	followTime = time.Minute
+	// storeCallTimeout bounds one call.
+	storeCallTimeout = 1500 * time.Millisecond
+	// followCallTimeout bounds a call that waits for changes; it is longer than any store keeps such a call open.
+	followCallTimeout = time.Minute
 	// storeRetryFirst and storeRetryMost bound the wait before a call is made again.
 	storeRetryFirst = 150 * time.Millisecond
-	storeRetryMost  = 800 * time.Millisecond
+	storeRetryMax   = 800 * time.Millisecond
 )
 
-// knownEnough is the number of nodes, this one included, from which news spreads by exchanges alone.
-const knownEnough = 3
+// minKnownNodes is the number of known nodes, this one included, from which updates spread by exchanges alone.
+const minKnownNodes = 3
 
-// writeRecords writes the record whenever it has changed, and again until the store has it.
+// writeRecords writes this VM's record whenever it has changed, and retries until the store has it or ctx ends.
 func (n *Node) writeRecords(ctx context.Context) {
-	// Nothing is stored before the first start. After a restart what was recalled of the own server is most likely what its
-	// next heartbeat says, and needs no write.
+	// Nothing is stored before the first start. After a restart, the restored local record most likely equals the next
+	// heartbeat, and needs no write.
 	if !n.cfg.Mesh.FirstStart && !n.records.awaitFirstRead(ctx) {
 		return
 	}
@@ -40,28 +40,28 @@
 				return
 			}
 		}
-		t := n.storeWatch.try()
+		t := n.storeWatch.newAttempt()
 		if n.writeRecord(ctx, t, r) {
 			continue
 		}
-		if !t.sleep(ctx, jitter(wait.next(storeRetryFirst, storeRetryMost))) {
+		if !t.sleep(ctx, jitter(wait.next(storeRetryFirst, storeRetryMax))) {
 			return
 		}
 	}
 }
 
-// writeRecord makes one call, and reports whether the store has the record.
-func (n *Node) writeRecord(ctx context.Context, t storeTry, r directory.Record) bool {
-	err := n.callStore(ctx, t, writeRecordCall, storeCallTime, func(ctx context.Context) error {
+// writeRecord makes one call, and reports whether the store has the record. It requests a read if few nodes are known.
+func (n *Node) writeRecord(ctx context.Context, t storeAttempt, r directory.Record) bool {
+	err := n.callStore(ctx, t, writeRecordCall, storeCallTimeout, func(ctx context.Context) error {
 		return n.store.WriteRecord(ctx, r)
 	})
 	if err != nil {
-		n.controlLog.Warn("record not stored", "generation", r.Generation, "err", err)
+		n.controlLog.Warn("failed to store record", "generation", r.Generation, "err", err)
 		return false
 	}
-	n.records.done(r.Generation)
-	if n.knownNodes.Load() < knownEnough {
-		n.records.askRead()
+	n.records.markDurable(r.Generation)
+	if n.knownNodes.Load() < minKnownNodes {
+		n.records.requestRead()
 	}
 	return true
 }
