--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -13,12 +13,12 @@
 var start = time.Unix(1000, 0)
 
 func beat(id string, call int64, draining bool) Registration {
-	return Registration{Instance: id, Service: "s", Zone: "z", Slots: 5, Call: call, Draining: draining}
+	return Registration{Instance: id, Service: "s", Zone: "z", Slots: 5, CallSeq: call, Draining: draining}
 }
 
 func TestALateHeartbeatDoesNotReviveAServer(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	c.Assert(o.Heartbeat(start, beat("a", 1, false)), qt.IsTrue)
 	c.Assert(o.Leave(Lifetime{Instance: "a"}), qt.IsTrue)
 	c.Assert(o.Heartbeat(start, beat("a", 2, false)), qt.IsFalse)
@@ -27,7 +27,7 @@
 
 func TestAnEarlierCallDoesNotTakeDrainingBack(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, beat("a", 5, true))
 	c.Assert(o.Heartbeat(start, beat("a", 4, false)), qt.IsFalse)
 	c.Assert(o.Heartbeat(start, beat("a", 6, false)), qt.IsFalse)
@@ -36,7 +36,7 @@
 
 func TestTheNextServerAtTheAddressServes(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, beat("a", 9, false))
 	o.Leave(Lifetime{Instance: "a"})
 	c.Assert(o.Heartbeat(start, beat("b", 1, false)), qt.IsTrue)
@@ -49,16 +49,16 @@
 // as long as that one's heartbeats are apart, all requests named a server that was gone.
 func TestALateHeartbeatOfAnEarlierServerChangesNothing(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
-	early := Registration{Instance: "i1", Service: "s", Zone: "z", Slots: 4, Call: 7}
-	next := Registration{Instance: "i2", Service: "s", Zone: "z", Slots: 4, Call: 1}
+	o := LocalServer{Host: "h"}
+	early := Registration{Instance: "i1", Service: "s", Zone: "z", Slots: 4, CallSeq: 7}
+	next := Registration{Instance: "i2", Service: "s", Zone: "z", Slots: 4, CallSeq: 1}
 	c.Assert(o.Heartbeat(start, early), qt.IsTrue)
 	c.Assert(o.Heartbeat(start, next), qt.IsTrue)
 	before := o.Record()
-	early.Call++
+	early.CallSeq++
 	c.Assert(o.Heartbeat(start, early), qt.IsFalse)
 	c.Assert(o.Record(), qt.Equals, before)
-	next.Call++
+	next.CallSeq++
 	c.Assert(o.Heartbeat(start, next), qt.IsFalse)
 	c.Assert(o.Leave(Lifetime{Instance: "i1"}), qt.IsFalse, qt.Commentf("nor does a late word that it ends"))
 	c.Assert(o.Record(), qt.Equals, before)
@@ -66,9 +66,9 @@
 
 func TestARestartedNodeRecallsItsServerUntilItSpeaks(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	old := Record{Host: "h", Generation: 7, Instance: "a", Service: "s", Slots: 5, Phase: Draining}
-	c.Assert(o.Recall(old), qt.IsTrue)
+	c.Assert(o.Restore(old), qt.IsTrue)
 	c.Assert(o.Record(), qt.Equals, old)
 	c.Assert(o.Heartbeat(start, beat("a", 3, false)), qt.IsTrue, qt.Commentf("zone is news"))
 	c.Assert(o.Record().Phase, qt.Equals, Draining, qt.Commentf("leaving isn't taken back"))
@@ -77,9 +77,9 @@
 
 func TestAServerThatSpokeGoesAboveWhatOthersRemember(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, beat("b", 1, false))
-	c.Assert(o.Recall(Record{Host: "h", Generation: 40, Instance: "a", Service: "s", Phase: Gone}), qt.IsTrue)
+	c.Assert(o.Restore(Record{Host: "h", Generation: 40, Instance: "a", Service: "s", Phase: Gone}), qt.IsTrue)
 	c.Assert(o.Record().Instance, qt.Equals, "b")
 	c.Assert(o.Record().Generation, qt.Equals, int64(41))
 }
--- a/pkg/directory/lifetime_test.go
+++ b/pkg/directory/lifetime_test.go
@@ -10,27 +10,27 @@
 // life is a heartbeat of one life of a server.
 func life(id string, born, call int64, draining bool) Registration {
 	r := beat(id, call, draining)
-	r.Born = born
+	r.StartedMS = born
 	return r
 }
 
 // A server that was back under its id counted its calls from the start, and wasn't heard until they had passed the old count; one that had been
 // draining or had left was never heard again.
 func TestAServerThatIsBackUnderItsIDServesAtOnce(t *testing.T) {
-	for name, before := range map[string]func(o *OwnServer){
-		"crashed":  func(*OwnServer) {},
-		"draining": func(o *OwnServer) { o.Heartbeat(start, life("a", 100, 41, true)) },
-		"left":     func(o *OwnServer) { o.Leave(Lifetime{"a", 100}) },
+	for name, before := range map[string]func(o *LocalServer){
+		"crashed":  func(*LocalServer) {},
+		"draining": func(o *LocalServer) { o.Heartbeat(start, life("a", 100, 41, true)) },
+		"left":     func(o *LocalServer) { o.Leave(Lifetime{"a", 100}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			o := OwnServer{Host: "h"}
+			o := LocalServer{Host: "h"}
 			o.Heartbeat(start, life("a", 100, 40, false))
 			first := o.Record()
 			before(&o)
 			c.Assert(o.Heartbeat(start, life("a", 200, 1, false)), qt.IsTrue)
 			c.Assert(o.Record().Phase, qt.Equals, Serving)
-			c.Assert(o.Record().LifeName(), qt.Not(qt.Equals), first.LifeName())
+			c.Assert(o.Record().LifetimeID(), qt.Not(qt.Equals), first.LifetimeID())
 			after := o.Record()
 			c.Assert(o.Heartbeat(start, life("a", 100, 50, true)), qt.IsFalse, qt.Commentf("a late heartbeat of the life before"))
 			c.Assert(o.Leave(Lifetime{"a", 100}), qt.IsFalse, qt.Commentf("and its late word that it ends"))
@@ -45,7 +45,7 @@
 // comes at once, and isn't.
 func TestALifeThatSeemsOlderIsTakenOnceItGoesOnSpeaking(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, life("b", 500, 9, false))
 	for call := range int64(3) {
 		c.Assert(o.Heartbeat(start, life("a", 400, call, false)), qt.IsFalse, qt.Commentf("held back, all at once"))
@@ -54,27 +54,27 @@
 	c.Assert(o.Heartbeat(start, life("b", 300, 1, false)), qt.IsFalse, qt.Commentf("the clock has stepped back"))
 	c.Assert(o.Heartbeat(start.Add(oddTime/2), life("b", 300, 2, false)), qt.IsFalse)
 	c.Assert(o.Heartbeat(start.Add(oddTime), life("b", 300, 3, false)), qt.IsTrue)
-	c.Assert(o.Record().Born, qt.Equals, int64(300))
+	c.Assert(o.Record().StartedMS, qt.Equals, int64(300))
 	c.Assert(o.Heartbeat(start, life("b", 500, 11, false)), qt.IsFalse, qt.Commentf("that life is over"))
 }
 
 // Servers that don't say when they were born, and start again under their id, are told by their calls.
 func TestARestartWithoutABirthIsToldByItsCalls(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
+	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, life("a", 0, 40, false))
 	before := o.Record()
 	c.Assert(o.Heartbeat(start, life("a", 0, 1, false)), qt.IsFalse)
 	c.Assert(o.Heartbeat(start.Add(oddTime), life("a", 0, 2, false)), qt.IsTrue)
-	c.Assert(o.Record().LifeName(), qt.Not(qt.Equals), before.LifeName())
+	c.Assert(o.Record().LifetimeID(), qt.Not(qt.Equals), before.LifetimeID())
 }
 
 // After a restart of the node the recalled life goes on, and late words of older ones change nothing.
 func TestARecalledLifeGoesOn(t *testing.T) {
 	c := qt.New(t)
-	o := OwnServer{Host: "h"}
-	was := Record{Host: "h", Generation: 7, Since: 5, Instance: "a", Service: "s", Zone: "z", Slots: 5, Phase: Serving, Born: 200}
-	c.Assert(o.Recall(was), qt.IsTrue)
+	o := LocalServer{Host: "h"}
+	was := Record{Host: "h", Generation: 7, FirstGeneration: 5, Instance: "a", Service: "s", Zone: "z", Slots: 5, Phase: Serving, StartedMS: 200}
+	c.Assert(o.Restore(was), qt.IsTrue)
 	c.Assert(o.Leave(Lifetime{"a", 100}), qt.IsFalse)
 	c.Assert(o.Heartbeat(start, life("a", 100, 90, false)), qt.IsFalse)
 	c.Assert(o.Heartbeat(start, life("a", 200, 3, false)), qt.IsFalse, qt.Commentf("it says nothing new"))
@@ -84,7 +84,7 @@
 // Whatever comes late, and in whatever order, after the newest life has spoken its record stands.
 func TestLateWordsOfOlderLivesChangeNothing(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		o := OwnServer{Host: "h"}
+		o := LocalServer{Host: "h"}
 		lives := rapid.IntRange(2, 5).Draw(r, "lives")
 		for i := range lives {
 			if rapid.Bool().Draw(r, "heard") {
--- a/pkg/directory/own_server.go
+++ b/pkg/directory/own_server.go
@@ -15,9 +15,9 @@
 	oddTime = 2 * time.Second
 )
 
-// OwnServer is the backend server beside a node, as its own heartbeats tell. It decides when the Record
+// LocalServer is the backend server beside a node, as its own heartbeats tell. It decides when the Record
 // changes, and that what an older life of the server says, which may come late and in any order, changes nothing.
-type OwnServer struct {
+type LocalServer struct {
 	Host string
 
 	record   Record
@@ -45,7 +45,7 @@
 )
 
 // Heartbeat takes a heartbeat, and reports whether the Record changed.
-func (o *OwnServer) Heartbeat(now time.Time, r Registration) bool {
+func (o *LocalServer) Heartbeat(now time.Time, r Registration) bool {
 	rel := o.relate(r)
 	if rel == doubt && o.goesOn(now, r) {
 		rel = next
@@ -54,26 +54,26 @@
 		return false
 	}
 	o.odd = oddLife{}
-	o.lastCall = r.Call
+	o.lastCall = r.CallSeq
 	o.heard = true
 	if rel == next {
 		return o.begin(r)
 	}
-	return o.change(r, max(o.record.Phase, r.phase()), o.record.Since) // leaving isn't taken back
+	return o.change(r, max(o.record.Phase, r.phase()), o.record.FirstGeneration) // leaving isn't taken back
 }
 
 // relate compares a heartbeat with the life that is in force.
-func (o *OwnServer) relate(r Registration) relation {
+func (o *LocalServer) relate(r Registration) relation {
 	at, now := r.Lifetime(), o.record.Lifetime()
-	known := at.Born > 0 && now.Born > 0
+	known := at.StartedMS > 0 && now.StartedMS > 0
 	switch {
 	case slices.Contains(o.left, at):
 		return late
 	case o.record.Instance == "":
 		return next
-	case at.Instance == now.Instance && (!known || at.Born == now.Born):
+	case at.Instance == now.Instance && (!known || at.StartedMS == now.StartedMS):
 		return o.relateCalls(r, known)
-	case known && at.Born < now.Born:
+	case known && at.StartedMS < now.StartedMS:
 		return doubt
 	default:
 		return next
@@ -81,9 +81,9 @@
 }
 
 // relateCalls compares a heartbeat that names the life in force, or doesn't say when it began.
-func (o *OwnServer) relateCalls(r Registration, known bool) relation {
+func (o *LocalServer) relateCalls(r Registration, known bool) relation {
 	switch {
-	case r.Call >= o.lastCall:
+	case r.CallSeq >= o.lastCall:
 		return same
 	case known || o.record.Phase > Serving:
 		return late
@@ -93,17 +93,17 @@
 }
 
 // goesOn tells whether a life that seems to be older has gone on speaking.
-func (o *OwnServer) goesOn(now time.Time, r Registration) bool {
-	if o.odd.life != r.Lifetime() || r.Call <= o.odd.call {
-		o.odd = oddLife{life: r.Lifetime(), call: r.Call, since: now}
+func (o *LocalServer) goesOn(now time.Time, r Registration) bool {
+	if o.odd.life != r.Lifetime() || r.CallSeq <= o.odd.call {
+		o.odd = oddLife{life: r.Lifetime(), call: r.CallSeq, since: now}
 		return false
 	}
-	o.odd.call = r.Call
+	o.odd.call = r.CallSeq
 	return now.Sub(o.odd.since) >= oddTime
 }
 
 // begin begins the next life: it knows nothing of the one before, which has ended.
-func (o *OwnServer) begin(r Registration) bool {
+func (o *LocalServer) begin(r Registration) bool {
 	if o.record.Instance != "" {
 		o.hasLeft(o.record.Lifetime()) // its heartbeats that are still on the way come too late
 	}
@@ -111,10 +111,10 @@
 }
 
 // change writes the Record as a heartbeat tells it, and reports whether it changed.
-func (o *OwnServer) change(r Registration, phase Phase, since int64) bool {
+func (o *LocalServer) change(r Registration, phase Phase, since int64) bool {
 	to := Record{
 		Host: o.Host, Generation: o.record.Generation, Instance: r.Instance, Service: r.Service,
-		Zone: r.Zone, Release: r.Release, Slots: r.Slots, Phase: phase, Born: max(r.Born, o.bornOf(since)), Since: since,
+		Zone: r.Zone, Release: r.Release, Slots: r.Slots, Phase: phase, StartedMS: max(r.StartedMS, o.bornOf(since)), FirstGeneration: since,
 	}
 	if to == o.record {
 		return false
@@ -125,19 +125,19 @@
 }
 
 // bornOf returns when the life that began with a generation did, if it has said so before.
-func (o *OwnServer) bornOf(since int64) int64 {
-	if since == o.record.Since {
-		return o.record.Born
+func (o *LocalServer) bornOf(since int64) int64 {
+	if since == o.record.FirstGeneration {
+		return o.record.StartedMS
 	}
 	return 0
 }
 
 // Leave notes that a life has left, and reports whether the Record changed. Who leaves may not say when it was born: then the life of that instance is
 // meant that is in force.
-func (o *OwnServer) Leave(at Lifetime) bool {
+func (o *LocalServer) Leave(at Lifetime) bool {
 	now := o.record.Lifetime()
-	if at.Instance == now.Instance && (at.Born == 0 || now.Born == 0) {
-		at.Born = now.Born
+	if at.Instance == now.Instance && (at.StartedMS == 0 || now.StartedMS == 0) {
+		at.StartedMS = now.StartedMS
 	}
 	o.hasLeft(at)
 	switch {
@@ -145,20 +145,20 @@
 		if o.record.Phase == Gone {
 			return false
 		}
-	case o.heard, at.Born > 0 && at.Born < now.Born:
+	case o.heard, at.StartedMS > 0 && at.StartedMS < now.StartedMS:
 		return false // an older server that stood here
 	default:
-		o.record.Since = o.record.Generation + 1
+		o.record.FirstGeneration = o.record.Generation + 1
 	}
 	o.record.Host = o.Host
-	o.record.Instance, o.record.Born = at.Instance, at.Born
+	o.record.Instance, o.record.StartedMS = at.Instance, at.StartedMS
 	o.record.Phase = Gone
 	o.record.Generation++
 	return true
 }
 
 // hasLeft remembers that a life has left; it never comes back.
-func (o *OwnServer) hasLeft(at Lifetime) {
+func (o *LocalServer) hasLeft(at Lifetime) {
 	if slices.Contains(o.left, at) {
 		return
 	}
@@ -168,9 +168,9 @@
 	o.left = append(o.left, at)
 }
 
-// Recall takes what others remember of this server, after a restart of the node; it reports whether the
+// Restore takes what others remember of this server, after a restart of the node; it reports whether the
 // Record changed. Once the server itself has been heard, only the generation is taken.
-func (o *OwnServer) Recall(r Record) bool {
+func (o *LocalServer) Restore(r Record) bool {
 	if r.Host != o.Host || !r.newer(o.record) {
 		return false
 	}
@@ -191,9 +191,9 @@
 
 // as returns the record with the generations of another.
 func (r Record) as(o Record) Record {
-	r.Generation, r.Since = o.Generation, o.Since
+	r.Generation, r.FirstGeneration = o.Generation, o.FirstGeneration
 	return r
 }
 
 // Record returns what is known now.
-func (o *OwnServer) Record() Record { return o.record }
+func (o *LocalServer) Record() Record { return o.record }
--- a/pkg/directory/record.go
+++ b/pkg/directory/record.go
@@ -22,29 +22,29 @@
 
 // Record is what a node says of the backend server beside it.
 type Record struct {
-	Host       string `json:"h"`           // IP number of the VM
-	Generation int64  `json:"g"`           // grows with every change
-	Instance   string `json:"i,omitempty"` // identity of this start of the server
-	Service    string `json:"s,omitempty"`
-	Zone       string `json:"z,omitempty"`
-	Release    string `json:"r,omitempty"` // version of the server's software
-	Slots      int    `json:"n,omitempty"` // requests that it works on at once
-	Phase      Phase  `json:"p,omitempty"`
-	Born       int64  `json:"b,omitempty"` // when this life of the server began, as it says, in Unix milliseconds; 0: it doesn't
-	Since      int64  `json:"f,omitempty"` // the generation with which this life began
+	Host            string `json:"h"`           // IP number of the VM
+	Generation      int64  `json:"g"`           // grows with every change
+	Instance        string `json:"i,omitempty"` // identity of this start of the server
+	Service         string `json:"s,omitempty"`
+	Zone            string `json:"z,omitempty"`
+	Release         string `json:"r,omitempty"` // version of the server's software
+	Slots           int    `json:"n,omitempty"` // requests that it works on at once
+	Phase           Phase  `json:"p,omitempty"`
+	StartedMS       int64  `json:"b,omitempty"` // when this life of the server began, as it says, in Unix milliseconds; 0: it doesn't
+	FirstGeneration int64  `json:"f,omitempty"` // the generation with which this life began
 }
 
 // Lifetime is one life of a backend server. It may start again under the same instance, and is another one then.
 type Lifetime struct {
-	Instance string
-	Born     int64 // Unix milliseconds; 0: not said
+	Instance  string
+	StartedMS int64 // Unix milliseconds; 0: not said
 }
 
 // Lifetime returns which life of its server the record speaks of.
-func (r Record) Lifetime() Lifetime { return Lifetime{r.Instance, r.Born} }
+func (r Record) Lifetime() Lifetime { return Lifetime{r.Instance, r.StartedMS} }
 
 // Lifetime returns which life of the server speaks.
-func (r Registration) Lifetime() Lifetime { return Lifetime{r.Instance, r.Born} }
+func (r Registration) Lifetime() Lifetime { return Lifetime{r.Instance, r.StartedMS} }
 
 // phase returns where the server says that it stands.
 func (r Registration) phase() Phase {
@@ -54,26 +54,26 @@
 	return Serving
 }
 
-// LifeName names the life for other nodes, and differs from that of any other life at this host, whatever the server says of its birth.
-func (r Record) LifeName() string {
+// LifetimeID names the life for other nodes, and differs from that of any other life at this host, whatever the server says of its birth.
+func (r Record) LifetimeID() string {
 	if r.Instance == "" {
 		return ""
 	}
-	return r.Instance + "/" + strconv.FormatInt(r.Since, 10)
+	return r.Instance + "/" + strconv.FormatInt(r.FirstGeneration, 10)
 }
 
 // Registration is a heartbeat of a backend server, as its node heard it.
 type Registration struct {
-	Instance string
-	Address  string // IP:port
-	Service  string
-	Zone     string
-	Release  string
-	Slots    int
-	Draining bool
-	Call     int64         // grows with every call of the server, so that a late one can be told
-	Born     int64         // Unix milliseconds of its start; 0: not said
-	ColdLeft time.Duration // how much longer the server is slow after its start
+	Instance   string
+	Address    string // IP:port
+	Service    string
+	Zone       string
+	Release    string
+	Slots      int
+	Draining   bool
+	CallSeq    int64         // grows with every call of the server, so that a late one can be told
+	StartedMS  int64         // Unix milliseconds of its start; 0: not said
+	WarmupLeft time.Duration // how much longer the server is slow after its start
 }
 
 // newer tells whether r replaces old.
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -65,7 +65,7 @@
 func (b *backend) runAtServer(ctx context.Context, q *request, own directory.Record) *answer {
 	started := b.n.clock.Now()
 	run := b.n.stats.begin(started, q.Route, q.deadline.Add(-answerMargin))
-	at := &serverRun{q: q, lifetime: own.LifeName(), started: started}
+	at := &serverRun{q: q, lifetime: own.LifetimeID(), started: started}
 	b.runs.begin(at)
 	a, outcome := b.send(ctx, q, own.Instance)
 	if a.broken {
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -15,7 +15,7 @@
 
 // controlState is used by the control goroutine only.
 type controlState struct {
-	localServer         directory.OwnServer
+	localServer         directory.LocalServer
 	directory           directory.Directory
 	recentRecords       recordNews
 	newer               newerState
@@ -196,7 +196,7 @@
 // mergeRecords merges records received from others; from names their source in the log.
 func (n *Node) mergeRecords(from string, records []directory.Record) {
 	for _, r := range records {
-		if r.Host != n.ip || !n.control.localServer.Recall(r) {
+		if r.Host != n.ip || !n.control.localServer.Restore(r) {
 			continue
 		}
 		if r.Phase == directory.Serving {
@@ -237,7 +237,7 @@
 	done := n.enqueueAndWait(ctx, func() {
 		before := n.control.localServer.Record()
 		if n.control.localServer.Heartbeat(n.clock.Now(), r) {
-			n.localServerChanged(before.Since != n.control.localServer.Record().Since)
+			n.localServerChanged(before.FirstGeneration != n.control.localServer.Record().FirstGeneration)
 		}
 		if n.control.localServer.Record().Lifetime() == r.Lifetime() {
 			n.setNotListening(false)
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -99,7 +99,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zone = r.Zone
-	if lifetime := r.LifeName(); p.lifetime != lifetime {
+	if lifetime := r.LifetimeID(); p.lifetime != lifetime {
 		p.lifetime, p.knownSince = lifetime, now
 		p.load = serverLoad{} // the load of the previous lifetime doesn't apply to the new one
 	}
--- a/pkg/mesh/server_crash.go
+++ b/pkg/mesh/server_crash.go
@@ -181,7 +181,7 @@
 		own := n.view.Load().localServer
 		n.callLog.Warn("local backend server listening state changed", "away", away, "instance", own.Instance)
 		if away {
-			n.peer(n.ip).markServerCrashed(n.clock.Now(), own.LifeName())
+			n.peer(n.ip).markServerCrashed(n.clock.Now(), own.LifetimeID())
 		}
 	}
 }
--- a/pkg/soak/backend_server.go
+++ b/pkg/soak/backend_server.go
@@ -78,8 +78,8 @@
 	defer b.mu.Unlock()
 	b.seq++
 	return directory.Registration{
-		Instance: b.instance, Born: b.born, Address: b.vm.at(portBackend), Service: b.vm.service, Zone: b.vm.zone,
-		Release: "v1", Slots: serverSlots, Draining: b.draining, Call: b.seq,
+		Instance: b.instance, StartedMS: b.born, Address: b.vm.at(portBackend), Service: b.vm.service, Zone: b.vm.zone,
+		Release: "v1", Slots: serverSlots, Draining: b.draining, CallSeq: b.seq,
 	}
 }
 
--- a/pkg/soak/fault_servers.go
+++ b/pkg/soak/fault_servers.go
@@ -59,9 +59,9 @@
 	over := s.history.begin(kind, false)
 	defer over()
 	for _, r := range []directory.Registration{
-		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, Call: 1},
-		{Instance: "foreign", Address: v.at(portBackend), Service: "unheard-of", Zone: v.zone, Slots: 1, Call: 1},
-		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, Call: 1},
+		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, CallSeq: 1},
+		{Instance: "foreign", Address: v.at(portBackend), Service: "unheard-of", Zone: v.zone, Slots: 1, CallSeq: 1},
+		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, CallSeq: 1},
 	} {
 		if standin.Register(v.server.register, v.at(portControl), r) == nil {
 			s.history.found("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
