--- a/pkg/desired/desired_state.go
+++ b/pkg/desired/desired_state.go
@@ -13,7 +13,7 @@
 // The kinds of route.
 const (
 	Repeatable Kind = iota + 1 // may run more than once
-	Once                       // at most once for each attempt of a client
+	AtMostOnce                 // at most once for each attempt of a client
 	Download                   // large answers, repeatable
 )
 
@@ -22,7 +22,7 @@
 	switch k {
 	case Repeatable:
 		return "repeatable"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	case Download:
 		return "download"
@@ -44,7 +44,7 @@
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
 	Timeout     time.Duration // longest time that a request is held; 0: no bound
-	Goal        time.Duration // an answer within it earns its full worth
+	LatencyGoal time.Duration // an answer within it earns its full worth
 	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // most backend servers that one attempt of a client is sent to
 	Public      bool          // needs no key
@@ -59,10 +59,10 @@
 
 // Limits bounds what clients may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration // longest time for a request's header
-	IdleTime    time.Duration // longest rest of a kept connection
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration // longest time for a request's header
+	IdleTimeout   time.Duration // longest rest of a kept connection
 }
 
 // State is one version of the desired state; it is never changed after New.
@@ -133,8 +133,8 @@
 	return place*s.ranks + s.Priority(route)
 }
 
-// Names tells whether the state has a service, or a route that leads to it.
-func (s *State) Names(service string) bool {
+// HasService tells whether the state has a service, or a route that leads to it.
+func (s *State) HasService(service string) bool {
 	if s == nil {
 		return false
 	}
--- a/pkg/desired/desired_test.go
+++ b/pkg/desired/desired_test.go
@@ -8,7 +8,7 @@
 )
 
 func valid(name, host, prefix string) Route {
-	return Route{Name: name, Host: host, Prefix: prefix, Kind: Once, Targets: []Target{{Service: "s", Weight: 1}}}
+	return Route{Name: name, Host: host, Prefix: prefix, Kind: AtMostOnce, Targets: []Target{{Service: "s", Weight: 1}}}
 }
 
 func TestLongestPrefixOfTheHost(t *testing.T) {
--- a/pkg/desired/team.go
+++ b/pkg/desired/team.go
@@ -38,8 +38,8 @@
 	Burst    float64 // requests beyond the rate
 }
 
-// Limited tells whether the team has a quota.
-func (t *Team) Limited() bool { return t != nil && t.Rate > 0 }
+// HasQuota tells whether the team has a quota.
+func (t *Team) HasQuota() bool { return t != nil && t.Rate > 0 }
 
 // The bounds of what a state may hold of teams: ten times what the largest operator has.
 const (
@@ -156,5 +156,5 @@
 	return s.byTeam[name]
 }
 
-// TeamOf returns the team that holds the key, or nil; it takes as long however many keys there are.
-func (s *State) TeamOf(key string) *Team { return s.byKey[keyDigest(sha256.Sum256([]byte(key)))] }
+// TeamByKey returns the team that holds the key, or nil; it takes as long however many keys there are.
+func (s *State) TeamByKey(key string) *Team { return s.byKey[keyDigest(sha256.Sum256([]byte(key)))] }
--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -74,7 +74,7 @@
 	if !ok || !strings.EqualFold(scheme, n.names.KeyScheme) || key == "" || len(key) > desired.MaxKeyBytes {
 		return nil
 	}
-	return s.TeamOf(key)
+	return s.TeamByKey(key)
 }
 
 // refuseKey answers a request that is rejected because of its key. The log line has the key's fingerprint, never the key.
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -221,7 +221,7 @@
 
 // KnowsService reports whether a service is that of this VM or appears in the desired state.
 func (n *Node) KnowsService(service string) bool {
-	return service == n.cfg.Service || n.state.Load().Names(service)
+	return service == n.cfg.Service || n.state.Load().HasService(service)
 }
 
 // RecordRefusedHeartbeat counts and logs a call on the control listener that is no valid registration.
--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -69,7 +69,7 @@
 		x := route(r.name, desired.Repeatable, r.service)
 		x.Timeout, x.MaxAttempts, x.Priority = r.limit, 2, 2
 		if r.name == "charge" {
-			x.Kind, x.Priority = desired.Once, 0
+			x.Kind, x.Priority = desired.AtMostOnce, 0
 		}
 		st.Routes = append(st.Routes, x)
 	}
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -78,7 +78,7 @@
 	}
 	s.logTo(log)
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
-		route("read", desired.Repeatable, "a"), route("pay", desired.Once, "a"),
+		route("read", desired.Repeatable, "a"), route("pay", desired.AtMostOnce, "a"),
 	}})
 	s.waitUntilKnown(1)
 
--- a/pkg/mesh/forwarding_test.go
+++ b/pkg/mesh/forwarding_test.go
@@ -168,7 +168,7 @@
 func TestRouteTimeoutGivesAFinalAnswer(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
-	r := route("slow", desired.Once, "a")
+	r := route("slow", desired.AtMostOnce, "a")
 	r.Timeout = 150 * time.Millisecond
 	s.store.put(desired.State{Version: 2, Routes: []desired.Route{r}})
 	s.waitUntilKnown(2)
@@ -272,7 +272,7 @@
 func TestStatesSpreadBetweenNodesAndNeverGoBack(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
-	s.nodes[0].takeState("test", mustState(t, desired.State{Version: 9, Routes: []desired.Route{route("new", desired.Once, "a")}}))
+	s.nodes[0].takeState("test", mustState(t, desired.State{Version: 9, Routes: []desired.Route{route("new", desired.AtMostOnce, "a")}}))
 	s.waitFor("all have it", func() bool {
 		for _, n := range s.nodes {
 			if n.state.Load().Version != 9 {
--- a/pkg/mesh/leaving_test.go
+++ b/pkg/mesh/leaving_test.go
@@ -118,7 +118,7 @@
 	s.add("a", "z", 10)
 	s.add("b", "z", 10)
 	s.servers[0].workTime = 3 * time.Second
-	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("pay", desired.Once, "a")}})
+	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("pay", desired.AtMostOnce, "a")}})
 	s.waitUntilKnown(1)
 	long := make(chan int, 1)
 	go func() {
--- a/pkg/mesh/mesh_test.go
+++ b/pkg/mesh/mesh_test.go
@@ -18,7 +18,7 @@
 	for i := range 4 {
 		s.add([]string{"a", "b"}[i%2], "z", 10)
 	}
-	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("ra", desired.Repeatable, "a"), route("rb", desired.Once, "b")}})
+	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("ra", desired.Repeatable, "a"), route("rb", desired.AtMostOnce, "b")}})
 	s.waitUntilKnown(1)
 	for i := range s.nodes {
 		status, body, _ := s.request(i, http.MethodGet, "/ra/x", fmt.Sprint("g", i), time.Second)
@@ -79,7 +79,7 @@
 	c := qt.New(t)
 	s := newSite(t)
 	s.add("b", "z", 10)
-	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("rb", desired.Once, "b")}})
+	s.store.put(desired.State{Version: 1, Routes: []desired.Route{route("rb", desired.AtMostOnce, "b")}})
 	s.waitUntilKnown(1)
 	s.store.setDelay(150 * time.Millisecond)
 	s.add("a", "z", 10)
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -49,7 +49,7 @@
 	if !n.quotas.owner.Owns(q.Team) {
 		return quotaResponse{Owner: n.zoneOwner(q.Team)}
 	}
-	if !team.Limited() {
+	if !team.HasQuota() {
 		return quotaResponse{Wait: unknownTeamWait}
 	}
 	g := n.quotas.owner.Grant(clock.Boot(n.clock), q.Team, quotaLimit(team), q.Want, q.Zone != n.cfg.Zone)
@@ -105,7 +105,7 @@
 	now, state := clock.Boot(n.clock), n.state.Load()
 	n.quotas.mu.Lock()
 	for _, b := range balances {
-		if team := state.Team(b.Team); team.Limited() && b.Tokens > 0 {
+		if team := state.Team(b.Team); team.HasQuota() && b.Tokens > 0 {
 			n.quotas.owner.ReceiveBalance(now, b, quotaLimit(team))
 		}
 	}
@@ -120,7 +120,7 @@
 		return limits
 	}
 	for i := range s.Teams {
-		if t := &s.Teams[i]; t.Limited() {
+		if t := &s.Teams[i]; t.HasQuota() {
 			limits[t.Name] = quotaLimit(t)
 		}
 	}
--- a/pkg/mesh/team_priority_test.go
+++ b/pkg/mesh/team_priority_test.go
@@ -17,7 +17,7 @@
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
-	pay, read := route("pay", desired.Once, "a"), route("read", desired.Repeatable, "a")
+	pay, read := route("pay", desired.AtMostOnce, "a"), route("read", desired.Repeatable, "a")
 	read.Priority = 2
 	st, err := desired.New(desired.State{
 		Version: 1, Routes: []desired.Route{pay, read},
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -68,7 +68,7 @@
 
 // countsAgainstQuota reports whether a request takes a token from its team's quota.
 func (n *Node) countsAgainstQuota(q *request) bool {
-	return q.team.Limited() && n.quotas.owner.Config.Enabled()
+	return q.team.HasQuota() && n.quotas.owner.Config.Enabled()
 }
 
 // takeQuotaToken takes one token from the quota of the request's team; it returns nil, or a refusal if no token is left. It runs before
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -192,7 +192,7 @@
 		s.add("a", fmt.Sprint("z", i), 10)
 	}
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
-		route("read", desired.Repeatable, "a"), route("pay", desired.Once, "a"),
+		route("read", desired.Repeatable, "a"), route("pay", desired.AtMostOnce, "a"),
 	}})
 	s.waitUntilKnown(1)
 	return s
--- a/pkg/mesh/unresponsive_connections_test.go
+++ b/pkg/mesh/unresponsive_connections_test.go
@@ -34,7 +34,7 @@
 	}
 	read := route("read", desired.Repeatable, "a")
 	read.MaxAttempts = 2
-	s.store.put(desired.State{Version: 1, Routes: []desired.Route{read, route("pay", desired.Once, "a")}})
+	s.store.put(desired.State{Version: 1, Routes: []desired.Route{read, route("pay", desired.AtMostOnce, "a")}})
 	s.waitUntilKnown(1)
 	return s
 }
