--- a/pkg/cli/query_dump.go
+++ b/pkg/cli/query_dump.go
@@ -39,7 +39,7 @@
 
 func dumpTable(t io.Writer, d node.Dump) {
 	statusTable(t, d.Status)
-	row(t, "keys remembered", d.Keys.Recent, "and", d.Keys.Past, "past their window")
+	row(t, "keys remembered", d.Keys.Recent, "and", d.Keys.Expired, "past their window")
 	row(t, "calls in progress", len(d.Calls))
 	row(t, "peer connections", d.PeerConns)
 	serversTable(t, d)
--- a/pkg/lab/capacity_slopes.go
+++ b/pkg/lab/capacity_slopes.go
@@ -94,12 +94,12 @@
 	old := Series{Name: "memory of keys past their window", Per: "key", Unit: "bytes"}
 	for _, n := range []int{50_000, 100_000, 200_000} {
 		before := heap()
-		var m onceonly.Memory
+		var m onceonly.KeyMemory
 		now := time.Now()
 		for i := range n {
 			k := onceonly.HashKey("s", fmt.Sprint(i))
 			m.Begin(now, k, 1, false)
-			m.Finish(now, k, wire.Ran, &onceonly.Recorded{Status: 200, Body: []byte("done")}, now)
+			m.Finish(now, k, wire.Ran, &onceonly.RecordedAnswer{Status: 200, Body: []byte("done")}, now)
 		}
 		recent.add(float64(n), heap()-before)
 		// The first attempt after the window moves all of them to the old keys.
--- a/pkg/node/call_answer.go
+++ b/pkg/node/call_answer.go
@@ -59,16 +59,16 @@
 }
 
 // recorded is the form in which a home keeps the answer, or nil if it is too long.
-func (a *answer) recorded() *onceonly.Recorded {
+func (a *answer) recorded() *onceonly.RecordedAnswer {
 	if a.rest != nil || a.status == 0 {
 		return nil
 	}
-	return &onceonly.Recorded{Status: a.status, Header: a.header, Body: a.body}
+	return &onceonly.RecordedAnswer{Status: a.status, Header: a.header, Body: a.body}
 }
 
 // replayed makes an answer out of a home's record.
-func replayed(rec *onceonly.Recorded) *answer {
-	if rec == nil || !rec.Kept {
+func replayed(rec *onceonly.RecordedAnswer) *answer {
+	if rec == nil || !rec.Complete {
 		// The work ran, and its answer is no longer here: say so rather than send half of it.
 		return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: http.StatusConflict, header: http.Header{}}
 	}
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -34,7 +34,7 @@
 
 // keyWord is what the home knows of a key before it looks into its memory.
 type keyWord struct {
-	hash      onceonly.Hash
+	hash      onceonly.KeyHash
 	provenNew bool
 	refuse    *answer // set if this node can't decide about the key
 }
@@ -67,7 +67,7 @@
 	return w
 }
 
-func (n *Node) remembers(key onceonly.Hash) (known bool) {
+func (n *Node) remembers(key onceonly.KeyHash) (known bool) {
 	n.home.with(func(h *onceonly.Home) { known = h.Memory.Knows(key) })
 	return known
 }
@@ -108,7 +108,7 @@
 		if d.Outcome == wire.Unknown {
 			n.metrics.Inc("once_unknown")
 		}
-		return &answer{meta: wire.Answer{Outcome: d.Outcome, Reason: d.Reason, AfterMS: d.After.Milliseconds()}}
+		return &answer{meta: wire.Answer{Outcome: d.Outcome, Reason: d.Reason, AfterMS: d.RetryAfter.Milliseconds()}}
 	}
 }
 
@@ -130,7 +130,7 @@
 
 // runOnce runs the work under the key. It goes on when the caller leaves, so that its end is recorded
 // for the caller's repeat; only its deadline ends it.
-func (n *Node) runOnce(ctx context.Context, in *inbound, q *request, key onceonly.Hash) *answer {
+func (n *Node) runOnce(ctx context.Context, in *inbound, q *request, key onceonly.KeyHash) *answer {
 	n.metrics.Inc("once_runs")
 	runCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), in.deadline.Sub(n.clock.Now()))
 	in.ctx = runCtx
@@ -266,5 +266,5 @@
 	if d.Action == onceonly.Replay {
 		return settleReply{Outcome: wire.Ran}
 	}
-	return settleReply{Outcome: d.Outcome, Reason: d.Reason, AfterMS: d.After.Milliseconds()}
+	return settleReply{Outcome: d.Outcome, Reason: d.Reason, AfterMS: d.RetryAfter.Milliseconds()}
 }
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -128,7 +128,7 @@
 	// the once-only calls below it derive the same keys.
 	root := uuid.NewString()
 	if key != "" {
-		root = onceonly.RootOf(t.Service, key)
+		root = onceonly.RootRequestID(t.Service, key)
 	}
 	s := &sending{
 		treatment: t, deadline: deadline, req: q, ledger: e.Ledger,
--- a/pkg/node/control_exchange.go
+++ b/pkg/node/control_exchange.go
@@ -19,11 +19,11 @@
 
 // exchange is the control message between daemons: a digest, and what the other is known or likely to lack.
 type exchange struct {
-	From   string            `json:"from"`
-	Digest digest            `json:"d"`
-	Doc    *config.Document  `json:"doc,omitempty"`
-	Rows   []onceonly.Row    `json:"rows,omitempty"`
-	Nodes  []member.NodeInfo `json:"nodes,omitempty"`
+	From   string              `json:"from"`
+	Digest digest              `json:"d"`
+	Doc    *config.Document    `json:"doc,omitempty"`
+	Rows   []onceonly.OwnerRow `json:"rows,omitempty"`
+	Nodes  []member.NodeInfo   `json:"nodes,omitempty"`
 	// Probe asks for the digest only; it is how operators' queries see versions.
 	Probe bool `json:"probe,omitempty"`
 }
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -23,7 +23,7 @@
 	n        *Node
 	register config.Register
 	roster   member.Roster
-	rows     map[string]onceonly.Row
+	rows     map[string]onceonly.OwnerRow
 	recent   map[string]time.Time // when news of a node was taken
 
 	started      time.Time
@@ -40,7 +40,7 @@
 func newControlState(n *Node) *controlState {
 	now := n.clock.Now()
 	s := &controlState{
-		n: n, started: now, rows: map[string]onceonly.Row{},
+		n: n, started: now, rows: map[string]onceonly.OwnerRow{},
 		recent: map[string]time.Time{}, busy: map[string]bool{},
 	}
 	s.mergeNode(now, s.self())
@@ -162,7 +162,7 @@
 }
 
 // offerRow takes a row of key ranges if it is newer.
-func (s *controlState) offerRow(row onceonly.Row) bool {
+func (s *controlState) offerRow(row onceonly.OwnerRow) bool {
 	if row.Version <= s.rows[row.Service].Version {
 		return false
 	}
--- a/pkg/node/control_platform.go
+++ b/pkg/node/control_platform.go
@@ -117,7 +117,7 @@
 	return &doc
 }
 
-func (n *Node) readRows(ctx context.Context, services []string) []onceonly.Row {
+func (n *Node) readRows(ctx context.Context, services []string) []onceonly.OwnerRow {
 	ctx, cancel := n.platformTime(ctx)
 	defer cancel()
 	keys := make([]string, len(services))
@@ -129,9 +129,9 @@
 		n.log.control.Warn("key ranges can't be read", "err", err)
 		return nil
 	}
-	var rows []onceonly.Row
+	var rows []onceonly.OwnerRow
 	for key, r := range found {
-		var row onceonly.Row
+		var row onceonly.OwnerRow
 		if err := json.Unmarshal(r.Value, &row); err != nil {
 			n.log.control.Warn("row of key ranges is malformed", "key", key, "err", err)
 			continue
@@ -148,7 +148,7 @@
 		n.log.control.Warn("table can't be read", "err", err)
 		return
 	}
-	var rows []onceonly.Row
+	var rows []onceonly.OwnerRow
 	if n.cfg.Service != "" {
 		rows = n.readRows(ctx, []string{n.cfg.Service})
 	}
@@ -228,7 +228,7 @@
 
 // commitRow writes a row of key ranges and returns the row that is in the table afterwards. Any error
 // but a *store.RefusedError leaves open whether the row was written, now or later.
-func (n *Node) commitRow(ctx context.Context, row onceonly.Row) (onceonly.Row, error) {
+func (n *Node) commitRow(ctx context.Context, row onceonly.OwnerRow) (onceonly.OwnerRow, error) {
 	key := keyRanges + row.Service
 	tx := store.Tx{
 		Checks: []store.Check{{Key: key, Version: row.Version - 1}},
@@ -243,7 +243,7 @@
 	}
 	rows := n.readRows(ctx, []string{row.Service})
 	if len(rows) == 0 {
-		return onceonly.Row{}, err
+		return onceonly.OwnerRow{}, err
 	}
 	return rows[0], nil
 }
--- a/pkg/node/control_ranges.go
+++ b/pkg/node/control_ranges.go
@@ -26,7 +26,7 @@
 
 // rangeView is what the care for key ranges looks at.
 type rangeView struct {
-	row     onceonly.Row
+	row     onceonly.OwnerRow
 	hasRow  bool
 	nodes   []onceonly.Node // of the service, known, there, not leaving, and targeted by its policies
 	missing int             // VMs of the service whose node isn't known yet
@@ -102,7 +102,7 @@
 	if v.turn != 0 || (v.missing > 0 && v.age < firstRowWait) {
 		return
 	}
-	n.changeRow(ctx, onceonly.NewRow(n.cfg.Service, v.nodes), "first dealt out")
+	n.changeRow(ctx, onceonly.NewOwnerRow(n.cfg.Service, v.nodes), "first dealt out")
 }
 
 // reclaim takes this VM's ranges over from the last life of its node, whose memory is lost.
@@ -120,7 +120,7 @@
 	if v.turn < 0 {
 		return false
 	}
-	row, moved := v.row.MoveLost(v.lost, v.nodes)
+	row, moved := v.row.ReassignLost(v.lost, v.nodes)
 	if !moved {
 		return false
 	}
@@ -132,7 +132,7 @@
 }
 
 // changeRow commits a row and takes whatever the table holds afterwards.
-func (n *Node) changeRow(ctx context.Context, row onceonly.Row, why string) bool {
+func (n *Node) changeRow(ctx context.Context, row onceonly.OwnerRow, why string) bool {
 	have, err := n.commitRow(ctx, row)
 	if err != nil {
 		n.log.once.Warn("key ranges can't be changed", "why", why, "err", err)
@@ -148,8 +148,8 @@
 	return false
 }
 
-func (n *Node) takeRow(ctx context.Context, row onceonly.Row) error {
-	return n.onControl(ctx, func(s *controlState) { s.take(exchange{Rows: []onceonly.Row{row}}) })
+func (n *Node) takeRow(ctx context.Context, row onceonly.OwnerRow) error {
+	return n.onControl(ctx, func(s *controlState) { s.take(exchange{Rows: []onceonly.OwnerRow{row}}) })
 }
 
 // surplusSlack is how many ranges above its fair share a node keeps, so that they don't wander.
@@ -174,9 +174,9 @@
 }
 
 // handOverAll gives ranges to the nodes that own the fewest; it reports whether every one was taken.
-func (n *Node) handOverAll(ctx context.Context, row onceonly.Row, ranges []int, nodes []onceonly.Node) bool {
+func (n *Node) handOverAll(ctx context.Context, row onceonly.OwnerRow, ranges []int, nodes []onceonly.Node) bool {
 	all := true
-	for to, part := range row.Spread(ranges, nodes) {
+	for to, part := range row.Distribute(ranges, nodes) {
 		if err := n.handOver(ctx, part, to); err != nil {
 			n.log.once.Warn("key ranges can't be handed over", "to", to.VM, "err", err)
 			all = false
@@ -192,12 +192,12 @@
 	if !ok {
 		return &HandoverError{to.VM + " isn't listed"}
 	}
-	n.home.with(func(h *onceonly.Home) { h.Close(ranges) })
+	n.home.with(func(h *onceonly.Home) { h.CloseRanges(ranges) })
 	n.awaitRuns(ctx, ranges)
 	me := onceonly.Owner{VM: n.cfg.VM, Incarnation: n.incarnation}
 	next := onceonly.Owner{VM: to.VM, Incarnation: to.Incarnation}
 	msg := onceonly.Handover{Service: n.cfg.Service, From: me, To: next, Ranges: ranges}
-	var row onceonly.Row
+	var row onceonly.OwnerRow
 	n.home.with(func(h *onceonly.Home) {
 		msg = h.Memory.Export(n.clock.Now(), msg)
 		row = h.Row()
@@ -207,7 +207,7 @@
 	err := n.peers.control(cctx, to.VM, vm.Peer, pathHandover, msg, &reply)
 	cancel()
 	if err != nil {
-		n.home.with(func(h *onceonly.Home) { h.Reopen(ranges) })
+		n.home.with(func(h *onceonly.Home) { h.ReopenRanges(ranges) })
 		return err
 	}
 	changed, ok := row.HandOver(ranges, me, next)
@@ -219,7 +219,7 @@
 
 // settleHandover commits the changed row and tries until it is known what the table holds. Only a
 // commit that certainly had no effect, with none in doubt before it, opens the ranges here again.
-func (n *Node) settleHandover(ctx context.Context, changed onceonly.Row, ranges []int) error {
+func (n *Node) settleHandover(ctx context.Context, changed onceonly.OwnerRow, ranges []int) error {
 	doubt := false
 	for {
 		have, err := n.commitRow(ctx, changed)
@@ -231,7 +231,7 @@
 			doubt = true
 		}
 		if !doubt {
-			n.home.with(func(h *onceonly.Home) { h.Reopen(ranges) })
+			n.home.with(func(h *onceonly.Home) { h.ReopenRanges(ranges) })
 			return fmt.Errorf("row of %s: %w", changed.Service, err)
 		}
 		if !clock.Sleep(ctx, waitTime) {
@@ -240,11 +240,11 @@
 	}
 }
 
-func (n *Node) finishHandover(ctx context.Context, have, changed onceonly.Row, ranges []int) error {
+func (n *Node) finishHandover(ctx context.Context, have, changed onceonly.OwnerRow, ranges []int) error {
 	if err := n.takeRow(ctx, have); err != nil {
 		return err
 	}
-	n.home.with(func(h *onceonly.Home) { h.Reopen(ranges) })
+	n.home.with(func(h *onceonly.Home) { h.ReopenRanges(ranges) })
 	if have != changed {
 		return &HandoverError{"another change of the row came first"}
 	}
@@ -257,7 +257,7 @@
 	end := n.clock.Now().Add(closeWait)
 	for {
 		running := 0
-		n.home.with(func(h *onceonly.Home) { running = h.Memory.RunningIn(ranges) })
+		n.home.with(func(h *onceonly.Home) { running = h.Memory.CountRunning(ranges) })
 		if running == 0 || !n.sleep(ctx, 10*time.Millisecond, end) {
 			return
 		}
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -107,7 +107,7 @@
 	}
 	n.home = newHomeKeeper(onceonly.Home{
 		Service: cfg.Service, VM: cfg.VM, Incarnation: n.incarnation,
-		Memory: onceonly.Memory{
+		Memory: onceonly.KeyMemory{
 			Window: cfg.OnceOnly.Window, MaxKeys: cfg.OnceOnly.MaxKeys, AnswerBytes: cfg.OnceOnly.AnswerBytes,
 		},
 	})
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -230,7 +230,7 @@
 			nodes = append(nodes, o)
 		}
 	}
-	row, moved := v.row.MoveLost(func(o onceonly.Owner) bool { return o.VM == vm }, nodes)
+	row, moved := v.row.ReassignLost(func(o onceonly.Owner) bool { return o.VM == vm }, nodes)
 	if !moved {
 		return 0, &HandoverError{fmt.Sprintf("%s owns no key range of service %s, or there is no other node", vm, n.cfg.Service)}
 	}
--- a/pkg/node/snapshot.go
+++ b/pkg/node/snapshot.go
@@ -16,7 +16,7 @@
 	candidates []routing.Candidate
 	vms        map[string]member.VM
 	nodes      map[string]member.NodeInfo
-	rows       map[string]onceonly.Row
+	rows       map[string]onceonly.OwnerRow
 	neighbors  []member.VM
 	selfTarget map[*config.Treatment]bool
 
--- a/pkg/onceonly/home_test.go
+++ b/pkg/onceonly/home_test.go
@@ -17,13 +17,13 @@
 
 func TestRepeatJoinsThenReplays(t *testing.T) {
 	c := qt.New(t)
-	var m Memory
+	var m KeyMemory
 	k := HashKey(service, "k")
 	c.Assert(m.Begin(begin, k, 1, false).Action, qt.Equals, Run)
 	c.Assert(m.Begin(begin, k, 1, false).Action, qt.Equals, Join)
 	var joined Record
 	c.Assert(m.Wait(k, func(r Record) { joined = r }), qt.IsTrue)
-	m.Finish(begin, k, wire.Ran, &Recorded{Status: 200, Body: []byte("done")}, time.Time{})
+	m.Finish(begin, k, wire.Ran, &RecordedAnswer{Status: 200, Body: []byte("done")}, time.Time{})
 	c.Assert(string(joined.Answer.Body), qt.Equals, "done")
 	d := m.Begin(begin, k, 1, false)
 	c.Assert(d.Action, qt.Equals, Replay)
@@ -33,19 +33,19 @@
 
 func TestRefusedKeyStaysClosedUntilAttemptsAreOver(t *testing.T) {
 	c := qt.New(t)
-	var m Memory
+	var m KeyMemory
 	k := HashKey(service, "k")
 	m.Begin(begin, k, 1, false)
 	m.Finish(begin, k, wire.NotRun, nil, begin.Add(time.Second))
 	d := m.Begin(begin.Add(999*time.Millisecond), k, 1, false)
 	c.Assert(d.Outcome, qt.Equals, wire.NotRun)
-	c.Assert(d.After, qt.Equals, time.Millisecond)
+	c.Assert(d.RetryAfter, qt.Equals, time.Millisecond)
 	c.Assert(m.Begin(begin.Add(time.Second), k, 1, false).Action, qt.Equals, Run)
 }
 
 func TestSettledRefusalClosesTheKey(t *testing.T) {
 	c := qt.New(t)
-	var m Memory
+	var m KeyMemory
 	k := HashKey(service, "k")
 	c.Assert(m.Settle(begin, k, false, begin.Add(time.Second)).Outcome, qt.Equals, wire.NotRun)
 	c.Assert(m.Begin(begin, k, 1, false).Outcome, qt.Equals, wire.NotRun)
@@ -58,7 +58,7 @@
 
 func TestMemoryRefusesNewKeysRatherThanForget(t *testing.T) {
 	c := qt.New(t)
-	m := Memory{MaxKeys: 2, Window: time.Minute}
+	m := KeyMemory{MaxKeys: 2, Window: time.Minute}
 	for i := range 2 {
 		k := HashKey(service, fmt.Sprint(i))
 		c.Assert(m.Begin(begin, k, 1, false).Action, qt.Equals, Run)
@@ -75,19 +75,19 @@
 
 func TestOldKeyIsKnownAfterItsWindow(t *testing.T) {
 	c := qt.New(t)
-	m := Memory{Window: time.Minute}
+	m := KeyMemory{Window: time.Minute}
 	k := HashKey(service, "k")
 	m.Begin(begin, k, 1, false)
-	m.Finish(begin, k, wire.Ran, &Recorded{Status: 200, Body: []byte("x")}, time.Time{})
+	m.Finish(begin, k, wire.Ran, &RecordedAnswer{Status: 200, Body: []byte("x")}, time.Time{})
 	d := m.Begin(begin.Add(time.Hour), k, 1, false)
 	c.Assert(d.Action, qt.Equals, Replay)
-	c.Assert(d.Answer.Kept, qt.IsFalse)
+	c.Assert(d.Answer.Complete, qt.IsFalse)
 	c.Assert(m.Counts().AnswerBytes, qt.Equals, 0)
 }
 
 func TestQuietRangeDoubtsAllButTokens(t *testing.T) {
 	c := qt.New(t)
-	var m Memory
+	var m KeyMemory
 	k := HashKey(service, "k")
 	m.SetQuiet(k.Range(), begin.Add(time.Minute))
 	c.Assert(m.Begin(begin, k, 1, false).Outcome, qt.Equals, wire.Unknown)
@@ -99,7 +99,7 @@
 // tokens along, so that their repeats ran again.
 func TestHandoverLeavesTokensBehind(t *testing.T) {
 	c := qt.New(t)
-	var m Memory
+	var m KeyMemory
 	token := HashKey(service, "rst1.token")
 	m.Begin(begin, token, 1, true)
 	m.Finish(begin, token, wire.Ran, nil, time.Time{})
@@ -126,16 +126,16 @@
 	}
 	_, err = ParseToken([]byte("another secret!!"), s)
 	c.Assert(err, qt.ErrorAs, new(*TokenError))
-	c.Assert(tok.Fresh(begin.Add(DefaultTokenLife), DefaultTokenLife), qt.IsFalse)
-	c.Assert(tok.Fresh(begin.Add(time.Second), DefaultTokenLife), qt.IsTrue)
+	c.Assert(tok.Fresh(begin.Add(DefaultTokenLifetime), DefaultTokenLifetime), qt.IsFalse)
+	c.Assert(tok.Fresh(begin.Add(time.Second), DefaultTokenLifetime), qt.IsTrue)
 }
 
 // world is a table row and some homes, for random sequences of moves, pauses and restarts.
 type world struct {
-	row    Row
+	row    OwnerRow
 	homes  []*Home
 	lives  int
-	ran    map[Hash]int
+	ran    map[KeyHash]int
 	now    time.Time
 	paused map[int]bool
 }
@@ -150,7 +150,7 @@
 func (w *world) node(i int) Node { return Node{w.homes[i].VM, w.homes[i].Incarnation} }
 
 // attempt sends a key to a home, as a caller's daemon with any old row may do.
-func (w *world) attempt(i int, k Hash) {
+func (w *world) attempt(i int, k KeyHash) {
 	h := w.homes[i]
 	if !h.Owns(k.Range()) {
 		return
@@ -167,7 +167,7 @@
 	if from == to || !h.Owns(r) || h.Row().Version != w.row.Version {
 		return
 	}
-	h.Close([]int{r})
+	h.CloseRanges([]int{r})
 	msg := h.Memory.Export(w.now, Handover{Service: service, Ranges: []int{r}})
 	if next.Memory.Import(w.now, msg) != nil {
 		return
@@ -183,12 +183,12 @@
 func TestOneHomeForAKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
-		w := &world{homes: make([]*Home, n), ran: map[Hash]int{}, now: begin, paused: map[int]bool{}}
+		w := &world{homes: make([]*Home, n), ran: map[KeyHash]int{}, now: begin, paused: map[int]bool{}}
 		for i := range n {
 			w.start(i)
 		}
-		w.row = NewRow(service, []Node{w.node(0), w.node(1), w.node(2)})
-		keys := make([]Hash, 4)
+		w.row = NewOwnerRow(service, []Node{w.node(0), w.node(1), w.node(2)})
+		keys := make([]KeyHash, 4)
 		for i := range keys {
 			keys[i] = HashKey(service, fmt.Sprint(i))
 		}
@@ -219,11 +219,11 @@
 }
 
 func BenchmarkMemoryBeginAndFinish(b *testing.B) {
-	var m Memory
+	var m KeyMemory
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		var k Hash
+		var k KeyHash
 		k[0], k[1], k[2], k[3] = byte(i), byte(i>>8), byte(i>>16), byte(i>>24)
 		i++
 		m.Begin(begin, k, 1, false)
@@ -234,10 +234,10 @@
 // TestClosedRangeTakesNoAttempts is the time between a hand-over's export and the owner's hearing of the new row.
 func TestClosedRangeTakesNoAttempts(t *testing.T) {
 	c := qt.New(t)
-	w := &world{homes: make([]*Home, 2), ran: map[Hash]int{}, now: begin}
+	w := &world{homes: make([]*Home, 2), ran: map[KeyHash]int{}, now: begin}
 	w.start(0)
 	w.start(1)
-	w.row = NewRow(service, []Node{w.node(0)})
+	w.row = NewOwnerRow(service, []Node{w.node(0)})
 	w.homes[0].Adopt(begin, w.row)
 	k := HashKey(service, "k")
 	w.handOver(0, 1, k.Range())
--- a/pkg/onceonly/key_forget.go
+++ b/pkg/onceonly/key_forget.go
@@ -9,7 +9,7 @@
 
 // makeRoom drops the oldest generation of past keys when the bound is reached; records inside
 // their window are never dropped for room.
-func (m *Memory) makeRoom() bool {
+func (m *KeyMemory) makeRoom() bool {
 	for len(m.recent)+m.pastKeys >= m.maxKeys() && len(m.past) > 0 {
 		m.pastKeys -= len(m.past[0])
 		m.past = m.past[1:]
@@ -18,7 +18,7 @@
 }
 
 // forget moves records whose window has ended to the past keys, where only their state is kept.
-func (m *Memory) forget(now time.Time) {
+func (m *KeyMemory) forget(now time.Time) {
 	n := 0
 	for ; n < len(m.order) && !m.order[n].at.After(now); n++ {
 		m.retire(now, m.order[n].key)
@@ -30,20 +30,20 @@
 	}
 }
 
-func (m *Memory) retire(now time.Time, key Hash) {
+func (m *KeyMemory) retire(now time.Time, key KeyHash) {
 	rec, ok := m.recent[key]
 	if !ok || rec.State == Running || rec.Until.After(now) {
 		return
 	}
 	delete(m.recent, key)
-	if rec.Answer != nil && rec.Answer.Kept {
+	if rec.Answer != nil && rec.Answer.Complete {
 		m.answerBytes -= len(rec.Answer.Body)
 	}
 	if rec.State == Closed {
 		return
 	}
 	if len(m.past) == 0 || now.Sub(m.pastStart) >= time.Hour {
-		m.past = append(m.past, map[Hash]State{})
+		m.past = append(m.past, map[KeyHash]State{})
 		m.pastStart = now
 	}
 	if len(m.past) > generations {
@@ -54,7 +54,7 @@
 	m.pastKeys++
 }
 
-func (m *Memory) inPast(key Hash) (State, bool) {
+func (m *KeyMemory) inPast(key KeyHash) (State, bool) {
 	for _, g := range m.past {
 		if st, ok := g[key]; ok {
 			return st, true
@@ -65,13 +65,13 @@
 
 func pastDecision(st State) Decision {
 	if st == Finished {
-		return Decision{Action: Replay, Outcome: wire.Ran, Answer: &Recorded{}}
+		return Decision{Action: Replay, Outcome: wire.Ran, Answer: &RecordedAnswer{}}
 	}
 	return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
 }
 
 // Knows tells whether the key was met and not forgotten.
-func (m *Memory) Knows(key Hash) bool {
+func (m *KeyMemory) Knows(key KeyHash) bool {
 	if _, ok := m.recent[key]; ok {
 		return true
 	}
--- a/pkg/onceonly/key_handover.go
+++ b/pkg/onceonly/key_handover.go
@@ -8,13 +8,13 @@
 
 // Handover is the memory of some key ranges on its way to their next owner.
 type Handover struct {
-	Service string           `json:"service"`
-	From    Owner            `json:"from"`
-	To      Owner            `json:"to"`
-	Ranges  []int            `json:"ranges"`
-	Quiet   map[int]int64    `json:"quiet,omitempty"` // milliseconds of quiet window left, by range
-	Records []HandoverRecord `json:"records"`
-	Past    []HandoverPast   `json:"past,omitempty"`
+	Service string            `json:"service"`
+	From    Owner             `json:"from"`
+	To      Owner             `json:"to"`
+	Ranges  []int             `json:"ranges"`
+	QuietMS map[int]int64     `json:"quiet,omitempty"` // milliseconds of quiet window left, by range
+	Records []HandoverRecord  `json:"records"`
+	Expired []HandoverExpired `json:"past,omitempty"`
 }
 
 // HandoverRecord is one key's record; its times are sent as milliseconds left, since clocks differ.
@@ -24,25 +24,25 @@
 	LeftMS int64  `json:"l"`
 }
 
-// HandoverPast is one old key with its state.
-type HandoverPast struct {
+// HandoverExpired is one old key with its state.
+type HandoverExpired struct {
 	Key   string `json:"k"`
 	State State  `json:"s"`
 }
 
-// KeyFormError reports a malformed key hash in a hand-over.
-type KeyFormError struct{ Key string }
+// KeyHashError reports a malformed key hash in a hand-over.
+type KeyHashError struct{ Key string }
 
 // Error shows the malformed key.
-func (e *KeyFormError) Error() string { return fmt.Sprintf("key hash %q is malformed", e.Key) }
+func (e *KeyHashError) Error() string { return fmt.Sprintf("key hash %q is malformed", e.Key) }
 
 // Export copies the memory of the ranges. A running key goes as Uncertain: it must not run again.
-func (m *Memory) Export(now time.Time, h Handover) Handover {
+func (m *KeyMemory) Export(now time.Time, h Handover) Handover {
 	in := rangeSet(h.Ranges)
-	h.Quiet = map[int]int64{}
+	h.QuietMS = map[int]int64{}
 	for r := range in {
 		if left := m.quietUntil[r].Sub(now); left > 0 {
-			h.Quiet[r] = left.Milliseconds() + 1
+			h.QuietMS[r] = left.Milliseconds() + 1
 		}
 	}
 	for key, rec := range m.recent {
@@ -60,7 +60,7 @@
 	for _, g := range m.past {
 		for key, st := range g {
 			if in[key.Range()] {
-				h.Past = append(h.Past, HandoverPast{hex.EncodeToString(key[:]), st})
+				h.Expired = append(h.Expired, HandoverExpired{hex.EncodeToString(key[:]), st})
 			}
 		}
 	}
@@ -68,8 +68,8 @@
 }
 
 // Import takes the memory of ranges handed over; the error is a *KeyFormError, and then nothing was taken.
-func (m *Memory) Import(now time.Time, h Handover) error {
-	keys := make([]Hash, len(h.Records))
+func (m *KeyMemory) Import(now time.Time, h Handover) error {
+	keys := make([]KeyHash, len(h.Records))
 	for i, hr := range h.Records {
 		k, err := parseHash(hr.Key)
 		if err != nil {
@@ -77,8 +77,8 @@
 		}
 		keys[i] = k
 	}
-	pastKeys := make([]Hash, len(h.Past))
-	for i, hp := range h.Past {
+	pastKeys := make([]KeyHash, len(h.Expired))
+	for i, hp := range h.Expired {
 		k, err := parseHash(hp.Key)
 		if err != nil {
 			return err
@@ -91,15 +91,15 @@
 		m.put(keys[i], &rec)
 		m.order = append(m.order, expiry{rec.Until, keys[i]})
 	}
-	if len(h.Past) > 0 {
-		g := map[Hash]State{}
-		for i, hp := range h.Past {
+	if len(h.Expired) > 0 {
+		g := map[KeyHash]State{}
+		for i, hp := range h.Expired {
 			g[pastKeys[i]] = hp.State
 		}
-		m.past = append([]map[Hash]State{g}, m.past...)
+		m.past = append([]map[KeyHash]State{g}, m.past...)
 		m.pastKeys += len(g)
 	}
-	for r, ms := range h.Quiet {
+	for r, ms := range h.QuietMS {
 		if r >= 0 && r < NumRanges {
 			m.SetQuiet(r, now.Add(time.Duration(ms)*time.Millisecond))
 		}
@@ -108,11 +108,11 @@
 }
 
 // Drop forgets the ranges after their hand-over is done.
-func (m *Memory) Drop(ranges []int) {
+func (m *KeyMemory) Drop(ranges []int) {
 	in := rangeSet(ranges)
 	for key, rec := range m.recent {
 		if in[key.Range()] && rec.State != Running && !rec.Pinned {
-			if rec.Answer != nil && rec.Answer.Kept {
+			if rec.Answer != nil && rec.Answer.Complete {
 				m.answerBytes -= len(rec.Answer.Body)
 			}
 			delete(m.recent, key)
@@ -120,8 +120,8 @@
 	}
 }
 
-// RunningIn returns how many runs of the ranges have not ended.
-func (m *Memory) RunningIn(ranges []int) int {
+// CountRunning returns how many runs of the ranges have not ended.
+func (m *KeyMemory) CountRunning(ranges []int) int {
 	in := rangeSet(ranges)
 	n := 0
 	for key, rec := range m.recent {
@@ -140,11 +140,11 @@
 	return in
 }
 
-func parseHash(s string) (Hash, error) {
-	var h Hash
+func parseHash(s string) (KeyHash, error) {
+	var h KeyHash
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(h) {
-		return h, &KeyFormError{s}
+		return h, &KeyHashError{s}
 	}
 	copy(h[:], b)
 	return h, nil
--- a/pkg/onceonly/key_memory.go
+++ b/pkg/onceonly/key_memory.go
@@ -12,8 +12,8 @@
 	DefaultWindow      = 2 * time.Minute
 	DefaultMaxKeys     = 2_000_000
 	DefaultAnswerBytes = 32 << 20
-	// MaxAnswer is the size in bytes up to which an answer is recorded.
-	MaxAnswer = 4 << 10
+	// MaxRecordedAnswer is the size in bytes up to which an answer is recorded.
+	MaxRecordedAnswer = 4 << 10
 	// generations is the number of blocks that old keys are kept in.
 	generations = 24
 )
@@ -29,21 +29,21 @@
 	Closed                     // refused as not run, and closed until a time
 )
 
-// Recorded is the answer of a finished run.
-type Recorded struct {
-	Status int         `json:"status"`
-	Header http.Header `json:"header,omitempty"`
-	Body   []byte      `json:"body,omitempty"`
-	Kept   bool        `json:"kept"` // false if the answer was too large or there was no room
+// RecordedAnswer is the answer of a finished run.
+type RecordedAnswer struct {
+	Status   int         `json:"status"`
+	Header   http.Header `json:"header,omitempty"`
+	Body     []byte      `json:"body,omitempty"`
+	Complete bool        `json:"kept"` // false if the answer was too large or there was no room
 }
 
 // Record is what a Memory holds of one key.
 type Record struct {
-	State       State     `json:"state"`
-	Fingerprint uint64    `json:"fp"` // of the request's method, path and body
-	Answer      *Recorded `json:"answer,omitempty"`
-	Until       time.Time `json:"until"` // end of the repeat window, or of the closing
-	Pinned      bool      `json:"-"`     // of a token: it belongs to this home, and goes with no key range
+	State       State           `json:"state"`
+	Fingerprint uint64          `json:"fp"` // of the request's method, path and body
+	Answer      *RecordedAnswer `json:"answer,omitempty"`
+	Until       time.Time       `json:"until"` // end of the repeat window, or of the closing
+	Pinned      bool            `json:"-"`     // of a token: it belongs to this home, and goes with no key range
 
 	waiters []func(Record)
 }
@@ -61,22 +61,22 @@
 
 // Decision is a Memory's word on an attempt.
 type Decision struct {
-	Action  Action
-	Outcome wire.Outcome
-	Reason  wire.Reason
-	Answer  *Recorded
-	After   time.Duration // when to come back, if known
+	Action     Action
+	Outcome    wire.Outcome
+	Reason     wire.Reason
+	Answer     *RecordedAnswer
+	RetryAfter time.Duration // when to come back, if known
 }
 
-// Memory remembers the keys of one home; it isn't safe for concurrent use. Zero bounds take the defaults.
-type Memory struct {
+// KeyMemory remembers the keys of one home; it isn't safe for concurrent use. Zero bounds take the defaults.
+type KeyMemory struct {
 	Window      time.Duration // for which a key's record is kept
 	MaxKeys     int           // records and old keys together
 	AnswerBytes int           // recorded answers together
 
-	recent      map[Hash]*Record
+	recent      map[KeyHash]*Record
 	order       []expiry // by time, oldest first
-	past        []map[Hash]State
+	past        []map[KeyHash]State
 	pastStart   time.Time
 	pastKeys    int
 	answerBytes int
@@ -85,24 +85,24 @@
 
 type expiry struct {
 	at  time.Time
-	key Hash
+	key KeyHash
 }
 
-func (m *Memory) window() time.Duration {
+func (m *KeyMemory) window() time.Duration {
 	if m.Window == 0 {
 		return DefaultWindow
 	}
 	return m.Window
 }
 
-func (m *Memory) maxKeys() int {
+func (m *KeyMemory) maxKeys() int {
 	if m.MaxKeys == 0 {
 		return DefaultMaxKeys
 	}
 	return m.MaxKeys
 }
 
-func (m *Memory) maxAnswerBytes() int {
+func (m *KeyMemory) maxAnswerBytes() int {
 	if m.AnswerBytes == 0 {
 		return DefaultAnswerBytes
 	}
@@ -110,13 +110,13 @@
 }
 
 // SetQuiet makes the range answer "unknown" for keys it doesn't know until the given time.
-func (m *Memory) SetQuiet(r int, until time.Time) { m.quietUntil[r] = until }
+func (m *KeyMemory) SetQuiet(r int, until time.Time) { m.quietUntil[r] = until }
 
-// Quiet tells whether the range is in its quiet window.
-func (m *Memory) Quiet(now time.Time, r int) bool { return now.Before(m.quietUntil[r]) }
+// InQuietWindow tells whether the range is in its quiet window.
+func (m *KeyMemory) InQuietWindow(now time.Time, r int) bool { return now.Before(m.quietUntil[r]) }
 
 // Begin decides about an attempt. token says that the key is a token, which no earlier home can have met.
-func (m *Memory) Begin(now time.Time, key Hash, fingerprint uint64, token bool) Decision {
+func (m *KeyMemory) Begin(now time.Time, key KeyHash, fingerprint uint64, token bool) Decision {
 	m.forget(now)
 	if rec, ok := m.recent[key]; ok && !(rec.State == Closed && !now.Before(rec.Until)) {
 		return m.known(now, rec, fingerprint)
@@ -124,22 +124,22 @@
 	if st, ok := m.inPast(key); ok {
 		return pastDecision(st)
 	}
-	if !token && m.Quiet(now, key.Range()) {
+	if !token && m.InQuietWindow(now, key.Range()) {
 		return Decision{
 			Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet,
-			After: m.quietUntil[key.Range()].Sub(now),
+			RetryAfter: m.quietUntil[key.Range()].Sub(now),
 		}
 	}
 	if !m.makeRoom() {
-		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonMemory, After: time.Second}
+		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonMemory, RetryAfter: time.Second}
 	}
 	m.put(key, &Record{State: Running, Fingerprint: fingerprint, Pinned: token})
 	return Decision{Action: Run}
 }
 
-func (m *Memory) known(now time.Time, rec *Record, fingerprint uint64) Decision {
+func (m *KeyMemory) known(now time.Time, rec *Record, fingerprint uint64) Decision {
 	if rec.State == Closed {
-		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, After: rec.Until.Sub(now)}
+		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, RetryAfter: rec.Until.Sub(now)}
 	}
 	if rec.Fingerprint != fingerprint {
 		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonMismatch}
@@ -155,7 +155,7 @@
 }
 
 // Wait calls fn with the record when the key's running call ends; it reports false if none runs.
-func (m *Memory) Wait(key Hash, fn func(Record)) bool {
+func (m *KeyMemory) Wait(key KeyHash, fn func(Record)) bool {
 	rec, ok := m.recent[key]
 	if !ok || rec.State != Running {
 		return false
@@ -166,7 +166,7 @@
 
 // Finish notes how a run ended. A run that is certain not to have happened closes the key until
 // closedUntil, when every attempt still under way has passed its deadline.
-func (m *Memory) Finish(now time.Time, key Hash, outcome wire.Outcome, answer *Recorded, closedUntil time.Time) {
+func (m *KeyMemory) Finish(now time.Time, key KeyHash, outcome wire.Outcome, answer *RecordedAnswer, closedUntil time.Time) {
 	rec, ok := m.recent[key]
 	if !ok || rec.State != Running {
 		return
@@ -190,21 +190,21 @@
 	}
 }
 
-func (m *Memory) keepAnswer(a *Recorded) *Recorded {
+func (m *KeyMemory) keepAnswer(a *RecordedAnswer) *RecordedAnswer {
 	if a == nil {
-		return &Recorded{}
+		return &RecordedAnswer{}
 	}
-	if len(a.Body) > MaxAnswer || m.answerBytes+len(a.Body) > m.maxAnswerBytes() {
-		return &Recorded{Status: a.Status}
+	if len(a.Body) > MaxRecordedAnswer || m.answerBytes+len(a.Body) > m.maxAnswerBytes() {
+		return &RecordedAnswer{Status: a.Status}
 	}
 	m.answerBytes += len(a.Body)
 	kept := *a
-	kept.Kept = true
+	kept.Complete = true
 	return &kept
 }
 
 // Settle answers an entry that is about to refuse the key: what is known of it, or that it is now closed.
-func (m *Memory) Settle(now time.Time, key Hash, token bool, closedUntil time.Time) Decision {
+func (m *KeyMemory) Settle(now time.Time, key KeyHash, token bool, closedUntil time.Time) Decision {
 	m.forget(now)
 	if rec, ok := m.recent[key]; ok {
 		switch rec.State {
@@ -225,7 +225,7 @@
 	if st, ok := m.inPast(key); ok {
 		return pastDecision(st)
 	}
-	if !token && m.Quiet(now, key.Range()) {
+	if !token && m.InQuietWindow(now, key.Range()) {
 		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet}
 	}
 	if !m.makeRoom() {
@@ -233,12 +233,12 @@
 	}
 	m.put(key, &Record{State: Closed, Until: closedUntil, Pinned: token})
 	m.order = append(m.order, expiry{closedUntil, key})
-	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, After: closedUntil.Sub(now)}
+	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, RetryAfter: closedUntil.Sub(now)}
 }
 
-func (m *Memory) put(key Hash, rec *Record) {
+func (m *KeyMemory) put(key KeyHash, rec *Record) {
 	if m.recent == nil {
-		m.recent = map[Hash]*Record{}
+		m.recent = map[KeyHash]*Record{}
 	}
 	m.recent[key] = rec
 }
@@ -246,14 +246,14 @@
 // Counts is a reading of a Memory.
 type Counts struct {
 	Recent      int `json:"recent"`
-	Past        int `json:"past"`
+	Expired     int `json:"past"`
 	AnswerBytes int `json:"answer_bytes"`
 	Running     int `json:"running"`
 }
 
 // Counts returns how many keys are held.
-func (m *Memory) Counts() Counts {
-	c := Counts{Recent: len(m.recent), Past: m.pastKeys, AnswerBytes: m.answerBytes}
+func (m *KeyMemory) Counts() Counts {
+	c := Counts{Recent: len(m.recent), Expired: m.pastKeys, AnswerBytes: m.answerBytes}
 	for _, rec := range m.recent {
 		if rec.State == Running {
 			c.Running++
--- a/pkg/onceonly/key_token.go
+++ b/pkg/onceonly/key_token.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// DefaultTokenLife is the time for which a token may be used after it was issued.
-const DefaultTokenLife = time.Minute
+// DefaultTokenLifetime is the time for which a token may be used after it was issued.
+const DefaultTokenLifetime = time.Minute
 
 // tokenPrefix starts every token, so that a caller's own key is never taken for one.
 const tokenPrefix = "rst1."
--- a/pkg/onceonly/range_home.go
+++ b/pkg/onceonly/range_home.go
@@ -7,16 +7,16 @@
 	Service     string
 	VM          string
 	Incarnation string
-	Memory      Memory
+	Memory      KeyMemory
 
-	row     Row
+	row     OwnerRow
 	open    [NumRanges]bool
 	closing [NumRanges]bool
 }
 
 // Adopt takes a newer row; it reports false for one that isn't newer. A range that came without
 // its memory starts with a quiet window.
-func (h *Home) Adopt(now time.Time, row Row) bool {
+func (h *Home) Adopt(now time.Time, row OwnerRow) bool {
 	if row.Version <= h.row.Version {
 		return false
 	}
@@ -40,7 +40,7 @@
 }
 
 // Row returns the newest row taken.
-func (h *Home) Row() Row { return h.row }
+func (h *Home) Row() OwnerRow { return h.row }
 
 // Owns tells whether this node is the home of the range and may take attempts for it.
 func (h *Home) Owns(r int) bool { return h.open[r] && !h.closing[r] }
@@ -56,15 +56,15 @@
 	return list
 }
 
-// Close stops new attempts for the ranges ahead of their hand-over.
-func (h *Home) Close(ranges []int) {
+// CloseRanges stops new attempts for the ranges ahead of their hand-over.
+func (h *Home) CloseRanges(ranges []int) {
 	for _, r := range ranges {
 		h.closing[r] = true
 	}
 }
 
-// Reopen takes attempts again after a hand-over that certainly failed.
-func (h *Home) Reopen(ranges []int) {
+// ReopenRanges takes attempts again after a hand-over that certainly failed.
+func (h *Home) ReopenRanges(ranges []int) {
 	for _, r := range ranges {
 		h.closing[r] = false
 	}
--- a/pkg/onceonly/range_row.go
+++ b/pkg/onceonly/range_row.go
@@ -14,8 +14,8 @@
 // Is tells whether the owner is the given node in the given life.
 func (o Owner) Is(vm, incarnation string) bool { return o.VM == vm && o.Incarnation == incarnation }
 
-// Row says who owns each key range of a service; it is one row of the platform's table.
-type Row struct {
+// OwnerRow says who owns each key range of a service; it is one row of the platform's table.
+type OwnerRow struct {
 	Service string           `json:"service"`
 	Version int64            `json:"version"`
 	Owners  [NumRanges]Owner `json:"owners"`
@@ -27,9 +27,9 @@
 	Incarnation string
 }
 
-// NewRow deals a service's ranges out to its nodes for the first time. Nothing ran before, so nothing is lost.
-func NewRow(service string, nodes []Node) Row {
-	row := Row{Service: service, Version: 1}
+// NewOwnerRow deals a service's ranges out to its nodes for the first time. Nothing ran before, so nothing is lost.
+func NewOwnerRow(service string, nodes []Node) OwnerRow {
+	row := OwnerRow{Service: service, Version: 1}
 	nodes = sortedNodes(nodes)
 	for r := range row.Owners {
 		n := nodes[r%len(nodes)]
@@ -39,7 +39,7 @@
 }
 
 // OwnedBy returns the ranges that the node owns in this life.
-func (row *Row) OwnedBy(vm, incarnation string) []int {
+func (row *OwnerRow) OwnedBy(vm, incarnation string) []int {
 	var list []int
 	for r, o := range row.Owners {
 		if o.Is(vm, incarnation) {
@@ -49,8 +49,8 @@
 	return list
 }
 
-// MoveLost gives the ranges of owners whose memory is gone to the given nodes, marked as lossy; it reports false if there are none.
-func (row Row) MoveLost(lost func(Owner) bool, nodes []Node) (Row, bool) {
+// ReassignLost gives the ranges of owners whose memory is gone to the given nodes, marked as lossy; it reports false if there are none.
+func (row OwnerRow) ReassignLost(lost func(Owner) bool, nodes []Node) (OwnerRow, bool) {
 	if len(nodes) == 0 {
 		return row, false
 	}
@@ -72,13 +72,13 @@
 }
 
 // Reclaim gives a restarted node its own ranges back in its new life, marked as lossy.
-func (row Row) Reclaim(n Node) (Row, bool) {
-	return row.MoveLost(func(o Owner) bool { return o.VM == n.VM && o.Incarnation != n.Incarnation }, []Node{n})
+func (row OwnerRow) Reclaim(n Node) (OwnerRow, bool) {
+	return row.ReassignLost(func(o Owner) bool { return o.VM == n.VM && o.Incarnation != n.Incarnation }, []Node{n})
 }
 
 // HandOver moves the ranges from one owner to another after the memory was taken; it reports false
 // if one of them isn't owned by from any more.
-func (row Row) HandOver(ranges []int, from, to Owner) (Row, bool) {
+func (row OwnerRow) HandOver(ranges []int, from, to Owner) (OwnerRow, bool) {
 	for _, r := range ranges {
 		if !row.Owners[r].Is(from.VM, from.Incarnation) {
 			return row, false
@@ -89,8 +89,8 @@
 	return row, true
 }
 
-// Spread splits ranges over nodes so that each comes to own about the same number.
-func (row *Row) Spread(ranges []int, nodes []Node) map[Node][]int {
+// Distribute splits ranges over nodes so that each comes to own about the same number.
+func (row *OwnerRow) Distribute(ranges []int, nodes []Node) map[Node][]int {
 	out := map[Node][]int{}
 	if len(nodes) == 0 {
 		return out
@@ -104,7 +104,7 @@
 	return out
 }
 
-func (row *Row) load(nodes []Node) map[string]int {
+func (row *OwnerRow) load(nodes []Node) map[string]int {
 	load := map[string]int{}
 	for _, o := range row.Owners {
 		load[o.VM]++
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -117,7 +117,7 @@
 	fill(&s.Admission.Target, admission.DefaultTarget)
 	fill(&s.Admission.MaxSojourn, admission.DefaultMaxSojourn)
 	fill(&s.OnceOnly.Window, onceonly.DefaultWindow)
-	fill(&s.OnceOnly.TokenLife, onceonly.DefaultTokenLife)
+	fill(&s.OnceOnly.TokenLife, onceonly.DefaultTokenLifetime)
 	fill(&s.OnceOnly.MaxKeys, onceonly.DefaultMaxKeys)
 	fill(&s.OnceOnly.AnswerBytes, onceonly.DefaultAnswerBytes)
 	fill(&s.Limits.RequestBytes, DefaultRequestBytes)
