--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -27,9 +27,9 @@
 // New returns a ledger that holds n tokens.
 func New(n int) *Ledger { return &Ledger{balance: max(n, 0)} }
 
-// Begin notes an outbound call with the given signature; it reports false when the call
+// BeginCall notes an outbound call with the given signature; it reports false when the call
 // repeats one that failed or still runs and no token is left to pay for it.
-func (l *Ledger) Begin(signature uint64) bool {
+func (l *Ledger) BeginCall(signature uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	st := l.calls[signature]
@@ -47,8 +47,8 @@
 	return true
 }
 
-// End notes that the outbound call has ended, and whether a repeat of it would be a retry.
-func (l *Ledger) End(signature uint64, failed bool) {
+// EndCall notes that the outbound call has ended, and whether a repeat of it would be a retry.
+func (l *Ledger) EndCall(signature uint64, failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	st := l.calls[signature]
@@ -93,8 +93,8 @@
 	l.spent += lent - back
 }
 
-// Lost settles a loan whose answer never came: every token counts as spent.
-func (l *Ledger) Lost(lent int) { l.Return(lent, 0) }
+// WriteOff settles a loan whose answer never came: every token counts as spent.
+func (l *Ledger) WriteOff(lent int) { l.Return(lent, 0) }
 
 // Close empties the ledger and returns its balance, so that what goes back with the answer can't be spent here too.
 func (l *Ledger) Close() int {
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -40,7 +40,7 @@
 			child := New(n)
 			playTree(t, child, depth+1, retries)
 			if rapid.Bool().Draw(t, "lost") {
-				l.Lost(n)
+				l.WriteOff(n)
 			} else {
 				l.Return(n, child.Close())
 			}
@@ -59,20 +59,20 @@
 	c := qt.New(t)
 	l := New(1)
 	const call = 7
-	c.Assert(l.Begin(call), qt.IsTrue)
-	l.End(call, true)
-	c.Assert(l.Begin(call), qt.IsTrue, qt.Commentf("the token pays for one repeat"))
-	l.End(call, true)
-	c.Assert(l.Begin(call), qt.IsFalse)
-	c.Assert(l.Begin(call+1), qt.IsTrue, qt.Commentf("another call is no repeat"))
+	c.Assert(l.BeginCall(call), qt.IsTrue)
+	l.EndCall(call, true)
+	c.Assert(l.BeginCall(call), qt.IsTrue, qt.Commentf("the token pays for one repeat"))
+	l.EndCall(call, true)
+	c.Assert(l.BeginCall(call), qt.IsFalse)
+	c.Assert(l.BeginCall(call+1), qt.IsTrue, qt.Commentf("another call is no repeat"))
 }
 
 func TestAnsweredCallMayBeMadeAgain(t *testing.T) {
 	c := qt.New(t)
 	var l Ledger
-	c.Assert(l.Begin(1), qt.IsTrue)
-	l.End(1, false)
-	c.Assert(l.Begin(1), qt.IsTrue)
+	c.Assert(l.BeginCall(1), qt.IsTrue)
+	l.EndCall(1, false)
+	c.Assert(l.BeginCall(1), qt.IsTrue)
 }
 
 func TestReturnOfMoreThanWasLentIsCut(t *testing.T) {
--- a/pkg/node/call_sender.go
+++ b/pkg/node/call_sender.go
@@ -150,7 +150,7 @@
 	case a.meta.Outcome == wire.NotRun:
 		l.Return(lent, lent)
 	default:
-		l.Lost(lent)
+		l.WriteOff(lent)
 	}
 }
 
--- a/pkg/node/outbound_server.go
+++ b/pkg/node/outbound_server.go
@@ -52,7 +52,7 @@
 // outboundUnder sends a call that belongs to an inbound one: with its priority, its deadline and its tokens.
 func (n *Node) outboundUnder(ctx context.Context, in *inbound, t *config.Treatment, q *request) *answer {
 	signature := q.signature(t.Service)
-	if !in.ledger.Begin(signature) {
+	if !in.ledger.BeginCall(signature) {
 		n.metrics.Inc("retries_denied")
 		return refusal(wire.ReasonRetries, 0)
 	}
@@ -68,7 +68,7 @@
 	} else {
 		a = refusal(wire.ReasonNoServer, 0)
 	}
-	in.ledger.End(signature, a.meta.Outcome != wire.Ran || a.status >= 500)
+	in.ledger.EndCall(signature, a.meta.Outcome != wire.Ran || a.status >= 500)
 	in.end(n.clock.Now(), signature, a.meta)
 	if a.rest != nil {
 		a.rest = &cancelReader{ReadCloser: a.rest, cancel: cancel}
