--- a/pkg/member/roster.go
+++ b/pkg/member/roster.go
@@ -118,11 +118,11 @@
 		v.Leaving == w.Leaving && maps.Equal(v.Labels, w.Labels)
 }
 
-// Changes counts the lists that differed from the one before.
-func (r *Roster) Changes() int { return r.changes }
+// ChangeCount counts the lists that differed from the one before.
+func (r *Roster) ChangeCount() int { return r.changes }
 
-// Doubtful tells whether a VM was missed by a list and not yet by a second one.
-func (r *Roster) Doubtful() bool {
+// HasPendingRemoval tells whether a VM was missed by a list and not yet by a second one.
+func (r *Roster) HasPendingRemoval() bool {
 	for _, n := range r.missing {
 		if n < goneAfter {
 			return true
@@ -131,14 +131,14 @@
 	return false
 }
 
-// Gone tells whether the platform has said, in several lists, that the VM is no more.
-func (r *Roster) Gone(vm string) bool {
+// Removed tells whether the platform has said, in several lists, that the VM is no more.
+func (r *Roster) Removed(vm string) bool {
 	_, listed := r.vms[vm]
 	return !listed && r.gone[vm]
 }
 
-// Merge takes what a node says of itself, directly or through others; it reports whether that was news.
-func (r *Roster) Merge(n NodeInfo) bool {
+// MergeNode takes what a node says of itself, directly or through others; it reports whether that was news.
+func (r *Roster) MergeNode(n NodeInfo) bool {
 	if r.nodes == nil {
 		r.nodes = map[string]NodeInfo{}
 	}
--- a/pkg/member/roster_test.go
+++ b/pkg/member/roster_test.go
@@ -21,17 +21,17 @@
 	c.Assert(r.Refresh(list("a", "b", "c")), qt.IsTrue)
 	c.Assert(r.Refresh(list("a", "b")), qt.IsTrue)
 	c.Assert(r.VMs(), qt.HasLen, 3)
-	c.Assert(r.Gone("c"), qt.IsFalse)
-	c.Assert(r.Doubtful(), qt.IsTrue)
-	c.Assert(r.Changes(), qt.Equals, 1)
+	c.Assert(r.Removed("c"), qt.IsFalse)
+	c.Assert(r.HasPendingRemoval(), qt.IsTrue)
+	c.Assert(r.ChangeCount(), qt.Equals, 1)
 	r.Refresh(list("a", "b"))
-	c.Assert(r.Doubtful(), qt.IsFalse)
-	c.Assert(r.Changes(), qt.Equals, 2)
+	c.Assert(r.HasPendingRemoval(), qt.IsFalse)
+	c.Assert(r.ChangeCount(), qt.Equals, 2)
 	c.Assert(r.VMs(), qt.HasLen, 2)
-	c.Assert(r.Gone("c"), qt.IsTrue)
-	c.Assert(r.Gone("never-seen"), qt.IsFalse, qt.Commentf("an unknown VM isn't gone"))
+	c.Assert(r.Removed("c"), qt.IsTrue)
+	c.Assert(r.Removed("never-seen"), qt.IsFalse, qt.Commentf("an unknown VM isn't gone"))
 	r.Refresh(list("a", "b", "c"))
-	c.Assert(r.Gone("c"), qt.IsFalse)
+	c.Assert(r.Removed("c"), qt.IsFalse)
 }
 
 func TestImplausiblyEmptyListIsSetAside(t *testing.T) {
@@ -56,10 +56,10 @@
 		}), 1, 10).Draw(t, "infos")
 		var forward, shuffled Roster
 		for _, n := range infos {
-			forward.Merge(n)
+			forward.MergeNode(n)
 		}
 		for _, n := range rapid.Permutation(infos).Draw(t, "order") {
-			shuffled.Merge(n)
+			shuffled.MergeNode(n)
 		}
 		if forward.Digest() != shuffled.Digest() {
 			t.Fatalf("%v and %v", forward.Nodes(), shuffled.Nodes())
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -178,7 +178,7 @@
 // mergeNode takes what a node says of itself.
 func (s *controlState) mergeNode(now time.Time, info member.NodeInfo) bool {
 	old, known := s.roster.Node(info.VM)
-	if !s.roster.Merge(info) {
+	if !s.roster.MergeNode(info) {
 		return false
 	}
 	if known && old.Incarnation != info.Incarnation {
--- a/pkg/node/control_platform.go
+++ b/pkg/node/control_platform.go
@@ -164,12 +164,12 @@
 		return
 	}
 	n.toControl(func(s *controlState) {
-		before := s.roster.Changes()
+		before := s.roster.ChangeCount()
 		if !s.roster.Refresh(vms) {
 			n.log.control.Warn("list of VMs looks implausible and is set aside", "vms", len(vms))
 			return
 		}
-		if s.roster.Changes() != before {
+		if s.roster.ChangeCount() != before {
 			n.publish(s)
 		}
 	})
@@ -182,7 +182,7 @@
 // listPeriod is the time until the next reading of the list: short while a VM is missing from the last one.
 func (s *controlState) listPeriod() time.Duration {
 	period := s.n.cfg.Control.PollList
-	if s.roster.Doubtful() {
+	if s.roster.HasPendingRemoval() {
 		return period
 	}
 	return max(period, time.Duration(len(s.n.snapshot.Load().vms))*listPerVM)
--- a/pkg/node/control_ranges.go
+++ b/pkg/node/control_ranges.go
@@ -44,7 +44,7 @@
 		v.turn = slices.IndexFunc(v.nodes, func(o onceonly.Node) bool { return o.VM == n.cfg.VM })
 		gone := map[string]bool{}
 		for _, o := range v.row.Owners {
-			gone[o.VM] = s.roster.Gone(o.VM)
+			gone[o.VM] = s.roster.Removed(o.VM)
 		}
 		v.lost = func(o onceonly.Owner) bool { return gone[o.VM] }
 	})
