--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	log := f.Part("keys")
-	k.Refused = func(err error) { log.Warn("certificate refused", "err", err) }
+	k.OnRejected = func(err error) { log.Warn("certificate refused", "err", err) }
 	return k, nil
 }
 
--- a/pkg/keys/key_store.go
+++ b/pkg/keys/key_store.go
@@ -40,8 +40,8 @@
 
 // Store holds the keys in use and reads them anew on request, so that they can be replaced without a restart.
 type Store struct {
-	// Refused is told of each certificate of the other side that was refused; it is set before the first connection.
-	Refused func(err error)
+	// OnRejected is told of each certificate of the other side that was refused; it is set before the first connection.
+	OnRejected func(err error)
 
 	files Files
 	now   func() time.Time
@@ -57,8 +57,8 @@
 	return s, nil
 }
 
-// Fixed returns a Store of keys that aren't in files.
-func Fixed(m Material, now func() time.Time) *Store {
+// NewStaticStore returns a Store of keys that aren't in files.
+func NewStaticStore(m Material, now func() time.Time) *Store {
 	s := &Store{now: now}
 	s.cur.Store(&m)
 	return s
@@ -154,8 +154,8 @@
 
 func (s *Store) verify(cs tls.ConnectionState, use x509.ExtKeyUsage, roles []Role) (Identity, error) {
 	id, err := s.identify(cs, use, roles)
-	if err != nil && s.Refused != nil {
-		s.Refused(err)
+	if err != nil && s.OnRejected != nil {
+		s.OnRejected(err)
 	}
 	return id, err
 }
--- a/pkg/keys/keys_test.go
+++ b/pkg/keys/keys_test.go
@@ -35,7 +35,7 @@
 func issue(c *qt.C, a *Authority, id Identity, life time.Duration) *Store {
 	m, err := a.Issue(id, life)
 	c.Assert(err, qt.IsNil)
-	return Fixed(m, time.Now)
+	return NewStaticStore(m, time.Now)
 }
 
 func TestWrongKeysAreRefused(t *testing.T) {
@@ -47,7 +47,7 @@
 	vm := Identity{Role: RoleVM, Name: "vm-1", Zone: "z"}
 	serverKeys := issue(c, a, vm, time.Hour)
 	refused := 0
-	serverKeys.Refused = func(error) { refused++ }
+	serverKeys.OnRejected = func(error) { refused++ }
 	server := serverKeys.ServerConfig(nil, RoleVM)
 	for _, x := range []struct {
 		name string
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	v.keys = keys.Fixed(m, time.Now)
+	v.keys = keys.NewStaticStore(m, time.Now)
 	v.cfg = settings.Settings{
 		VM: v.Info.Name, Zone: v.Info.Zone, Service: v.Info.Service, Labels: v.Info.Labels,
 		Listen: settings.Listen{Peers: v.Info.Peer},
