--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -10,23 +10,23 @@
 	records map[string]Record
 }
 
-// Merge takes records that were heard and returns those that were news.
-func (d *Directory) Merge(heard ...Record) []Record {
+// Merge adds received records and returns those that were valid and newer than the ones held.
+func (d *Directory) Merge(received ...Record) []Record {
 	if d.records == nil {
 		d.records = make(map[string]Record)
 	}
-	var news []Record
-	for _, r := range heard {
+	var updates []Record
+	for _, r := range received {
 		if r.Check() != nil {
-			continue // it names no server
+			continue // no node writes such a record
 		}
-		if old, ok := d.records[r.Host]; ok && !r.newer(old) {
+		if old, ok := d.records[r.Host]; ok && !r.supersedes(old) {
 			continue
 		}
 		d.records[r.Host] = r
-		news = append(news, r)
+		updates = append(updates, r)
 	}
-	return news
+	return updates
 }
 
 // All returns every record in order of host.
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// start is when the tests begin.
+// start is the time of the first heartbeat in the tests.
 var start = time.Unix(1000, 0)
 
 func beat(id string, call int64, draining bool) Registration {
 	return Registration{Instance: id, Service: "s", Zone: "z", Slots: 5, CallSeq: call, Draining: draining}
 }
 
-func TestALateHeartbeatDoesNotReviveAServer(t *testing.T) {
+func TestLateHeartbeatAfterLeaveIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
 	c.Assert(o.Heartbeat(start, beat("a", 1, false)), qt.IsTrue)
@@ -25,7 +25,7 @@
 	c.Assert(o.Record().Phase, qt.Equals, Gone)
 }
 
-func TestAnEarlierCallDoesNotTakeDrainingBack(t *testing.T) {
+func TestHeartbeatCannotUndoDraining(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, beat("a", 5, true))
@@ -34,7 +34,7 @@
 	c.Assert(o.Record().Phase, qt.Equals, Draining)
 }
 
-func TestTheNextServerAtTheAddressServes(t *testing.T) {
+func TestNextServerAtTheAddressServes(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, beat("a", 9, false))
@@ -45,9 +45,9 @@
 	c.Assert(o.Record().Instance, qt.Equals, "b")
 }
 
-// A heartbeat that a cut held back came after its server had crashed and the next one had registered at the address: for
-// as long as that one's heartbeats are apart, all requests named a server that was gone.
-func TestALateHeartbeatOfAnEarlierServerChangesNothing(t *testing.T) {
+// A network partition delayed a heartbeat until its server had crashed and the next one had registered at the address. If the late
+// heartbeat is applied, requests name the crashed server until the next heartbeat of the new one.
+func TestLateHeartbeatOfAnEarlierServerIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
 	early := Registration{Instance: "i1", Service: "s", Zone: "z", Slots: 4, CallSeq: 7}
@@ -60,22 +60,22 @@
 	c.Assert(o.Record(), qt.Equals, before)
 	next.CallSeq++
 	c.Assert(o.Heartbeat(start, next), qt.IsFalse)
-	c.Assert(o.Leave(Lifetime{Instance: "i1"}), qt.IsFalse, qt.Commentf("nor does a late word that it ends"))
+	c.Assert(o.Leave(Lifetime{Instance: "i1"}), qt.IsFalse, qt.Commentf("a late leave call is ignored too"))
 	c.Assert(o.Record(), qt.Equals, before)
 }
 
-func TestARestartedNodeRecallsItsServerUntilItSpeaks(t *testing.T) {
+func TestRestartedNodeRestoresItsServerUntilAHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
 	old := Record{Host: "h", Generation: 7, Instance: "a", Service: "s", Slots: 5, Phase: Draining}
 	c.Assert(o.Restore(old), qt.IsTrue)
 	c.Assert(o.Record(), qt.Equals, old)
-	c.Assert(o.Heartbeat(start, beat("a", 3, false)), qt.IsTrue, qt.Commentf("zone is news"))
-	c.Assert(o.Record().Phase, qt.Equals, Draining, qt.Commentf("leaving isn't taken back"))
+	c.Assert(o.Heartbeat(start, beat("a", 3, false)), qt.IsTrue, qt.Commentf("the zone is new"))
+	c.Assert(o.Record().Phase, qt.Equals, Draining, qt.Commentf("draining isn't undone"))
 	c.Assert(o.Record().Generation > 7, qt.IsTrue)
 }
 
-func TestAServerThatSpokeGoesAboveWhatOthersRemember(t *testing.T) {
+func TestRestoreRaisesTheGenerationAfterAHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
 	o.Heartbeat(start, beat("b", 1, false))
@@ -84,29 +84,29 @@
 	c.Assert(o.Record().Generation, qt.Equals, int64(41))
 }
 
-// Nodes that hear the same records in any order, any number of times, end with the same directory.
+// Nodes that receive the same records in any order, any number of times, hold the same directory.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var heard []Record
+		var received []Record
 		for range rapid.IntRange(1, 20).Draw(r, "n") {
 			g := rapid.Int64Range(1, 4).Draw(r, "generation")
-			heard = append(heard, Record{
+			received = append(received, Record{
 				Host: rapid.SampledFrom([]string{"a", "b"}).Draw(r, "host"), Generation: g,
 				Instance: "i", Service: "s", Phase: Phase(rapid.IntRange(0, 3).Draw(r, "phase")),
 			})
 		}
 		var d, e Directory
-		d.Merge(heard...)
+		d.Merge(received...)
 		rnd := rand.New(rand.NewPCG(1, 2))
-		rnd.Shuffle(len(heard), func(i, j int) { heard[i], heard[j] = heard[j], heard[i] })
-		e.Merge(heard...)
-		e.Merge(heard...)
+		rnd.Shuffle(len(received), func(i, j int) { received[i], received[j] = received[j], received[i] })
+		e.Merge(received...)
+		e.Merge(received...)
 		qt.Assert(t, e.All(), qt.DeepEquals, d.All())
 	})
 }
 
-// Two nodes with the same records have the same digest, whatever the order; a change of one differs.
-func TestDigestTellsRecordsApart(t *testing.T) {
+// The digest depends on the records and not on the order in which they were merged.
+func TestDigestIdentifiesTheRecords(t *testing.T) {
 	c := qt.New(t)
 	a, b := Record{Host: "a", Generation: 1, Instance: "i"}, Record{Host: "b", Generation: 4, Instance: "j"}
 	var d, e Directory
--- a/pkg/directory/doc.go
+++ b/pkg/directory/doc.go
@@ -1,11 +1,11 @@
-// Package directory knows the backend servers of the mesh without a central list.
+// Package directory holds the replicated directory of the mesh's backend servers.
 //
-// Each node writes what it knows of its own backend server as a Record with a
-// generation that only grows. Records travel by the store's table and by the
+// Each node describes its local backend server by a Record with a generation
+// that only grows. Records are replicated through the store's table and the
 // exchanges between nodes, in any order; Merge keeps the newest. A Record
-// isn't dropped because its node is silent: only the node itself says that its
-// server is gone.
+// isn't removed because its node is unresponsive: only the node itself reports
+// that its server has left.
 //
-// directory.go merges the records of all VMs, own_server.go follows the
-// server beside the node by its heartbeats, record.go has what both tell.
+// directory.go merges the records of all VMs, local_server.go tracks the local
+// backend server by its heartbeats, record.go defines the records.
 package directory
--- /dev/null
+++ b/pkg/directory/local_server.go
@@ -0,0 +1,202 @@
+package directory
+
+import (
+	"slices"
+	"time"
+)
+
+// The bounds by which lifetimes of the backend server are told apart.
+const (
+	// maxLeftLifetimes bounds how many lifetimes that have left are remembered; the oldest are dropped first.
+	maxLeftLifetimes = 64
+	// candidateConfirmTime is for how long a lifetime that seems older than the current one has to send heartbeats, with none
+	// of the current one in between, before it replaces the current one: the clock was set back, or the server sends no start
+	// time. It spans at least two heartbeats; heartbeats that a network partition delayed arrive all at once.
+	candidateConfirmTime = 2 * time.Second
+)
+
+// LocalServer tracks the backend server on a node's own VM by its heartbeats. It decides when the Record changes, and
+// ignores what older lifetimes of the server sent, which may arrive late and in any order.
+type LocalServer struct {
+	Host string
+
+	record      Record
+	lastCallSeq int64
+	registered  bool       // a heartbeat has arrived since the node started
+	left        []Lifetime // lifetimes that have left, the oldest first
+	candidate   candidateLifetime
+}
+
+// candidateLifetime is a lifetime that seems older than the current one and sends heartbeats.
+type candidateLifetime struct {
+	lifetime  Lifetime
+	callSeq   int64
+	firstSeen time.Time // its first heartbeat with none of the current lifetime since
+}
+
+// heartbeatClass is how a heartbeat relates to the current lifetime.
+type heartbeatClass uint8
+
+const (
+	staleHeartbeat     heartbeatClass = iota // of an older lifetime, or an earlier call of the same
+	currentHeartbeat                         // the next call of the current lifetime
+	nextHeartbeat                            // of the next lifetime
+	ambiguousHeartbeat                       // stale or of the next lifetime; only further heartbeats tell
+)
+
+// Heartbeat applies a heartbeat and reports whether the Record changed.
+func (o *LocalServer) Heartbeat(now time.Time, r Registration) bool {
+	class := o.classify(r)
+	if class == ambiguousHeartbeat && o.confirmCandidate(now, r) {
+		class = nextHeartbeat
+	}
+	if class == staleHeartbeat || class == ambiguousHeartbeat {
+		return false
+	}
+	o.candidate = candidateLifetime{}
+	o.lastCallSeq = r.CallSeq
+	o.registered = true
+	if class == nextHeartbeat {
+		return o.startLifetime(r)
+	}
+	return o.updateRecord(r, max(o.record.Phase, r.phase()), o.record.FirstGeneration) // draining is never undone
+}
+
+// classify returns how a heartbeat relates to the current lifetime.
+func (o *LocalServer) classify(r Registration) heartbeatClass {
+	sender, current := r.Lifetime(), o.record.Lifetime()
+	known := sender.StartedMS > 0 && current.StartedMS > 0
+	switch {
+	case slices.Contains(o.left, sender):
+		return staleHeartbeat
+	case o.record.Instance == "":
+		return nextHeartbeat
+	case sender.Instance == current.Instance && (!known || sender.StartedMS == current.StartedMS):
+		return o.classifyByCallSeq(r, known)
+	case known && sender.StartedMS < current.StartedMS:
+		return ambiguousHeartbeat
+	default:
+		return nextHeartbeat
+	}
+}
+
+// classifyByCallSeq classifies a heartbeat of the current instance by its call number; startsKnown is false if the start time of
+// either lifetime is unknown.
+func (o *LocalServer) classifyByCallSeq(r Registration, startsKnown bool) heartbeatClass {
+	switch {
+	case r.CallSeq >= o.lastCallSeq:
+		return currentHeartbeat
+	case startsKnown || o.record.Phase > Serving:
+		return staleHeartbeat
+	default:
+		return ambiguousHeartbeat
+	}
+}
+
+// confirmCandidate notes a heartbeat of a lifetime that seems older, and reports whether that lifetime has sent heartbeats for
+// candidateConfirmTime.
+func (o *LocalServer) confirmCandidate(now time.Time, r Registration) bool {
+	if o.candidate.lifetime != r.Lifetime() || r.CallSeq <= o.candidate.callSeq {
+		o.candidate = candidateLifetime{lifetime: r.Lifetime(), callSeq: r.CallSeq, firstSeen: now}
+		return false
+	}
+	o.candidate.callSeq = r.CallSeq
+	return now.Sub(o.candidate.firstSeen) >= candidateConfirmTime
+}
+
+// startLifetime replaces the current lifetime, which has ended, by the next one and reports whether the Record changed.
+func (o *LocalServer) startLifetime(r Registration) bool {
+	if o.record.Instance != "" {
+		o.rememberLeft(o.record.Lifetime()) // its heartbeats that are still in flight are stale
+	}
+	return o.updateRecord(r, r.phase(), o.record.Generation+1)
+}
+
+// updateRecord sets the Record from a heartbeat and reports whether it changed; firstGeneration is that of the heartbeat's lifetime.
+func (o *LocalServer) updateRecord(r Registration, phase Phase, firstGeneration int64) bool {
+	next := Record{
+		Host: o.Host, Generation: o.record.Generation, Instance: r.Instance, Service: r.Service,
+		Zone: r.Zone, Release: r.Release, Slots: r.Slots, Phase: phase,
+		StartedMS: max(r.StartedMS, o.knownStartMS(firstGeneration)), FirstGeneration: firstGeneration,
+	}
+	if next == o.record {
+		return false
+	}
+	next.Generation++
+	o.record = next
+	return true
+}
+
+// knownStartMS returns the start time, in Unix milliseconds, of the lifetime with the given first generation, or 0 if it isn't known.
+func (o *LocalServer) knownStartMS(firstGeneration int64) int64 {
+	if firstGeneration == o.record.FirstGeneration {
+		return o.record.StartedMS
+	}
+	return 0
+}
+
+// Leave records that a lifetime has left and reports whether the Record changed. Without a start time it stands for the current
+// lifetime if that is of the same instance.
+func (o *LocalServer) Leave(at Lifetime) bool {
+	current := o.record.Lifetime()
+	if at.Instance == current.Instance && (at.StartedMS == 0 || current.StartedMS == 0) {
+		at.StartedMS = current.StartedMS
+	}
+	o.rememberLeft(at)
+	switch {
+	case at == current:
+		if o.record.Phase == Gone {
+			return false
+		}
+	case o.registered, at.StartedMS > 0 && at.StartedMS < current.StartedMS:
+		return false // an earlier server at this address
+	default:
+		o.record.FirstGeneration = o.record.Generation + 1
+	}
+	o.record.Host = o.Host
+	o.record.Instance, o.record.StartedMS = at.Instance, at.StartedMS
+	o.record.Phase = Gone
+	o.record.Generation++
+	return true
+}
+
+// rememberLeft remembers that a lifetime has left, so that its late heartbeats are ignored.
+func (o *LocalServer) rememberLeft(at Lifetime) {
+	if slices.Contains(o.left, at) {
+		return
+	}
+	if len(o.left) >= maxLeftLifetimes {
+		o.left = slices.Delete(o.left, 0, 1)
+	}
+	o.left = append(o.left, at)
+}
+
+// Restore takes this server's Record from a replica after a restart of the node, and reports whether the Record changed. Once the
+// server itself has sent a heartbeat, the replica can only raise the generation.
+func (o *LocalServer) Restore(r Record) bool {
+	if r.Host != o.Host || !r.supersedes(o.record) {
+		return false
+	}
+	if o.registered && o.record.withGenerationsOf(r) == r {
+		o.record = r // the replica holds exactly what the server reported
+		return true
+	}
+	if o.registered || slices.Contains(o.left, r.Lifetime()) {
+		if r.Generation >= o.record.Generation {
+			o.record.Generation = r.Generation + 1
+			return true
+		}
+		return false
+	}
+	o.record = r
+	return true
+}
+
+// withGenerationsOf returns the record with the generations of other.
+func (r Record) withGenerationsOf(other Record) Record {
+	r.Generation, r.FirstGeneration = other.Generation, other.FirstGeneration
+	return r
+}
+
+// Record returns the current Record of the local backend server.
+func (o *LocalServer) Record() Record { return o.record }
--- a/pkg/directory/record.go
+++ b/pkg/directory/record.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// Phase is where a backend server stands in its life.
+// Phase is a stage in the lifetime of a backend server.
 type Phase uint8
 
 // The phases, in the order in which a server goes through them.
 const (
-	Absent   Phase = iota // no server is known beside the node
-	Serving               // takes work
-	Draining              // takes no new work
-	Gone                  // has said that it ends
+	Absent   Phase = iota // no local backend server is known
+	Serving               // accepts requests
+	Draining              // accepts no new requests
+	Gone                  // has left
 )
 
 // String names the phase for logs.
 func (p Phase) String() string { return [...]string{"absent", "serving", "draining", "gone"}[p&3] }
 
-// Record is what a node says of the backend server beside it.
+// Record describes the local backend server of a node.
 type Record struct {
 	Host            string `json:"h"`           // IP number of the VM
-	Generation      int64  `json:"g"`           // grows with every change
-	Instance        string `json:"i,omitempty"` // identity of this start of the server
+	Generation      int64  `json:"g"`           // increases with every change
+	Instance        string `json:"i,omitempty"` // ID that the server chose at its start
 	Service         string `json:"s,omitempty"`
 	Zone            string `json:"z,omitempty"`
 	Release         string `json:"r,omitempty"` // version of the server's software
-	Slots           int    `json:"n,omitempty"` // requests that it works on at once
+	Slots           int    `json:"n,omitempty"` // requests that it runs concurrently
 	Phase           Phase  `json:"p,omitempty"`
-	StartedMS       int64  `json:"b,omitempty"` // when this life of the server began, as it says, in Unix milliseconds; 0: it doesn't
-	FirstGeneration int64  `json:"f,omitempty"` // the generation with which this life began
+	StartedMS       int64  `json:"b,omitempty"` // start time of this lifetime, in Unix milliseconds; 0: not reported
+	FirstGeneration int64  `json:"f,omitempty"` // the generation at which this lifetime began
 }
 
-// Lifetime is one life of a backend server. It may start again under the same instance, and is another one then.
+// Lifetime identifies one run of a backend server's process; a restart under the same instance ID is another lifetime.
 type Lifetime struct {
 	Instance  string
-	StartedMS int64 // Unix milliseconds; 0: not said
+	StartedMS int64 // Unix milliseconds; 0: not reported
 }
 
-// Lifetime returns which life of its server the record speaks of.
+// Lifetime returns the server's lifetime that the record describes.
 func (r Record) Lifetime() Lifetime { return Lifetime{r.Instance, r.StartedMS} }
 
-// Lifetime returns which life of the server speaks.
+// Lifetime returns the server's lifetime that sent the heartbeat.
 func (r Registration) Lifetime() Lifetime { return Lifetime{r.Instance, r.StartedMS} }
 
-// phase returns where the server says that it stands.
+// phase returns Draining or Serving, as the server reports.
 func (r Registration) phase() Phase {
 	if r.Draining {
 		return Draining
@@ -54,7 +54,8 @@
 	return Serving
 }
 
-// LifetimeID names the life for other nodes, and differs from that of any other life at this host, whatever the server says of its birth.
+// LifetimeID returns an ID of the lifetime that is unique on this host whether or not the server reports a start time, or "" without a
+// server.
 func (r Record) LifetimeID() string {
 	if r.Instance == "" {
 		return ""
@@ -62,7 +63,7 @@
 	return r.Instance + "/" + strconv.FormatInt(r.FirstGeneration, 10)
 }
 
-// Registration is a heartbeat of a backend server, as its node heard it.
+// Registration is a heartbeat that a backend server sends to its node.
 type Registration struct {
 	Instance   string
 	Address    string // IP:port
@@ -71,20 +72,20 @@
 	Release    string
 	Slots      int
 	Draining   bool
-	CallSeq    int64         // grows with every call of the server, so that a late one can be told
-	StartedMS  int64         // Unix milliseconds of its start; 0: not said
-	WarmupLeft time.Duration // how much longer the server is slow after its start
+	CallSeq    int64         // increases with every call of the server, so that late calls are recognized
+	StartedMS  int64         // start time in Unix milliseconds; 0: not reported
+	WarmupLeft time.Duration // remaining time in which the server is slow after its start
 }
 
-// newer tells whether r replaces old.
-func (r Record) newer(old Record) bool {
+// supersedes reports whether r replaces old: a higher generation wins, and at the same generation the later phase of the same lifetime.
+func (r Record) supersedes(old Record) bool {
 	if r.Generation != old.Generation {
 		return r.Generation > old.Generation
 	}
 	return r.Lifetime() == old.Lifetime() && r.Phase > old.Phase
 }
 
-// RecordError reports a record that no node writes.
+// RecordError reports a record that no node would write.
 type RecordError struct {
 	Field string
 	Value string
@@ -93,7 +94,7 @@
 // Error names the field and its value.
 func (e *RecordError) Error() string { return fmt.Sprintf("record: %s is %q", e.Field, e.Value) }
 
-// Check tells whether a node may have written the record; the error is a *RecordError.
+// Check returns a *RecordError for a record that no node would write.
 func (r Record) Check() error {
 	switch {
 	case r.Host == "":
