--- a/pkg/desired/check_state.go
+++ b/pkg/desired/check_state.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// InvalidError says which field of a desired state is wrong.
+// InvalidError reports an invalid field of a desired state.
 type InvalidError struct {
 	Field string
 	Value string
 	Msg   string
 }
 
-// Error names the field, its value and the fault.
+// Error names the field, its value and what is wrong with it.
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("desired state: %s %q: %s", e.Field, e.Value, e.Msg)
 }
 
-// check returns the first fault of a route as an *InvalidError.
+// check returns the route's first invalid field as an *InvalidError.
 func (r *Route) check() error {
 	at := "route " + r.Name
 	switch {
@@ -26,14 +26,14 @@
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return &InvalidError{at + " prefix", r.Prefix, "must begin and end with '/'"}
 	case r.Kind == 0:
-		return &InvalidError{at + " kind", "", "isn't known"}
+		return &InvalidError{at + " kind", "", "is unknown"}
 	case len(r.Targets) == 0:
 		return &InvalidError{at + " service", "", "must be set"}
 	}
 	return r.checkSplit(at)
 }
 
-// checkSplit looks at the weights; at names the route.
+// checkSplit checks the weights of the targets; at is the prefix of the field's name in an *InvalidError.
 func (r *Route) checkSplit(at string) error {
 	total := 0
 	for _, t := range r.Targets {
@@ -43,7 +43,7 @@
 		total += t.Weight
 	}
 	if total == 0 {
-		return &InvalidError{at + " split", "0", "needs a weight above 0"}
+		return &InvalidError{at + " split", "0", "needs a target with a weight above 0"}
 	}
 	return nil
 }
--- a/pkg/desired/desired_state.go
+++ b/pkg/desired/desired_state.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Kind says how often the requests of a route may run.
+// Kind is the execution guarantee of a route's requests.
 type Kind uint8
 
 // The kinds of route.
 const (
 	Repeatable Kind = iota + 1 // may run more than once
-	AtMostOnce                 // at most once for each attempt of a client
-	Download                   // large answers, repeatable
+	AtMostOnce                 // run at most once for each attempt of a client
+	Download                   // may run more than once, with large answers
 )
 
 // String names the kind for logs.
@@ -31,59 +31,59 @@
 	}
 }
 
-// Target is one part of a split route.
+// Target is a service that receives a share of a route's requests, in proportion to its weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says where the requests of one host and path prefix go, and under which bounds.
+// Route assigns the requests of one host and path prefix to services, with their limits.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest time that a request is held; 0: no bound
-	LatencyGoal time.Duration // an answer within it earns its full worth
+	Timeout     time.Duration // longest time that a request is held; 0: no limit
+	LatencyGoal time.Duration // an answer within this time has its full value
 	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // most backend servers that one attempt of a client is sent to
+	MaxAttempts int           // most backend servers that one client attempt is sent to
 	Public      bool          // needs no key
 	Targets     []Target
 }
 
-// Service is what the operator says of a service.
+// Service holds the operator's settings of a service.
 type Service struct {
 	Name           string
-	MaxConnections int // of all callers together, at one backend server; 0: not bounded
+	MaxConnections int // to one backend server, from all clients together; 0: unlimited
 }
 
-// Limits bounds what clients may send.
+// Limits bounds the requests and connections of clients.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
-	HeaderTimeout time.Duration // longest time for a request's header
-	IdleTimeout   time.Duration // longest rest of a kept connection
+	HeaderTimeout time.Duration // for reading a request's header
+	IdleTimeout   time.Duration // for which a keep-alive connection may be idle
 }
 
 // State is one version of the desired state; it is never changed after New.
 type State struct {
 	Version  int64
-	Source   []byte // as it was read, to be handed on to other nodes
+	Source   []byte // as it was read, for other nodes
 	Routes   []Route
 	Services map[string]Service
 	Teams    []Team // none: requests need no key
 	Limits   Limits
 
-	byKey map[keyDigest]*Team
-	// teamPriorities are those that teams have, the most urgent first.
+	byKey map[keyHash]*Team
+	// teamPriorities are the distinct priorities of teams, the most urgent first.
 	teamPriorities []int
 	byTeam         map[string]*Team
-	ranks          int // priorities of routes: as many as the most that one has, and one
+	routeRanks     int // one more than the largest priority of a route
 	byHost         map[string]map[string]*Route
 	byName         map[string]*Route
 }
 
-// New indexes a state; the error is an *InvalidError.
+// New checks and indexes a state; the error is an *InvalidError.
 func New(s State) (*State, error) {
 	if s.Version <= 0 {
 		return nil, &InvalidError{"version", fmt.Sprint(s.Version), "must be above 0"}
@@ -101,7 +101,7 @@
 		}
 		s.byHost[host][r.Prefix] = r
 		s.byName[r.Name] = r
-		s.ranks = max(s.ranks, r.Priority+1)
+		s.routeRanks = max(s.routeRanks, r.Priority+1)
 	}
 	if err := s.indexTeams(); err != nil {
 		return nil, err
@@ -109,31 +109,32 @@
 	return &s, nil
 }
 
-// HasRoute tells whether the state has a route of that name.
+// HasRoute reports whether the state has a route of that name.
 func (s *State) HasRoute(name string) bool { return s.byName[name] != nil }
 
-// lowest is the priority of a route that isn't known.
-const lowest = 1 << 10
+// unknownRoutePriority is the priority and rank of an unknown route.
+const unknownRoutePriority = 1 << 10
 
-// Priority returns the priority of a route by its name; one that isn't known comes last.
+// Priority returns the priority of a route by its name; an unknown route comes last.
 func (s *State) Priority(route string) int {
 	if s == nil || s.byName[route] == nil {
-		return lowest
+		return unknownRoutePriority
 	}
 	return s.byName[route].Priority
 }
 
-// Rank returns where requests of a route stand whose team has a priority: that of the team goes before the route's, and what counts
-// is its place among those that there are, however far apart they are. Without teams it is the route's own.
+// Rank returns the order of service of a route's requests from a team of the given priority, 0 being the most urgent: by team priority
+// first, then by route priority. A team priority counts by its index among those in use, so that large gaps between priorities don't
+// delay the less urgent requests. Without teams the rank is the route's priority.
 func (s *State) Rank(route string, teamPriority int) int {
 	if s == nil || !s.HasRoute(route) {
-		return lowest
+		return unknownRoutePriority
 	}
-	place, _ := slices.BinarySearch(s.teamPriorities, teamPriority)
-	return place*s.ranks + s.Priority(route)
+	index, _ := slices.BinarySearch(s.teamPriorities, teamPriority)
+	return index*s.routeRanks + s.Priority(route)
 }
 
-// HasService tells whether the state has a service, or a route that leads to it.
+// HasService reports whether the state has settings for a service or a route to it.
 func (s *State) HasService(service string) bool {
 	if s == nil {
 		return false
--- a/pkg/desired/desired_test.go
+++ b/pkg/desired/desired_test.go
@@ -7,13 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func valid(name, host, prefix string) Route {
+// validRoute returns a valid at-most-once route to service s.
+func validRoute(name, host, prefix string) Route {
 	return Route{Name: name, Host: host, Prefix: prefix, Kind: AtMostOnce, Targets: []Target{{Service: "s", Weight: 1}}}
 }
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchFindsTheLongestPrefixOfTheHost(t *testing.T) {
 	c := qt.New(t)
-	s, err := New(State{Version: 1, Routes: []Route{valid("root", "h", "/"), valid("a", "h", "/a/"), valid("ab", "h", "/a/b/"), valid("o", "o", "/a/")}})
+	s, err := New(State{Version: 1, Routes: []Route{validRoute("root", "h", "/"), validRoute("a", "h", "/a/"), validRoute("ab", "h", "/a/b/"), validRoute("o", "o", "/a/")}})
 	c.Assert(err, qt.IsNil)
 	for _, x := range []struct{ host, path, want string }{
 		{"h", "/a/b/c?x=/q/", "ab"},
@@ -31,19 +32,20 @@
 	c.Assert(s.Priority("nobody") > s.Priority("a"), qt.IsTrue)
 }
 
-// How far apart the priorities of teams are doesn't count: a lag by rank at a gate would else keep the less urgent out for seconds.
-func TestRanksAreClose(t *testing.T) {
+// Ranks depend on the order of team priorities and not on their distance: the lag of a request at a gate grows with its rank, so ranks with
+// large gaps would keep the less urgent requests waiting for seconds.
+func TestRanksIgnoreGapsBetweenTeamPriorities(t *testing.T) {
 	c := qt.New(t)
-	r := valid("a", "h", "/a/")
+	r := validRoute("a", "h", "/a/")
 	r.Priority = 2
 	s, err := New(State{Version: 1, Routes: []Route{r}, Teams: []Team{{Name: "x", Priority: 1 << 62}, {Name: "y", Priority: 10}, {Name: "z", Priority: 1 << 62}}})
 	c.Assert(err, qt.IsNil)
 	c.Check(s.Rank("a", 10), qt.Equals, 2)
 	c.Check(s.Rank("a", 1<<62), qt.Equals, 5)
-	c.Check(s.Rank("a", 20), qt.Equals, 5) // of a state that isn't known here
+	c.Check(s.Rank("a", 20), qt.Equals, 5) // a priority of another state version
 }
 
-func TestFaultsNameTheField(t *testing.T) {
+func TestInvalidErrorNamesTheField(t *testing.T) {
 	c := qt.New(t)
 	for field, change := range map[string]func(*Route){
 		"route r host":    func(r *Route) { r.Host = "" },
@@ -53,7 +55,7 @@
 		"route r weight":  func(r *Route) { r.Targets = []Target{{Weight: -1}} },
 		"route r split":   func(r *Route) { r.Targets = []Target{{Weight: 0}} },
 	} {
-		r := valid("r", "h", "/a/")
+		r := validRoute("r", "h", "/a/")
 		change(&r)
 		_, err := New(State{Version: 1, Routes: []Route{r}})
 		var invalid *InvalidError
--- a/pkg/desired/match_route.go
+++ b/pkg/desired/match_route.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Match returns the route of a request, or nil; path may hold a query.
+// Match returns the route with the longest matching path prefix of the host, or nil; host may have a port, and path a query.
 func (s *State) Match(host, path string) *Route {
 	if i := strings.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
--- a/pkg/desired/team.go
+++ b/pkg/desired/team.go
@@ -11,13 +11,14 @@
 	"strings"
 )
 
-// Key is what a client shows to be served as one of a team. It is a secret: formatted or logged it shows its fingerprint only.
+// Key is the secret by which a client authenticates as one of a team. Formatted or logged, it shows only its fingerprint.
 type Key string
 
-// fingerprintBytes of a key's digest name it in logs: enough to tell the keys of a fleet apart, and no help in finding one.
+// fingerprintBytes is the length of the part of a key's hash that names the key in logs: enough to be unique in a fleet, and too little
+// to help in finding a key.
 const fingerprintBytes = 6
 
-// Fingerprint names the key without telling it.
+// Fingerprint returns a name of the key that doesn't reveal it.
 func (k Key) Fingerprint() string {
 	d := sha256.Sum256([]byte(k))
 	return base64.RawURLEncoding.EncodeToString(d[:fingerprintBytes])
@@ -26,47 +27,48 @@
 // Format writes the fingerprint, whatever the verb.
 func (k Key) Format(f fmt.State, _ rune) { fmt.Fprintf(f, "key:%s", k.Fingerprint()) }
 
-// LogValue is the fingerprint.
+// LogValue returns the fingerprint.
 func (k Key) LogValue() slog.Value { return slog.StringValue("key:" + k.Fingerprint()) }
 
-// Team is one of those who share the system.
+// Team is a group of clients with its own keys, priority and quota.
 type Team struct {
 	Name     string
 	Keys     []Key
-	Priority int     // 0 is the most urgent; it goes before that of the route
-	Rate     float64 // requests a second that it may have run, over all nodes; 0: not bounded
-	Burst    float64 // requests beyond the rate
+	Priority int     // 0 is the most urgent; it takes precedence over the route's
+	Rate     float64 // quota in requests per second over all nodes; 0: unlimited
+	Burst    float64 // requests that the quota allows above the rate
 }
 
-// HasQuota tells whether the team has a quota.
+// HasQuota reports whether the team has a quota.
 func (t *Team) HasQuota() bool { return t != nil && t.Rate > 0 }
 
-// The bounds of what a state may hold of teams: ten times what the largest operator has.
+// The bounds on the teams of a state: ten times what the largest operator has.
 const (
 	maxTeams = 100_000
 	maxKeys  = 1_000_000 // of all teams
-	// MaxKeyBytes bounds one key.
+	// MaxKeyBytes bounds the length of one key.
 	MaxKeyBytes = 512
-	// maxTeamName bounds a name in bytes: it goes into a header of each request.
-	maxTeamName = 200
+	// maxTeamNameBytes bounds a team's name, which is sent in a header of each request.
+	maxTeamNameBytes = 200
 )
 
-// teamsAtATime are indexed before requests get their turn: a thousand keys take 0.5 ms, a hundred thousand 49 ms (benchmark, beside other work).
-const teamsAtATime = 1000
+// teamsPerYield teams are indexed before the goroutine yields, so that a large state doesn't delay requests: a thousand keys take 0.5 ms, a
+// hundred thousand 49 ms.
+const teamsPerYield = 1000
 
-// keyDigest is what the table of keys is looked up by: how long that takes tells nothing of the keys in it, and nobody can
-// choose keys that fall on one place.
-type keyDigest [sha256.Size]byte
+// keyHash is the hash by which keys are looked up: the time of a lookup reveals nothing of the keys in the table, and a client can't
+// choose keys that collide.
+type keyHash [sha256.Size]byte
 
-// indexTeams checks the teams and makes the table of keys; the error is an *InvalidError, which names no key.
+// indexTeams checks the teams and indexes their keys; the error is an *InvalidError, which reveals no key.
 func (s *State) indexTeams() error {
 	if len(s.Teams) > maxTeams {
 		return &InvalidError{"teams", fmt.Sprint(len(s.Teams)), fmt.Sprintf("must be %d at most", maxTeams)}
 	}
-	s.byKey = make(map[keyDigest]*Team, len(s.Teams))
+	s.byKey = make(map[keyHash]*Team, len(s.Teams))
 	s.byTeam = make(map[string]*Team, len(s.Teams))
 	for i := range s.Teams {
-		if i%teamsAtATime == 0 {
+		if i%teamsPerYield == 0 {
 			runtime.Gosched()
 		}
 		t := &s.Teams[i]
@@ -74,7 +76,7 @@
 			return err
 		}
 		if s.byTeam[t.Name] != nil {
-			return &InvalidError{"team " + t.Name + " name", t.Name, "stands twice"}
+			return &InvalidError{"team " + t.Name + " name", t.Name, "is used by another team"}
 		}
 		s.byTeam[t.Name] = t
 		s.teamPriorities = append(s.teamPriorities, t.Priority)
@@ -87,18 +89,18 @@
 	return nil
 }
 
-// indexKeys puts the keys of a team into the table.
+// indexKeys checks the keys of a team and adds them to the index; the error is an *InvalidError.
 func (s *State) indexKeys(t *Team) error {
 	at := "team " + t.Name + " key"
 	for _, k := range t.Keys {
 		if err := k.check(); err != "" {
 			return &InvalidError{at, fmt.Sprint(k), err}
 		}
-		digest := keyDigest(sha256.Sum256([]byte(k)))
-		if other := s.byKey[digest]; other != nil && other != t {
-			return &InvalidError{at, fmt.Sprint(k), "is that of team " + other.Name + " as well"}
+		hash := keyHash(sha256.Sum256([]byte(k)))
+		if other := s.byKey[hash]; other != nil && other != t {
+			return &InvalidError{at, fmt.Sprint(k), "is also a key of team " + other.Name}
 		}
-		s.byKey[digest] = t
+		s.byKey[hash] = t
 	}
 	if len(s.byKey) > maxKeys {
 		return &InvalidError{"teams", fmt.Sprint(len(s.byKey)), fmt.Sprintf("must have %d keys at most", maxKeys)}
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// check returns what is wrong with a key, or "".
+// check returns what is wrong with a key, or "" if it is valid.
 func (k Key) check() string {
 	switch {
 	case k == "":
@@ -119,14 +121,14 @@
 	return ""
 }
 
-// check returns the first fault of a team's own fields as an *InvalidError.
+// check returns the first invalid field of a team, keys aside, as an *InvalidError.
 func (t *Team) check() error {
 	at := "team " + t.Name
 	switch {
 	case t.Name == "":
 		return &InvalidError{"team name", "", "must be set"}
-	case len(t.Name) > maxTeamName || !isToken(t.Name):
-		return &InvalidError{"team name", t.Name, fmt.Sprintf("must be printable ASCII without blanks, %d bytes at most", maxTeamName)}
+	case len(t.Name) > maxTeamNameBytes || !isToken(t.Name):
+		return &InvalidError{"team name", t.Name, fmt.Sprintf("must be printable ASCII without blanks, %d bytes at most", maxTeamNameBytes)}
 	case t.Priority < 0:
 		return &InvalidError{at + " priority", fmt.Sprint(t.Priority), "must not be negative"}
 	case !isAmount(t.Rate):
@@ -137,15 +139,15 @@
 	return nil
 }
 
-// isToken tells whether a text can stand in a header as it is.
+// isToken reports whether s is printable ASCII without blanks, so that it can be sent in a header unescaped.
 func isToken(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// isAmount tells whether a number can be a rate.
+// isAmount reports whether v is a finite number that isn't negative.
 func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// HasTeams tells whether requests need a key, but for those on public routes.
+// HasTeams reports whether requests need a key, except on public routes.
 func (s *State) HasTeams() bool { return s != nil && len(s.Teams) > 0 }
 
 // Team returns a team by its name, or nil.
@@ -156,5 +158,5 @@
 	return s.byTeam[name]
 }
 
-// TeamByKey returns the team that holds the key, or nil; it takes as long however many keys there are.
-func (s *State) TeamByKey(key string) *Team { return s.byKey[keyDigest(sha256.Sum256([]byte(key)))] }
+// TeamByKey returns the team that has the key, or nil; its time doesn't depend on the number of keys.
+func (s *State) TeamByKey(key string) *Team { return s.byKey[keyHash(sha256.Sum256([]byte(key)))] }
--- a/pkg/desired/team_bench_test.go
+++ b/pkg/desired/team_bench_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// BenchmarkIndexKeys is the time that a new state takes before it is in force, beside its decoding.
+// BenchmarkIndexKeys measures the time to index a decoded state before it is applied.
 func BenchmarkIndexKeys(b *testing.B) {
 	for _, keys := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
