--- a/pkg/onceonly/key_handover.go
+++ b/pkg/onceonly/key_handover.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// Handover is the memory of some key ranges on its way to their next owner.
+// Handover is the message that carries the keys of some ranges to their next owner.
 type Handover struct {
 	Service string            `json:"service"`
 	From    Owner             `json:"from"`
 	To      Owner             `json:"to"`
 	Ranges  []int             `json:"ranges"`
-	QuietMS map[int]int64     `json:"quiet,omitempty"` // milliseconds of quiet window left, by range
+	QuietMS map[int]int64     `json:"quiet,omitempty"` // remaining quiet window in milliseconds, by range
 	Records []HandoverRecord  `json:"records"`
 	Expired []HandoverExpired `json:"past,omitempty"`
 }
 
-// HandoverRecord is one key's record; its times are sent as milliseconds left, since clocks differ.
+// HandoverRecord is one key's record. Its end is sent as the remaining milliseconds, because clocks differ between nodes.
 type HandoverRecord struct {
 	Key    string `json:"k"`
 	Record Record `json:"r"`
 	LeftMS int64  `json:"l"`
 }
 
-// HandoverExpired is one old key with its state.
+// HandoverExpired is one expired key with its state.
 type HandoverExpired struct {
 	Key   string `json:"k"`
 	State State  `json:"s"`
 }
 
-// KeyHashError reports a malformed key hash in a hand-over.
+// KeyHashError reports a malformed key hash in a handover.
 type KeyHashError struct{ Key string }
 
-// Error shows the malformed key.
+// Error shows the malformed hash.
 func (e *KeyHashError) Error() string { return fmt.Sprintf("key hash %q is malformed", e.Key) }
 
-// Export copies the memory of the ranges. A running key goes as Uncertain: it must not run again.
+// Export returns h with the keys of its ranges added. A running key is exported as Uncertain, because it must not run again; keys of
+// tokens are left out, as they belong to this home.
 func (m *KeyMemory) Export(now time.Time, h Handover) Handover {
-	in := rangeSet(h.Ranges)
+	inRanges := rangeSet(h.Ranges)
 	h.QuietMS = map[int]int64{}
-	for r := range in {
+	for r := range inRanges {
 		if left := m.quietUntil[r].Sub(now); left > 0 {
 			h.QuietMS[r] = left.Milliseconds() + 1
 		}
 	}
 	for key, rec := range m.recent {
-		if !in[key.Range()] || rec.Pinned {
+		if !inRanges[key.Range()] || rec.Pinned {
 			continue
 		}
 		out := Record{State: rec.State, Fingerprint: rec.Fingerprint, Answer: rec.Answer}
@@ -57,9 +58,9 @@
 		}
 		h.Records = append(h.Records, HandoverRecord{hex.EncodeToString(key[:]), out, left.Milliseconds() + 1})
 	}
-	for _, g := range m.past {
+	for _, g := range m.expired {
 		for key, st := range g {
-			if in[key.Range()] {
+			if inRanges[key.Range()] {
 				h.Expired = append(h.Expired, HandoverExpired{hex.EncodeToString(key[:]), st})
 			}
 		}
@@ -67,7 +68,7 @@
 	return h
 }
 
-// Import takes the memory of ranges handed over; the error is a *KeyFormError, and then nothing was taken.
+// Import adds the keys of a handover; on an error, a *KeyHashError, nothing is added.
 func (m *KeyMemory) Import(now time.Time, h Handover) error {
 	keys := make([]KeyHash, len(h.Records))
 	for i, hr := range h.Records {
@@ -77,27 +78,27 @@
 		}
 		keys[i] = k
 	}
-	pastKeys := make([]KeyHash, len(h.Expired))
+	expiredKeys := make([]KeyHash, len(h.Expired))
 	for i, hp := range h.Expired {
 		k, err := parseHash(hp.Key)
 		if err != nil {
 			return err
 		}
-		pastKeys[i] = k
+		expiredKeys[i] = k
 	}
 	for i, hr := range h.Records {
 		rec := hr.Record
 		rec.Until = now.Add(time.Duration(hr.LeftMS) * time.Millisecond)
 		m.put(keys[i], &rec)
-		m.order = append(m.order, expiry{rec.Until, keys[i]})
+		m.expiries = append(m.expiries, expiry{rec.Until, keys[i]})
 	}
 	if len(h.Expired) > 0 {
 		g := map[KeyHash]State{}
 		for i, hp := range h.Expired {
-			g[pastKeys[i]] = hp.State
+			g[expiredKeys[i]] = hp.State
 		}
-		m.past = append([]map[KeyHash]State{g}, m.past...)
-		m.pastKeys += len(g)
+		m.expired = append([]map[KeyHash]State{g}, m.expired...)
+		m.expiredKeys += len(g)
 	}
 	for r, ms := range h.QuietMS {
 		if r >= 0 && r < NumRanges {
@@ -107,11 +108,11 @@
 	return nil
 }
 
-// Drop forgets the ranges after their hand-over is done.
+// Drop removes the records of the ranges after their handover, except those of running calls and of tokens.
 func (m *KeyMemory) Drop(ranges []int) {
-	in := rangeSet(ranges)
+	inRanges := rangeSet(ranges)
 	for key, rec := range m.recent {
-		if in[key.Range()] && rec.State != Running && !rec.Pinned {
+		if inRanges[key.Range()] && rec.State != Running && !rec.Pinned {
 			if rec.Answer != nil && rec.Answer.Complete {
 				m.answerBytes -= len(rec.Answer.Body)
 			}
@@ -120,26 +121,28 @@
 	}
 }
 
-// CountRunning returns how many runs of the ranges have not ended.
+// CountRunning returns the number of running calls in the ranges, tokens aside.
 func (m *KeyMemory) CountRunning(ranges []int) int {
-	in := rangeSet(ranges)
+	inRanges := rangeSet(ranges)
 	n := 0
 	for key, rec := range m.recent {
-		if rec.State == Running && in[key.Range()] && !rec.Pinned {
+		if rec.State == Running && inRanges[key.Range()] && !rec.Pinned {
 			n++
 		}
 	}
 	return n
 }
 
+// rangeSet returns the ranges as a set.
 func rangeSet(ranges []int) map[int]bool {
-	in := make(map[int]bool, len(ranges))
+	inRanges := make(map[int]bool, len(ranges))
 	for _, r := range ranges {
-		in[r] = true
+		inRanges[r] = true
 	}
-	return in
+	return inRanges
 }
 
+// parseHash decodes a hash from hex; the error is a *KeyHashError.
 func parseHash(s string) (KeyHash, error) {
 	var h KeyHash
 	b, err := hex.DecodeString(s)
--- a/pkg/onceonly/key_memory.go
+++ b/pkg/onceonly/key_memory.go
@@ -7,87 +7,89 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// Defaults of Memory's bounds.
+// The bounds of a KeyMemory.
 const (
 	DefaultWindow      = 2 * time.Minute
 	DefaultMaxKeys     = 2_000_000
 	DefaultAnswerBytes = 32 << 20
-	// MaxRecordedAnswer is the size in bytes up to which an answer is recorded.
+	// MaxRecordedAnswer is the body size in bytes up to which an answer is recorded.
 	MaxRecordedAnswer = 4 << 10
-	// generations is the number of blocks that old keys are kept in.
-	generations = 24
+	// maxExpiredGenerations bounds the generations of expired keys, each of an hour or more, that are held.
+	maxExpiredGenerations = 24
 )
 
-// State is what a Memory knows of a key.
+// State is what a KeyMemory knows of a key's call.
 type State uint8
 
-// The states of a key.
+// The states of a key's call.
 const (
 	Running   State = iota + 1 // the run has not ended
 	Finished                   // the run ended, and its answer may be recorded
 	Uncertain                  // the run may have happened
-	Closed                     // refused as not run, and closed until a time
+	Closed                     // refused as not run; no attempt may run until Record.Until
 )
 
-// RecordedAnswer is the answer of a finished run.
+// RecordedAnswer is the recorded answer of a finished run.
 type RecordedAnswer struct {
 	Status   int         `json:"status"`
 	Header   http.Header `json:"header,omitempty"`
 	Body     []byte      `json:"body,omitempty"`
-	Complete bool        `json:"kept"` // false if the answer was too large or there was no room
+	Complete bool        `json:"kept"` // false if the body was too large to record or there was no space for it
 }
 
-// Record is what a Memory holds of one key.
+// Record is what a KeyMemory holds of one key within its retry window.
 type Record struct {
 	State       State           `json:"state"`
 	Fingerprint uint64          `json:"fp"` // of the request's method, path and body
 	Answer      *RecordedAnswer `json:"answer,omitempty"`
-	Until       time.Time       `json:"until"` // end of the repeat window, or of the closing
-	Pinned      bool            `json:"-"`     // of a token: it belongs to this home, and goes with no key range
+	Until       time.Time       `json:"until"` // end of the retry window, or of a closed key's refusals
+	Pinned      bool            `json:"-"`     // the key is a token: it belongs to this home and isn't handed over with its range
 
 	waiters []func(Record)
 }
 
-// Action is what the home does with an attempt.
+// Action is how the home handles an attempt.
 type Action uint8
 
 // The actions.
 const (
 	Run    Action = iota + 1 // start the run; Finish must follow
-	Join                     // wait for the running one
-	Replay                   // answer from the record
-	Refuse                   // answer with Outcome and Reason
+	Join                     // wait for the call that is running
+	Replay                   // return the recorded answer
+	Refuse                   // refuse with Outcome and Reason
 )
 
-// Decision is a Memory's word on an attempt.
+// Decision is a KeyMemory's decision on an attempt.
 type Decision struct {
 	Action     Action
 	Outcome    wire.Outcome
 	Reason     wire.Reason
 	Answer     *RecordedAnswer
-	RetryAfter time.Duration // when to come back, if known
+	RetryAfter time.Duration // time after which to retry, if known
 }
 
-// KeyMemory remembers the keys of one home; it isn't safe for concurrent use. Zero bounds take the defaults.
+// KeyMemory holds the keys of one home. It isn't safe for concurrent use. Bounds of zero take the defaults.
 type KeyMemory struct {
-	Window      time.Duration // for which a key's record is kept
-	MaxKeys     int           // records and old keys together
-	AnswerBytes int           // recorded answers together
+	Window      time.Duration // retry window: how long a key's record is held
+	MaxKeys     int           // most records and expired keys together
+	AnswerBytes int           // most bytes of recorded bodies together
 
-	recent      map[KeyHash]*Record
-	order       []expiry // by time, oldest first
-	past        []map[KeyHash]State
-	pastStart   time.Time
-	pastKeys    int
-	answerBytes int
-	quietUntil  [NumRanges]time.Time
+	recent             map[KeyHash]*Record
+	expiries           []expiry // oldest first
+	expired            []map[KeyHash]State
+	newestExpiredStart time.Time
+	expiredKeys        int
+	answerBytes        int
+	quietUntil         [NumRanges]time.Time
 }
 
+// expiry is the time at which a key's record may expire.
 type expiry struct {
 	at  time.Time
 	key KeyHash
 }
 
+// window returns the retry window or its default.
 func (m *KeyMemory) window() time.Duration {
 	if m.Window == 0 {
 		return DefaultWindow
@@ -95,6 +97,7 @@
 	return m.Window
 }
 
+// maxKeys returns the bound on keys or its default.
 func (m *KeyMemory) maxKeys() int {
 	if m.MaxKeys == 0 {
 		return DefaultMaxKeys
@@ -102,6 +105,7 @@
 	return m.MaxKeys
 }
 
+// maxAnswerBytes returns the bound on recorded bodies or its default.
 func (m *KeyMemory) maxAnswerBytes() int {
 	if m.AnswerBytes == 0 {
 		return DefaultAnswerBytes
@@ -109,20 +113,21 @@
 	return m.AnswerBytes
 }
 
-// SetQuiet makes the range answer "unknown" for keys it doesn't know until the given time.
+// SetQuiet starts the range's quiet window, in which unknown keys are answered "unknown" because an earlier owner may have run them.
 func (m *KeyMemory) SetQuiet(r int, until time.Time) { m.quietUntil[r] = until }
 
-// InQuietWindow tells whether the range is in its quiet window.
+// InQuietWindow reports whether the range is in its quiet window.
 func (m *KeyMemory) InQuietWindow(now time.Time, r int) bool { return now.Before(m.quietUntil[r]) }
 
-// Begin decides about an attempt. token says that the key is a token, which no earlier home can have met.
+// Begin decides on an attempt and, for Run, notes the key as running. token marks a key that is a token, which no earlier home can
+// have run.
 func (m *KeyMemory) Begin(now time.Time, key KeyHash, fingerprint uint64, token bool) Decision {
-	m.forget(now)
+	m.expireRecords(now)
 	if rec, ok := m.recent[key]; ok && !(rec.State == Closed && !now.Before(rec.Until)) {
-		return m.known(now, rec, fingerprint)
+		return m.decideKnown(now, rec, fingerprint)
 	}
-	if st, ok := m.inPast(key); ok {
-		return pastDecision(st)
+	if st, ok := m.expiredState(key); ok {
+		return decideExpired(st)
 	}
 	if !token && m.InQuietWindow(now, key.Range()) {
 		return Decision{
@@ -130,14 +135,15 @@
 			RetryAfter: m.quietUntil[key.Range()].Sub(now),
 		}
 	}
-	if !m.makeRoom() {
+	if !m.ensureCapacity() {
 		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonMemory, RetryAfter: time.Second}
 	}
 	m.put(key, &Record{State: Running, Fingerprint: fingerprint, Pinned: token})
 	return Decision{Action: Run}
 }
 
-func (m *KeyMemory) known(now time.Time, rec *Record, fingerprint uint64) Decision {
+// decideKnown returns the decision on an attempt whose key has a record.
+func (m *KeyMemory) decideKnown(now time.Time, rec *Record, fingerprint uint64) Decision {
 	if rec.State == Closed {
 		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, RetryAfter: rec.Until.Sub(now)}
 	}
@@ -154,7 +160,7 @@
 	}
 }
 
-// Wait calls fn with the record when the key's running call ends; it reports false if none runs.
+// Wait arranges that fn is called with the record when the key's running call ends, and reports false if none is running.
 func (m *KeyMemory) Wait(key KeyHash, fn func(Record)) bool {
 	rec, ok := m.recent[key]
 	if !ok || rec.State != Running {
@@ -164,8 +170,8 @@
 	return true
 }
 
-// Finish notes how a run ended. A run that is certain not to have happened closes the key until
-// closedUntil, when every attempt still under way has passed its deadline.
+// Finish records how a run ended. If it certainly didn't run, the key is closed until closedUntil, when every attempt in flight has
+// passed its deadline.
 func (m *KeyMemory) Finish(now time.Time, key KeyHash, outcome wire.Outcome, answer *RecordedAnswer, closedUntil time.Time) {
 	rec, ok := m.recent[key]
 	if !ok || rec.State != Running {
@@ -175,14 +181,14 @@
 	switch outcome {
 	case wire.Ran:
 		rec.State = Finished
-		rec.Answer = m.keepAnswer(answer)
+		rec.Answer = m.recordAnswer(answer)
 	case wire.NotRun:
 		rec.State = Closed
 		rec.Until = closedUntil
 	default:
 		rec.State = Uncertain
 	}
-	m.order = append(m.order, expiry{rec.Until, key})
+	m.expiries = append(m.expiries, expiry{rec.Until, key})
 	waiters := rec.waiters
 	rec.waiters = nil
 	for _, fn := range waiters {
@@ -190,7 +196,9 @@
 	}
 }
 
-func (m *KeyMemory) keepAnswer(a *RecordedAnswer) *RecordedAnswer {
+// recordAnswer returns the answer to record: an empty one for nil, and only the status if the body is too large or there is no space
+// for it.
+func (m *KeyMemory) recordAnswer(a *RecordedAnswer) *RecordedAnswer {
 	if a == nil {
 		return &RecordedAnswer{}
 	}
@@ -198,22 +206,22 @@
 		return &RecordedAnswer{Status: a.Status}
 	}
 	m.answerBytes += len(a.Body)
-	kept := *a
-	kept.Complete = true
-	return &kept
+	recorded := *a
+	recorded.Complete = true
+	return &recorded
 }
 
-// Settle answers an entry that is about to refuse the key: what is known of it, or that it is now closed.
+// Settle answers an entry VM that is about to refuse the key: with what is known of it, or else by closing the key until closedUntil.
 func (m *KeyMemory) Settle(now time.Time, key KeyHash, token bool, closedUntil time.Time) Decision {
-	m.forget(now)
+	m.expireRecords(now)
 	if rec, ok := m.recent[key]; ok {
 		switch rec.State {
 		case Closed:
 			if closedUntil.After(rec.Until) {
 				rec.Until = closedUntil
-				m.order = append(m.order, expiry{rec.Until, key})
+				m.expiries = append(m.expiries, expiry{rec.Until, key})
 			}
-			return m.known(now, rec, 0)
+			return m.decideKnown(now, rec, 0)
 		case Finished:
 			return Decision{Action: Replay, Outcome: wire.Ran, Answer: rec.Answer}
 		case Running:
@@ -222,20 +230,21 @@
 			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
 		}
 	}
-	if st, ok := m.inPast(key); ok {
-		return pastDecision(st)
+	if st, ok := m.expiredState(key); ok {
+		return decideExpired(st)
 	}
 	if !token && m.InQuietWindow(now, key.Range()) {
 		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet}
 	}
-	if !m.makeRoom() {
+	if !m.ensureCapacity() {
 		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonMemory}
 	}
 	m.put(key, &Record{State: Closed, Until: closedUntil, Pinned: token})
-	m.order = append(m.order, expiry{closedUntil, key})
+	m.expiries = append(m.expiries, expiry{closedUntil, key})
 	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, RetryAfter: closedUntil.Sub(now)}
 }
 
+// put sets the key's record.
 func (m *KeyMemory) put(key KeyHash, rec *Record) {
 	if m.recent == nil {
 		m.recent = map[KeyHash]*Record{}
@@ -243,7 +252,7 @@
 	m.recent[key] = rec
 }
 
-// Counts is a reading of a Memory.
+// Counts holds the sizes of a KeyMemory.
 type Counts struct {
 	Recent      int `json:"recent"`
 	Expired     int `json:"past"`
@@ -251,9 +260,9 @@
 	Running     int `json:"running"`
 }
 
-// Counts returns how many keys are held.
+// Counts returns the numbers of keys and the bytes of recorded bodies.
 func (m *KeyMemory) Counts() Counts {
-	c := Counts{Recent: len(m.recent), Expired: m.pastKeys, AnswerBytes: m.answerBytes}
+	c := Counts{Recent: len(m.recent), Expired: m.expiredKeys, AnswerBytes: m.answerBytes}
 	for _, rec := range m.recent {
 		if rec.State == Running {
 			c.Running++
--- a/pkg/onceonly/key_token.go
+++ b/pkg/onceonly/key_token.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// DefaultTokenLifetime is the time for which a token may be used after it was issued.
+// DefaultTokenLifetime is the time after its issue for which a token may start a run.
 const DefaultTokenLifetime = time.Minute
 
-// tokenPrefix starts every token, so that a caller's own key is never taken for one.
+// tokenPrefix starts every token, which distinguishes tokens from clients' own keys.
 const tokenPrefix = "rst1."
 
-// macLen is the length in bytes of a token's authentication code.
-const macLen = 16
+// macBytes is the length in bytes of a token's authentication code.
+const macBytes = 16
 
-// Token is a key that names its home, and so is known to be new there.
+// Token is a key that names its home. No other home can have run it, so it is new there unless the home's memory holds it.
 type Token struct {
 	Service     string `json:"s"`
 	VM          string `json:"v"`
@@ -27,26 +27,26 @@
 	Nonce       string `json:"n"`
 }
 
-// TokenError reports a key that looks like a token and isn't a good one.
+// TokenError reports a key that has the form of a token and is invalid.
 type TokenError struct{ Reason string }
 
 // Error says what is wrong with the token.
 func (e *TokenError) Error() string { return "token " + e.Reason }
 
-// IsToken tells whether the key claims to be a token.
+// IsToken reports whether the key has the prefix of a token.
 func IsToken(key string) bool { return strings.HasPrefix(key, tokenPrefix) }
 
-// Issue writes the token down, authenticated with the daemons' secret.
+// Issue returns the token as a key, authenticated with the daemons' secret.
 func (t Token) Issue(secret []byte) string {
 	b, err := json.Marshal(t)
 	if err != nil {
-		panic("onceonly: " + err.Error()) // a plain struct of strings always marshals
+		panic("onceonly: " + err.Error()) // a struct of strings and integers always marshals
 	}
 	body := base64.RawURLEncoding.EncodeToString(b)
 	return tokenPrefix + body + "." + base64.RawURLEncoding.EncodeToString(tokenMAC(secret, body))
 }
 
-// ParseToken reads a token and checks its code; the error is a *TokenError.
+// ParseToken decodes a key into a token and verifies its authentication code; the error is a *TokenError.
 func ParseToken(secret []byte, key string) (Token, error) {
 	body, code, ok := strings.Cut(strings.TrimPrefix(key, tokenPrefix), ".")
 	if !ok || !IsToken(key) {
@@ -67,14 +67,15 @@
 	return t, nil
 }
 
-// Fresh tells whether the token may still start a run; clocks may differ by up to one life.
-func (t Token) Fresh(now time.Time, life time.Duration) bool {
+// Fresh reports whether the token may still start a run; clocks may differ by up to lifetime.
+func (t Token) Fresh(now time.Time, lifetime time.Duration) bool {
 	age := now.Sub(time.UnixMilli(t.IssuedMS))
-	return age < life && age > -life
+	return age < lifetime && age > -lifetime
 }
 
+// tokenMAC returns the authentication code of a token's encoded body.
 func tokenMAC(secret []byte, body string) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(body))
-	return h.Sum(nil)[:macLen]
+	return h.Sum(nil)[:macBytes]
 }
--- a/pkg/onceonly/range_home.go
+++ b/pkg/onceonly/range_home.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Home is a node's part in a service's keys: its memory and the ranges it owns. It isn't safe for concurrent use.
+// Home holds a node's share of a service's keys: its key memory and the ranges that it owns. It isn't safe for concurrent use.
 type Home struct {
 	Service     string
 	VM          string
@@ -10,12 +10,12 @@
 	Memory      KeyMemory
 
 	row     OwnerRow
-	open    [NumRanges]bool
+	owned   [NumRanges]bool
 	closing [NumRanges]bool
 }
 
-// Adopt takes a newer row; it reports false for one that isn't newer. A range that came without
-// its memory starts with a quiet window.
+// Adopt applies a newer row, and reports false for a row that isn't newer. A range whose previous owner's memory was lost starts with a
+// quiet window; the records of ranges that the node no longer owns are dropped.
 func (h *Home) Adopt(now time.Time, row OwnerRow) bool {
 	if row.Version <= h.row.Version {
 		return false
@@ -23,14 +23,14 @@
 	for r, o := range row.Owners {
 		mine := o.Is(h.VM, h.Incarnation)
 		switch {
-		case mine && !h.open[r]:
-			h.open[r] = true
+		case mine && !h.owned[r]:
+			h.owned[r] = true
 			h.closing[r] = false
 			if o.Lossy {
 				h.Memory.SetQuiet(r, now.Add(h.Memory.window()))
 			}
-		case !mine && h.open[r]:
-			h.open[r] = false
+		case !mine && h.owned[r]:
+			h.owned[r] = false
 			h.closing[r] = false
 			h.Memory.Drop([]int{r})
 		}
@@ -39,16 +39,16 @@
 	return true
 }
 
-// Row returns the newest row taken.
+// Row returns the newest row applied.
 func (h *Home) Row() OwnerRow { return h.row }
 
-// Owns tells whether this node is the home of the range and may take attempts for it.
-func (h *Home) Owns(r int) bool { return h.open[r] && !h.closing[r] }
+// Owns reports whether this node is the home of the range and accepts attempts for it.
+func (h *Home) Owns(r int) bool { return h.owned[r] && !h.closing[r] }
 
-// Ranges returns the ranges that are owned and not closing.
+// Ranges returns the ranges for which the node accepts attempts.
 func (h *Home) Ranges() []int {
 	var list []int
-	for r := range h.open {
+	for r := range h.owned {
 		if h.Owns(r) {
 			list = append(list, r)
 		}
@@ -56,14 +56,14 @@
 	return list
 }
 
-// CloseRanges stops new attempts for the ranges ahead of their hand-over.
+// CloseRanges stops accepting attempts for the ranges before their handover.
 func (h *Home) CloseRanges(ranges []int) {
 	for _, r := range ranges {
 		h.closing[r] = true
 	}
 }
 
-// ReopenRanges takes attempts again after a hand-over that certainly failed.
+// ReopenRanges accepts attempts for the ranges again after a handover that certainly failed.
 func (h *Home) ReopenRanges(ranges []int) {
 	for _, r := range ranges {
 		h.closing[r] = false
