--- a/pkg/directory/local_server.go
+++ b/pkg/directory/local_server.go
@@ -135,8 +135,8 @@
 	return 0
 }
 
-// Leave records that a lifetime has left and reports whether the Record changed. Without a start time it stands for the current
-// lifetime if that is of the same instance.
+// Leave records that a lifetime has left and reports whether the Record changed. A lifetime of the current instance is taken for the
+// current one if the start time of either is unknown.
 func (o *LocalServer) Leave(at Lifetime) bool {
 	current := o.record.Lifetime()
 	if at.Instance == current.Instance && (at.StartedMS == 0 || current.StartedMS == 0) {
