--- a/pkg/ledger/doc.go
+++ b/pkg/ledger/doc.go
@@ -1,8 +1,7 @@
 // Package ledger keeps the retry tokens of one inbound call.
 //
-// The entry puts R tokens into a root request. A node that calls on lends some
-// of its balance with each outbound call, gets what is left back with the
-// answer, and writes off what a lost answer took. Tokens are conserved: no
-// copy is ever made, so the attempts beyond the first, over the whole tree,
-// are at most R.
+// The entry VM gives R tokens to a root request. A node lends some of its
+// balance with each outbound call, gets the rest back with the answer, and
+// writes off the loan of a lost answer. Tokens are conserved: they are never
+// copied, so the retries over the whole call tree are at most R.
 package ledger
--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -11,30 +11,30 @@
 	calls   map[uint64]callState
 }
 
-// callState follows one outbound call by its signature, so that repeats are counted.
+// callState holds the state of the outbound calls of one signature, by which retries are recognized.
 type callState struct {
 	running int
 	failed  bool
 }
 
-// Totals is a reading of a ledger, in tokens.
+// Totals holds the tokens of a ledger by their state.
 type Totals struct {
 	Balance int `json:"balance"`
 	Lent    int `json:"lent"`
 	Spent   int `json:"spent"`
 }
 
-// New returns a ledger that holds n tokens.
+// New returns a ledger with a balance of n tokens, or 0 if n is negative.
 func New(n int) *Ledger { return &Ledger{balance: max(n, 0)} }
 
-// BeginCall notes an outbound call with the given signature; it reports false when the call
-// repeats one that failed or still runs and no token is left to pay for it.
+// BeginCall records the start of an outbound call. A call of the same signature as one that failed or is running is a retry and takes
+// a token; it reports false, and the call must not start, if none is left.
 func (l *Ledger) BeginCall(signature uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	st := l.calls[signature]
 	if st.failed || st.running > 0 {
-		if !l.takeOne() {
+		if !l.spendLocked() {
 			return false
 		}
 		st.failed = false
@@ -47,7 +47,7 @@
 	return true
 }
 
-// EndCall notes that the outbound call has ended, and whether a repeat of it would be a retry.
+// EndCall records the end of an outbound call; if it failed, the next call of its signature is a retry.
 func (l *Ledger) EndCall(signature uint64, failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,14 +57,15 @@
 	l.calls[signature] = st
 }
 
-// Spend takes one token for a retry; it reports false when none is left.
+// Spend takes one token for a retry and reports false if none is left.
 func (l *Ledger) Spend() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.takeOne()
+	return l.spendLocked()
 }
 
-func (l *Ledger) takeOne() bool {
+// spendLocked takes one token and reports false if none is left; mu must be held.
+func (l *Ledger) spendLocked() bool {
 	if l.balance == 0 {
 		return false
 	}
@@ -83,20 +84,20 @@
 	return n
 }
 
-// Return settles a loan of lent tokens of which back came back; a false answer of more is cut to the loan.
-func (l *Ledger) Return(lent, back int) {
+// Return settles a loan of lent tokens of which returned came back; returned is limited to the loan, in case an answer reports more.
+func (l *Ledger) Return(lent, returned int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	back = min(max(back, 0), lent)
+	returned = min(max(returned, 0), lent)
 	l.lent -= lent
-	l.balance += back
-	l.spent += lent - back
+	l.balance += returned
+	l.spent += lent - returned
 }
 
-// WriteOff settles a loan whose answer never came: every token counts as spent.
+// WriteOff settles a loan whose answer was lost: all its tokens count as spent.
 func (l *Ledger) WriteOff(lent int) { l.Return(lent, 0) }
 
-// Close empties the ledger and returns its balance, so that what goes back with the answer can't be spent here too.
+// Close sets the balance to 0 and returns the old one, so that tokens sent back with the answer can't be spent here too.
 func (l *Ledger) Close() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,24 +106,24 @@
 	return n
 }
 
-// Cap writes off what the balance holds above n.
+// Cap limits the balance to n; the tokens above it count as spent.
 func (l *Ledger) Cap(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if over := l.balance - max(n, 0); over > 0 {
-		l.balance -= over
-		l.spent += over
+	if excess := l.balance - max(n, 0); excess > 0 {
+		l.balance -= excess
+		l.spent += excess
 	}
 }
 
-// Balance returns the tokens left to spend or lend.
+// Balance returns the number of tokens left to spend or lend.
 func (l *Ledger) Balance() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.balance
 }
 
-// Totals returns a reading of the ledger.
+// Totals returns the tokens of the ledger by their state.
 func (l *Ledger) Totals() Totals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestTokensConservedOverTrees plays random call trees with retries, parallel calls and lost answers, and
-// checks that the attempts beyond the first are never more than the tokens of the root.
+// TestTokensConservedOverTrees simulates random call trees with retries, parallel calls and lost answers, and checks that the retries
+// are never more than the tokens of the root.
 func TestTokensConservedOverTrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.IntRange(0, 8).Draw(t, "tokens")
 		retries := 0
 		root := New(tokens)
-		playTree(t, root, 0, &retries)
+		simulateTree(t, root, 0, &retries)
 		if retries > tokens {
 			t.Fatalf("%d retries out of %d tokens", retries, tokens)
 		}
@@ -25,8 +25,9 @@
 	})
 }
 
-// playTree makes random calls under a ledger, some at once, each with attempts as long as there is a token.
-func playTree(t *rapid.T, l *Ledger, depth int, retries *int) {
+// simulateTree makes random calls with the tokens of a ledger, some in parallel, and retries failed calls while a token is left; it adds
+// the retries to *retries.
+func simulateTree(t *rapid.T, l *Ledger, depth int, retries *int) {
 	if depth == 4 {
 		return
 	}
@@ -38,7 +39,7 @@
 		}
 		for _, n := range lent {
 			child := New(n)
-			playTree(t, child, depth+1, retries)
+			simulateTree(t, child, depth+1, retries)
 			if rapid.Bool().Draw(t, "lost") {
 				l.WriteOff(n)
 			} else {
@@ -47,27 +48,27 @@
 			if rapid.Bool().Draw(t, "fails") && l.Spend() {
 				*retries++
 				n := l.Lend()
-				again := New(n)
-				playTree(t, again, depth+1, retries)
-				l.Return(n, again.Close())
+				retry := New(n)
+				simulateTree(t, retry, depth+1, retries)
+				l.Return(n, retry.Close())
 			}
 		}
 	}
 }
 
-func TestServicesOwnRepeatsDrawFromTheLedger(t *testing.T) {
+func TestRetriesOfAServiceTakeTokens(t *testing.T) {
 	c := qt.New(t)
 	l := New(1)
 	const call = 7
 	c.Assert(l.BeginCall(call), qt.IsTrue)
 	l.EndCall(call, true)
-	c.Assert(l.BeginCall(call), qt.IsTrue, qt.Commentf("the token pays for one repeat"))
+	c.Assert(l.BeginCall(call), qt.IsTrue, qt.Commentf("the token pays for one retry"))
 	l.EndCall(call, true)
 	c.Assert(l.BeginCall(call), qt.IsFalse)
-	c.Assert(l.BeginCall(call+1), qt.IsTrue, qt.Commentf("another call is no repeat"))
+	c.Assert(l.BeginCall(call+1), qt.IsTrue, qt.Commentf("another call isn't a retry"))
 }
 
-func TestAnsweredCallMayBeMadeAgain(t *testing.T) {
+func TestRepeatedSuccessfulCallTakesNoToken(t *testing.T) {
 	c := qt.New(t)
 	var l Ledger
 	c.Assert(l.BeginCall(1), qt.IsTrue)
@@ -75,7 +76,7 @@
 	c.Assert(l.BeginCall(1), qt.IsTrue)
 }
 
-func TestReturnOfMoreThanWasLentIsCut(t *testing.T) {
+func TestReturnIsLimitedToTheLoan(t *testing.T) {
 	c := qt.New(t)
 	l := New(4)
 	n := l.Lend()
@@ -83,7 +84,7 @@
 	c.Assert(l.Balance(), qt.Equals, 4)
 }
 
-func TestCapWritesOff(t *testing.T) {
+func TestCapWritesOffTheExcess(t *testing.T) {
 	c := qt.New(t)
 	l := New(4)
 	l.Cap(1)
