--- a/pkg/member/doc.go
+++ b/pkg/member/doc.go
@@ -1,7 +1,7 @@
-// Package member knows which VMs and nodes there are.
+// Package member tracks the VMs of the platform and their nodes.
 //
-// The platform's list of VMs lags, so a Roster keeps the last good list,
-// refuses one that looks implausibly empty, and corrects it by what nodes say
-// of themselves: each NodeInfo carries the node's present life and whether it
-// is leaving, spreads between daemons, and merges in any order.
+// The platform's list of VMs lags, so a Roster retains the last plausible list,
+// rejects one that drops too many VMs at once, and corrects it by the nodes' own
+// reports: each NodeInfo holds the node's incarnation and whether it is leaving,
+// is exchanged between daemons, and merges in any order.
 package member
--- a/pkg/member/roster.go
+++ b/pkg/member/roster.go
@@ -20,14 +20,14 @@
 	Leaving bool              `json:"leaving,omitempty" yaml:"leaving,omitempty"`
 }
 
-// The labels that every VM has besides its own.
+// The labels that every VM has in addition to its own.
 const (
 	LabelZone    = "zone"
 	LabelService = "service"
 	LabelVM      = "vm"
 )
 
-// AllLabels returns the VM's labels with its zone, service and name, and the operators' labels on top.
+// AllLabels returns the VM's labels, overridden by the operators' labels, and these by its zone, service and name.
 func (v VM) AllLabels(byOperators map[string]string) labels.Set {
 	set := labels.Set{}
 	maps.Copy(set, v.Labels)
@@ -38,73 +38,73 @@
 	return set
 }
 
-// NodeInfo is what a node says of itself.
+// NodeInfo is a node's report of its own state.
 type NodeInfo struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"inc"`         // sorts by start time
-	Leaving     bool   `json:"l,omitempty"` // never taken back within one life
+	Leaving     bool   `json:"l,omitempty"` // never reset within one incarnation
 }
 
-// implausibleShare is the share of known VMs that a list may lose at once and still be believed.
-const implausibleShare = 0.5
+// maxPlausibleLoss is the largest share of the known VMs that a plausible list may lack.
+const maxPlausibleLoss = 0.5
 
-// goneAfter is how many good lists in a row must miss a VM before it counts as gone.
-const goneAfter = 2
+// removeAfterMisses is how many accepted lists in a row must lack a VM before it is removed.
+const removeAfterMisses = 2
 
-// Roster is one daemon's knowledge of VMs and nodes; its zero value is empty. It isn't safe for concurrent use.
+// Roster holds the VMs and nodes that one daemon knows; its zero value is empty. It isn't safe for concurrent use.
 type Roster struct {
-	vms     map[string]VM
-	missing map[string]int
-	gone    map[string]bool
-	nodes   map[string]NodeInfo
-	doubts  int
-	changes int
+	vms              map[string]VM
+	missedLists      map[string]int
+	removed          map[string]bool
+	nodes            map[string]NodeInfo
+	implausibleLists int
+	changes          int
 }
 
-// Refresh takes a list of the platform; it reports false for one that looks implausible and was set aside.
-// The same implausible list three times in a row is believed.
+// Refresh applies a list of the platform's VMs, and reports false for one that it rejects as implausible because it lacks too many known
+// VMs. From the third implausible list in a row on, a list is accepted unless it is empty.
 func (r *Roster) Refresh(list []VM) bool {
 	next := make(map[string]VM, len(list))
 	for _, v := range list {
 		next[v.Name] = v
 	}
-	lost := 0
+	missed := 0
 	for name := range r.vms {
 		if _, ok := next[name]; !ok {
-			lost++
+			missed++
 		}
 	}
-	if len(r.vms) > 2 && float64(lost) > implausibleShare*float64(len(r.vms)) {
-		r.doubts++
-		if r.doubts < 3 || len(list) == 0 {
+	if len(r.vms) > 2 && float64(missed) > maxPlausibleLoss*float64(len(r.vms)) {
+		r.implausibleLists++
+		if r.implausibleLists < 3 || len(list) == 0 {
 			return false
 		}
 	}
-	r.doubts = 0
-	r.take(next)
+	r.implausibleLists = 0
+	r.apply(next)
 	return true
 }
 
-// take keeps a VM that one list missed until a second list misses it too.
-func (r *Roster) take(next map[string]VM) {
-	if r.missing == nil {
-		r.missing = map[string]int{}
-		r.gone = map[string]bool{}
+// apply replaces the VMs by those of a list; a VM that the list lacks is retained until removeAfterMisses lists lack it.
+func (r *Roster) apply(next map[string]VM) {
+	if r.missedLists == nil {
+		r.missedLists = map[string]int{}
+		r.removed = map[string]bool{}
 	}
 	for name := range next {
-		delete(r.missing, name)
-		delete(r.gone, name)
+		delete(r.missedLists, name)
+		delete(r.removed, name)
 	}
 	for name, v := range r.vms {
 		if _, ok := next[name]; ok {
 			continue
 		}
-		r.missing[name]++
-		if r.missing[name] < goneAfter {
+		r.missedLists[name]++
+		if r.missedLists[name] < removeAfterMisses {
 			next[name] = v
 			continue
 		}
-		r.gone[name] = true
+		r.removed[name] = true
 		delete(r.nodes, name)
 	}
 	if !maps.EqualFunc(r.vms, next, VM.equal) {
@@ -113,31 +113,32 @@
 	r.vms = next
 }
 
+// equal reports whether the VMs are the same in all fields.
 func (v VM) equal(w VM) bool {
 	return v.Name == w.Name && v.Service == w.Service && v.Zone == w.Zone && v.Peer == w.Peer &&
 		v.Leaving == w.Leaving && maps.Equal(v.Labels, w.Labels)
 }
 
-// ChangeCount counts the lists that differed from the one before.
+// ChangeCount returns how many lists changed the VMs.
 func (r *Roster) ChangeCount() int { return r.changes }
 
-// HasPendingRemoval tells whether a VM was missed by a list and not yet by a second one.
+// HasPendingRemoval reports whether a VM is missing from the last list and not removed yet.
 func (r *Roster) HasPendingRemoval() bool {
-	for _, n := range r.missing {
-		if n < goneAfter {
+	for _, n := range r.missedLists {
+		if n < removeAfterMisses {
 			return true
 		}
 	}
 	return false
 }
 
-// Removed tells whether the platform has said, in several lists, that the VM is no more.
+// Removed reports whether the VM was removed because several lists in a row lacked it; it is false for a VM that was never listed.
 func (r *Roster) Removed(vm string) bool {
 	_, listed := r.vms[vm]
-	return !listed && r.gone[vm]
+	return !listed && r.removed[vm]
 }
 
-// MergeNode takes what a node says of itself, directly or through others; it reports whether that was news.
+// MergeNode merges a node's report, received from it or from others, and reports whether it was newer than the one held.
 func (r *Roster) MergeNode(n NodeInfo) bool {
 	if r.nodes == nil {
 		r.nodes = map[string]NodeInfo{}
@@ -155,18 +156,18 @@
 	}
 }
 
-// Node returns what is known of the VM's node.
+// Node returns the newest report of the VM's node, and false if there is none.
 func (r *Roster) Node(vm string) (NodeInfo, bool) {
 	n, ok := r.nodes[vm]
 	return n, ok
 }
 
-// Nodes returns all that is known of nodes, by name.
+// Nodes returns the newest reports of all nodes, in order of VM name.
 func (r *Roster) Nodes() []NodeInfo {
 	return slices.SortedFunc(maps.Values(r.nodes), func(a, b NodeInfo) int { return strings.Compare(a.VM, b.VM) })
 }
 
-// Digest sums up all that is known of nodes: equal digests mean equal knowledge.
+// Digest returns a hash of all nodes' reports: rosters with the same digest hold the same reports.
 func (r *Roster) Digest() uint64 {
 	h := fnv.New64a()
 	for _, n := range r.Nodes() {
@@ -180,18 +181,18 @@
 	return h.Sum64()
 }
 
-// VMs returns the VMs that are there, by name.
+// VMs returns the current VMs in order of name.
 func (r *Roster) VMs() []VM {
 	return slices.SortedFunc(maps.Values(r.vms), func(a, b VM) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// VM returns the VM of that name.
+// VM returns the VM of that name, and false if there is none.
 func (r *Roster) VM(name string) (VM, bool) {
 	v, ok := r.vms[name]
 	return v, ok
 }
 
-// Leaving tells whether the VM is to take no new work, by the platform's word or its node's.
+// Leaving reports whether the VM accepts no new requests, according to the platform or its node.
 func (r *Roster) Leaving(name string) bool {
 	return r.vms[name].Leaving || r.nodes[name].Leaving
 }
--- a/pkg/member/roster_test.go
+++ b/pkg/member/roster_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// list returns VMs of the given names.
 func list(names ...string) []VM {
 	var out []VM
 	for _, n := range names {
@@ -15,7 +16,7 @@
 	return out
 }
 
-func TestOneListMayMissAVM(t *testing.T) {
+func TestVMIsRemovedOnlyAfterTwoListsLackIt(t *testing.T) {
 	c := qt.New(t)
 	var r Roster
 	c.Assert(r.Refresh(list("a", "b", "c")), qt.IsTrue)
@@ -29,12 +30,12 @@
 	c.Assert(r.ChangeCount(), qt.Equals, 2)
 	c.Assert(r.VMs(), qt.HasLen, 2)
 	c.Assert(r.Removed("c"), qt.IsTrue)
-	c.Assert(r.Removed("never-seen"), qt.IsFalse, qt.Commentf("an unknown VM isn't gone"))
+	c.Assert(r.Removed("never-seen"), qt.IsFalse, qt.Commentf("an unknown VM doesn't count as removed"))
 	r.Refresh(list("a", "b", "c"))
 	c.Assert(r.Removed("c"), qt.IsFalse)
 }
 
-func TestImplausiblyEmptyListIsSetAside(t *testing.T) {
+func TestImplausiblyEmptyListIsRejected(t *testing.T) {
 	c := qt.New(t)
 	var r Roster
 	r.Refresh(list("a", "b", "c", "d"))
@@ -42,7 +43,7 @@
 		c.Assert(r.Refresh(nil), qt.IsFalse)
 	}
 	c.Assert(r.VMs(), qt.HasLen, 4)
-	c.Assert(r.Refresh(list("a")), qt.IsTrue, qt.Commentf("told again and again, a small list is believed"))
+	c.Assert(r.Refresh(list("a")), qt.IsTrue, qt.Commentf("a small list is accepted after several implausible ones"))
 }
 
 func TestNodeInfoMergesInAnyOrder(t *testing.T) {
