--- a/pkg/keys/identity.go
+++ b/pkg/keys/identity.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Role is what the holder of a certificate may do.
+// Role determines what the holder of a certificate may do.
 type Role string
 
 // The roles.
@@ -17,29 +17,30 @@
 	RoleReadWrite Role = "read-write"
 )
 
-const scheme = "rockspoke"
+// identityScheme is the URI scheme of identities in certificates.
+const identityScheme = "rockspoke"
 
-// Identity is the holder of a certificate.
+// Identity identifies the holder of a certificate.
 type Identity struct {
 	Role Role
 	Name string
 	Zone string // of a VM
 }
 
-// IdentityError reports a certificate that names no holder, or another than was expected.
+// IdentityError reports a certificate without a valid holder, or with another one than expected.
 type IdentityError struct {
 	Want string
 	Have string
 }
 
-// Error names both.
+// Error names the expected and the actual holder.
 func (e *IdentityError) Error() string {
 	return fmt.Sprintf("certificate is for %q, not for %s", e.Have, e.Want)
 }
 
-// URI writes the identity as a certificate carries it.
+// URI returns the identity as the URI that a certificate contains.
 func (id Identity) URI() *url.URL {
-	u := &url.URL{Scheme: scheme, Host: "operator", Path: "/" + id.Name}
+	u := &url.URL{Scheme: identityScheme, Host: "operator", Path: "/" + id.Name}
 	q := url.Values{"role": {string(id.Role)}}
 	if id.Role == RoleVM {
 		u.Host = "vm"
@@ -49,10 +50,10 @@
 	return u
 }
 
-// IdentityOf reads the holder out of a certificate; the error is an *IdentityError.
+// IdentityOf returns the holder that a certificate names; the error is an *IdentityError.
 func IdentityOf(cert *x509.Certificate) (Identity, error) {
 	for _, u := range cert.URIs {
-		if u.Scheme != scheme {
+		if u.Scheme != identityScheme {
 			continue
 		}
 		name := strings.TrimPrefix(u.Path, "/")
--- a/pkg/keys/key_store.go
+++ b/pkg/keys/key_store.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Files are the paths of one holder's keys, all in PEM but for the token secret.
+// Files holds the paths of one holder's keys; all are PEM files except the token secret.
 type Files struct {
 	CA          string `yaml:"ca"`
 	Cert        string `yaml:"cert"`
@@ -17,10 +17,10 @@
 	TokenSecret string `yaml:"tokenSecret,omitempty"` // any bytes, the same for all daemons; at least 16
 }
 
-// minSecret is the least length of a token secret in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of a token secret.
+const minSecretBytes = 16
 
-// Material is what the files held when they were last read.
+// Material holds the contents of one holder's key files.
 type Material struct {
 	Cert     tls.Certificate
 	Pool     *x509.CertPool
@@ -29,7 +29,7 @@
 	Expires  time.Time
 }
 
-// FileError reports a key file that can't be used.
+// FileError reports an unusable key file.
 type FileError struct {
 	Path   string
 	Reason string
@@ -38,17 +38,17 @@
 // Error names the file and what is wrong with it.
 func (e *FileError) Error() string { return fmt.Sprintf("key file %s: %s", e.Path, e.Reason) }
 
-// Store holds the keys in use and reads them anew on request, so that they can be replaced without a restart.
+// Store holds the current keys and reloads them on request, so that they can be replaced without a restart.
 type Store struct {
-	// OnRejected is told of each certificate of the other side that was refused; it is set before the first connection.
+	// OnRejected is called, if set, with the reason for each rejected certificate of a remote side; set it before the first connection.
 	OnRejected func(err error)
 
-	files Files
-	now   func() time.Time
-	cur   atomic.Pointer[Material]
+	files   Files
+	now     func() time.Time
+	current atomic.Pointer[Material]
 }
 
-// Open reads the files; the error is a *FileError.
+// Open returns a Store of the keys in the files; the error is a *FileError. now returns the current time.
 func Open(files Files, now func() time.Time) (*Store, error) {
 	s := &Store{files: files, now: now}
 	if err := s.Reload(); err != nil {
@@ -57,40 +57,41 @@
 	return s, nil
 }
 
-// NewStaticStore returns a Store of keys that aren't in files.
+// NewStaticStore returns a Store of keys that have no files and never change.
 func NewStaticStore(m Material, now func() time.Time) *Store {
 	s := &Store{now: now}
-	s.cur.Store(&m)
+	s.current.Store(&m)
 	return s
 }
 
-// Reload reads the files again; on an error, a *FileError, the keys in use stay.
+// Reload reads the files again; on an error, a *FileError, the current keys stay in use.
 func (s *Store) Reload() error {
 	if s.files == (Files{}) {
 		return nil
 	}
-	m, err := load(s.files)
+	m, err := loadFiles(s.files)
 	if err != nil {
 		return err
 	}
 	if s.now().After(m.Expires) {
 		return &FileError{s.files.Cert, "expired at " + m.Expires.Format(time.RFC3339)}
 	}
-	s.cur.Store(m)
+	s.current.Store(m)
 	return nil
 }
 
-// Current returns the keys in use.
-func (s *Store) Current() *Material { return s.cur.Load() }
+// Current returns the current keys.
+func (s *Store) Current() *Material { return s.current.Load() }
 
-func load(f Files) (*Material, error) {
+// loadFiles reads the files; the error is a *FileError.
+func loadFiles(f Files) (*Material, error) {
 	ca, err := os.ReadFile(f.CA)
 	if err != nil {
 		return nil, &FileError{f.CA, err.Error()}
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
-		return nil, &FileError{f.CA, "holds no certificate"}
+		return nil, &FileError{f.CA, "contains no certificate"}
 	}
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
@@ -108,13 +109,13 @@
 	if err != nil {
 		return nil, &FileError{f.TokenSecret, err.Error()}
 	}
-	if len(m.Secret) < minSecret {
-		return nil, &FileError{f.TokenSecret, fmt.Sprintf("is shorter than %d bytes", minSecret)}
+	if len(m.Secret) < minSecretBytes {
+		return nil, &FileError{f.TokenSecret, fmt.Sprintf("is shorter than %d bytes", minSecretBytes)}
 	}
 	return m, nil
 }
 
-// ServerConfig returns the TLS settings of a listener that takes holders of the given roles.
+// ServerConfig returns the TLS settings of a listener that accepts clients of the given roles; protos are its ALPN protocols.
 func (s *Store) ServerConfig(protos []string, roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -130,7 +131,7 @@
 	}
 }
 
-// ClientConfig returns the TLS settings of a connection to a VM; an empty name takes any VM.
+// ClientConfig returns the TLS settings of a connection to the named VM, or to any VM if the name is empty; protos are its ALPN protocols.
 func (s *Store) ClientConfig(protos []string, vm string) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -152,6 +153,7 @@
 	}
 }
 
+// verify returns the identity of the remote side, and calls OnRejected if its certificate is rejected.
 func (s *Store) verify(cs tls.ConnectionState, use x509.ExtKeyUsage, roles []Role) (Identity, error) {
 	id, err := s.identify(cs, use, roles)
 	if err != nil && s.OnRejected != nil {
@@ -160,17 +162,19 @@
 	return id, err
 }
 
+// identify returns the identity of the remote side if its certificate is signed by the authority, valid now and for the given use, and
+// has one of the roles; the error is an *IdentityError or one of x509.
 func (s *Store) identify(cs tls.ConnectionState, use x509.ExtKeyUsage, roles []Role) (Identity, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Identity{}, &IdentityError{Want: "anyone", Have: ""}
 	}
 	leaf := cs.PeerCertificates[0]
-	inter := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range cs.PeerCertificates[1:] {
-		inter.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := leaf.Verify(x509.VerifyOptions{
-		Roots: s.Current().Pool, Intermediates: inter,
+		Roots: s.Current().Pool, Intermediates: intermediates,
 		CurrentTime: s.now(), KeyUsages: []x509.ExtKeyUsage{use},
 	})
 	if err != nil {
--- a/pkg/keys/test_authority.go
+++ b/pkg/keys/test_authority.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// testLife is the time for which test certificates hold.
-const testLife = 30 * 24 * time.Hour
+// testCertLifetime is the validity of the authority's own certificate and of those that WriteFiles issues.
+const testCertLifetime = 30 * 24 * time.Hour
 
-// secretLen is the length of a made token secret in bytes.
-const secretLen = 32
+// secretBytes is the length of a generated token secret.
+const secretBytes = 32
 
-// Authority signs certificates for tests and first steps.
+// Authority signs certificates for tests and first setups.
 type Authority struct {
 	cert   *x509.Certificate
 	der    []byte
@@ -30,7 +30,7 @@
 	now    time.Time
 }
 
-// NewAuthority makes an authority with a new key and token secret.
+// NewAuthority returns an authority with a new key and token secret; the lifetimes of its certificates count from now.
 func NewAuthority(now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	tmpl := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "rockspoke test authority"},
-		NotBefore: now.Add(-time.Hour), NotAfter: now.Add(testLife),
+		NotBefore: now.Add(-time.Hour), NotAfter: now.Add(testCertLifetime),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, key.Public(), key)
@@ -49,15 +49,15 @@
 	if err != nil {
 		return nil, err
 	}
-	secret := make([]byte, secretLen)
+	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
 		return nil, err
 	}
 	return &Authority{cert: cert, der: der, key: key, secret: secret, now: now}, nil
 }
 
-// Issue signs a certificate for the holder that ends after life.
-func (a *Authority) Issue(id Identity, life time.Duration) (Material, error) {
+// Issue returns a new key and certificate of the holder; the certificate expires after lifetime.
+func (a *Authority) Issue(id Identity, lifetime time.Duration) (Material, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Material{}, err
@@ -68,7 +68,7 @@
 	}
 	tmpl := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: id.Name},
-		NotBefore: a.now.Add(-time.Hour), NotAfter: a.now.Add(life),
+		NotBefore: a.now.Add(-time.Hour), NotAfter: a.now.Add(lifetime),
 		URIs: []*url.URL{id.URI()}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
@@ -88,13 +88,14 @@
 	}, nil
 }
 
-// Names of the files that WriteFiles makes besides NAME.crt and NAME.key.
+// Names of the files that WriteFiles writes besides NAME.crt and NAME.key.
 const (
 	FileCA     = "ca.crt"
 	FileSecret = "token.secret"
 )
 
-// WriteFiles issues a certificate for each holder into the folder, with the authority and the token secret.
+// WriteFiles issues a certificate for each holder and writes it to the directory with its key, the authority's certificate and the token
+// secret.
 func (a *Authority) WriteFiles(dir string, holders []Identity) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -106,7 +107,7 @@
 		return err
 	}
 	for _, id := range holders {
-		m, err := a.Issue(id, testLife)
+		m, err := a.Issue(id, testCertLifetime)
 		if err != nil {
 			return err
 		}
@@ -124,6 +125,7 @@
 	return nil
 }
 
+// writePEM writes a PEM file with one block of the given kind.
 func writePEM(path, kind string, der []byte) error {
 	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)
 }
