--- a/pkg/desired/team.go
+++ b/pkg/desired/team.go
@@ -98,7 +98,7 @@
 		}
 		hash := keyHash(sha256.Sum256([]byte(k)))
 		if other := s.byKey[hash]; other != nil && other != t {
-			return &InvalidError{at, fmt.Sprint(k), "is also a key of team " + other.Name}
+			return &InvalidError{at, fmt.Sprint(k), "belongs to team " + other.Name + " as well"}
 		}
 		s.byKey[hash] = t
 	}
