--- a/pkg/directory/record.go
+++ b/pkg/directory/record.go
@@ -14,7 +14,7 @@
 	Absent   Phase = iota // no local backend server is known
 	Serving               // accepts requests
 	Draining              // accepts no new requests
-	Gone                  // has left
+	Gone                  // has reported its end
 )
 
 // String names the phase for logs.
@@ -22,9 +22,9 @@
 
 // Record describes the local backend server of a node.
 type Record struct {
-	Host            string `json:"h"`           // IP number of the VM
+	Host            string `json:"h"`           // IP address of the VM
 	Generation      int64  `json:"g"`           // increases with every change
-	Instance        string `json:"i,omitempty"` // ID that the server chose at its start
+	Instance        string `json:"i,omitempty"` // instance ID that the server reports
 	Service         string `json:"s,omitempty"`
 	Zone            string `json:"z,omitempty"`
 	Release         string `json:"r,omitempty"` // version of the server's software
