--- a/pkg/onceonly/doc.go
+++ b/pkg/onceonly/doc.go
@@ -6,5 +6,5 @@
 // itself. The home's KeyMemory holds every key that it has received, joins
 // retries to the running call, and answers later ones from the record. Ownership
 // doesn't expire: it moves by a handover of the key memory, or, when the owner's
-// VM is gone, to a new owner that answers "unknown" for one retry window.
+// VM was removed, to a new owner that answers "unknown" for one retry window.
 package onceonly
