--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -134,7 +134,7 @@
 func (s *site) heartbeat(i int, draining bool) {
 	f := s.servers[i]
 	s.nodes[i].Heartbeat(context.Background(), directory.Registration{
-		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, Call: f.heartbeatSeq.Add(1), Born: f.startedAt.Load(),
+		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, CallSeq: f.heartbeatSeq.Add(1), StartedMS: f.startedAt.Load(),
 	})
 }
 
@@ -192,7 +192,7 @@
 		s.add("a", fmt.Sprint("z", i), 10)
 	}
 	s.store.put(desired.State{Version: 1, Routes: []desired.Route{
-		route("read", desired.Repeatable, "a"), route("pay", desired.Once, "a"),
+		route("read", desired.Repeatable, "a"), route("pay", desired.AtMostOnce, "a"),
 	}})
 	s.waitUntilKnown(1)
 	return s
--- a/pkg/onceonly/range_home.go
+++ b/pkg/onceonly/range_home.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Home is a node's part in a service's keys: its memory and the ranges it owns. It isn't safe for concurrent use.
+// Home holds a node's share of a service's keys: its key memory and the ranges that it owns. It isn't safe for concurrent use.
 type Home struct {
 	Service     string
 	VM          string
 	Incarnation string
-	Memory      Memory
+	Memory      KeyMemory
 
-	row     Row
-	open    [NumRanges]bool
+	row     OwnerRow
+	owned   [NumRanges]bool
 	closing [NumRanges]bool
 }
 
-// Adopt takes a newer row; it reports false for one that isn't newer. A range that came without
-// its memory starts with a quiet window.
-func (h *Home) Adopt(now time.Time, row Row) bool {
+// Adopt applies a newer row, and reports false for a row that isn't newer. A range whose previous owner's memory was lost starts with a
+// quiet window; the records of ranges that the node no longer owns are dropped.
+func (h *Home) Adopt(now time.Time, row OwnerRow) bool {
 	if row.Version <= h.row.Version {
 		return false
 	}
 	for r, o := range row.Owners {
 		mine := o.Is(h.VM, h.Incarnation)
 		switch {
-		case mine && !h.open[r]:
-			h.open[r] = true
+		case mine && !h.owned[r]:
+			h.owned[r] = true
 			h.closing[r] = false
 			if o.Lossy {
 				h.Memory.SetQuiet(r, now.Add(h.Memory.window()))
 			}
-		case !mine && h.open[r]:
-			h.open[r] = false
+		case !mine && h.owned[r]:
+			h.owned[r] = false
 			h.closing[r] = false
 			h.Memory.Drop([]int{r})
 		}
@@ -39,16 +39,16 @@
 	return true
 }
 
-// Row returns the newest row taken.
-func (h *Home) Row() Row { return h.row }
+// Row returns the newest row applied.
+func (h *Home) Row() OwnerRow { return h.row }
 
-// Owns tells whether this node is the home of the range and may take attempts for it.
-func (h *Home) Owns(r int) bool { return h.open[r] && !h.closing[r] }
+// Owns reports whether this node is the home of the range and accepts attempts for it.
+func (h *Home) Owns(r int) bool { return h.owned[r] && !h.closing[r] }
 
-// Ranges returns the ranges that are owned and not closing.
+// Ranges returns the ranges for which the node accepts attempts.
 func (h *Home) Ranges() []int {
 	var list []int
-	for r := range h.open {
+	for r := range h.owned {
 		if h.Owns(r) {
 			list = append(list, r)
 		}
@@ -56,15 +56,15 @@
 	return list
 }
 
-// Close stops new attempts for the ranges ahead of their hand-over.
-func (h *Home) Close(ranges []int) {
+// CloseRanges stops accepting attempts for the ranges before their handover.
+func (h *Home) CloseRanges(ranges []int) {
 	for _, r := range ranges {
 		h.closing[r] = true
 	}
 }
 
-// Reopen takes attempts again after a hand-over that certainly failed.
-func (h *Home) Reopen(ranges []int) {
+// ReopenRanges accepts attempts for the ranges again after a handover that certainly failed.
+func (h *Home) ReopenRanges(ranges []int) {
 	for _, r := range ranges {
 		h.closing[r] = false
 	}
