--- a/pkg/cli/cli_change.go
+++ b/pkg/cli/cli_change.go
@@ -25,7 +25,7 @@
 func (e *env) change(ctx context.Context, c *client.Client, ch config.Change) (operator.Accepted, error) {
 	ch.ID = uuid.NewString()
 	a, err := c.Change(ctx, ch)
-	var lost *client.LostError
+	var lost *client.LostResponseError
 	if !errors.As(err, &lost) {
 		return a, doubtful(ch.ID, err)
 	}
--- a/pkg/cli/cli_exit.go
+++ b/pkg/cli/cli_exit.go
@@ -84,7 +84,7 @@
 	var (
 		doubt   *DoubtError
 		gone    *client.UnreachableError
-		lost    *client.LostError
+		lost    *client.LostResponseError
 		problem *operator.Problem
 		notYet  *NotYetError
 	)
--- a/pkg/cli/command_apply.go
+++ b/pkg/cli/command_apply.go
@@ -128,8 +128,8 @@
 	for _, d := range p.Differences {
 		row(t, differenceWord(d), d.ID)
 	}
-	slices.SortFunc(p.Catches, func(a, b operator.Catch) int { return strings.Compare(a.Policy, b.Policy) })
-	for _, c := range p.Catches {
+	slices.SortFunc(p.Matches, func(a, b operator.PolicyMatch) int { return strings.Compare(a.Policy, b.Policy) })
+	for _, c := range p.Matches {
 		row(t, "policy "+c.Policy+" catches", strings.Join(c.Objects, " "))
 	}
 }
--- a/pkg/cli/query_trace.go
+++ b/pkg/cli/query_trace.go
@@ -54,7 +54,7 @@
 	if w.why {
 		return w.printCauses(trace.Causes(lines))
 	}
-	return w.printStory(id, trace.Story(lines, id))
+	return w.printStory(id, trace.Timeline(lines, id))
 }
 
 // parse returns the request, which --why has none of, and the files.
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -54,22 +54,22 @@
 // Unwrap returns the last cause.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// LostError reports that a daemon was asked and its answer was lost.
-type LostError struct {
+// LostResponseError reports that a daemon was asked and its answer was lost.
+type LostResponseError struct {
 	Daemon string
 	Cause  error
 }
 
 // Error names the daemon and the cause.
-func (e *LostError) Error() string {
+func (e *LostResponseError) Error() string {
 	return fmt.Sprintf("the answer of %s was lost: %v", e.Daemon, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *LostResponseError) Unwrap() error { return e.Cause }
 
 // do asks the daemons in turn until one takes the request. Only a request that was certainly not sent
-// goes to the next one. The error is an *UnreachableError, a *LostError or an *operator.Problem.
+// goes to the next one. The error is an *UnreachableError, a *LostResponseError or an *operator.Problem.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -86,7 +86,7 @@
 		var cert *tls.CertificateVerificationError
 		if errors.As(err, &op) && op.Op == "dial" || errors.As(err, &cert) {
 			last = err
-			var lost *LostError
+			var lost *LostResponseError
 			if errors.As(err, &lost) {
 				last = lost.Cause
 			}
@@ -105,12 +105,12 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return &LostError{daemon, err}
+		return &LostResponseError{daemon, err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return &LostError{daemon, err}
+		return &LostResponseError{daemon, err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		p := &operator.Problem{Kind: operator.ProblemFailed, Msg: fmt.Sprintf("%s answered status %d: %s", daemon, resp.StatusCode, data)}
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -37,7 +37,7 @@
 
 // linesOf returns the log lines about a request.
 func (l *logBuffer) linesOf(c *qt.C, id string) []trace.Line {
-	return trace.Story(l.lines(c), id)
+	return trace.Timeline(l.lines(c), id)
 }
 
 // lines returns all log lines.
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -47,11 +47,11 @@
 // Previewed is the answer to a change that was only tried out.
 type Previewed struct {
 	Differences []config.Difference `json:"differences"`
-	Catches     []Catch             `json:"catches"`
+	Matches     []PolicyMatch             `json:"catches"`
 }
 
-// Catch tells what a policy's selector would catch.
-type Catch struct {
+// PolicyMatch tells what a policy's selector would catch.
+type PolicyMatch struct {
 	Policy  string   `json:"policy"`
 	Objects []string `json:"objects"`
 }
@@ -208,7 +208,7 @@
 	}
 	out := Previewed{Differences: diffs}
 	for policy, caught := range config.Catches(objs) {
-		out.Catches = append(out.Catches, Catch{policy, caught})
+		out.Matches = append(out.Matches, PolicyMatch{policy, caught})
 	}
 	c.JSON(http.StatusOK, out)
 }
--- a/pkg/trace/doc.go
+++ b/pkg/trace/doc.go
@@ -5,6 +5,6 @@
 // without a JSON object, or with one that isn't a log line, is left out and
 // counted.
 //
-// read_lines.go reads logs, request_story.go tells one request, refusal_causes.go
+// read_lines.go reads logs, request_timeline.go orders the lines about one request, refusal_causes.go
 // groups those that weren't served.
 package trace
--- a/pkg/trace/request_story.go
+++ b/pkg/trace/request_timeline.go
@@ -9,9 +9,9 @@
 // beliefWindow is how long before a request's first line the beliefs of its nodes are told.
 const beliefWindow = 3 * time.Second
 
-// Story returns the lines about a request and its calls, in order of time, and those by which the same
+// Timeline returns the lines about a request and its calls, in order of time, and those by which the same
 // nodes changed what they believed from a little before it until its end.
-func Story(lines []Line, id string) []Line {
+func Timeline(lines []Line, id string) []Line {
 	var about []Line
 	nodes := map[string]bool{}
 	for _, l := range lines {
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -29,11 +29,11 @@
 	c := qt.New(t)
 	lines, _, _ := Read("f", strings.NewReader(logText))
 	var got []string
-	for _, l := range Story(lines, "abc") {
+	for _, l := range Timeline(lines, "abc") {
 		got = append(got, l.Msg)
 	}
 	c.Assert(got, qt.DeepEquals, []string{"control: admission", "call: request retried", "call: not served"})
-	c.Assert(Story(lines, "nobody"), qt.HasLen, 0)
+	c.Assert(Timeline(lines, "nobody"), qt.HasLen, 0)
 }
 
 func TestCausesAreCounted(t *testing.T) {
@@ -54,6 +54,6 @@
 			t.Fatal(err)
 		}
 		Causes(lines)
-		Story(lines, "abc")
+		Timeline(lines, "abc")
 	})
 }
