--- a/pkg/trace/read_lines.go
+++ b/pkg/trace/read_lines.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
 	Time   time.Time
-	Source string // file, and what stood before the line's object
+	Source string // name of the log, and the line's prefix before the JSON object
 	Msg    string
-	Fields map[string]any // the others
+	Fields map[string]any // every field but time and msg
 }
 
-// Skipped is a line that was left out.
+// Skipped identifies a line that could not be parsed, with the reason.
 type Skipped struct {
 	Source string
 	Number int
 	Why    string
 }
 
-// maxLine bounds a line in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line that Read accepts.
+const maxLineBytes = 1 << 20
 
-// Read takes the lines of one log; the error is that of the reader.
+// Read parses the lines of one log and returns those that it had to skip; the error comes from the reader or is a
+// line longer than maxLineBytes.
 func Read(source string, r io.Reader) ([]Line, []Skipped, error) {
 	var lines []Line
 	var skipped []Skipped
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 64<<10), maxLine)
+	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for n := 1; s.Scan(); n++ {
-		l, why := parse(source, s.Bytes())
+		l, why := parseLine(source, s.Bytes())
 		if why != "" {
 			skipped = append(skipped, Skipped{source, n, why})
 			continue
@@ -43,8 +44,8 @@
 	return lines, skipped, s.Err()
 }
 
-// parse reads one line; why says what is wrong with it.
-func parse(source string, b []byte) (l Line, why string) {
+// parseLine parses one line; why is empty on success and otherwise says what is wrong with the line.
+func parseLine(source string, b []byte) (l Line, why string) {
 	i := bytes.IndexByte(b, '{')
 	if i < 0 {
 		return l, "no JSON object"
@@ -54,7 +55,7 @@
 		return l, "cut or not JSON"
 	}
 	msg, _ := fields["msg"].(string)
-	at, err := time.Parse(time.RFC3339Nano, text(fields["time"]))
+	at, err := time.Parse(time.RFC3339Nano, stringOrEmpty(fields["time"]))
 	if msg == "" || err != nil {
 		return l, "not a line of this log"
 	}
@@ -66,8 +67,8 @@
 	return Line{Time: at, Source: source, Msg: msg, Fields: fields}, ""
 }
 
-// text returns a field's text, or "" if it isn't one.
-func text(v any) string {
+// stringOrEmpty returns v if it is a string, and "" otherwise.
+func stringOrEmpty(v any) string {
 	s, _ := v.(string)
 	return s
 }
--- a/pkg/trace/refusal_causes.go
+++ b/pkg/trace/refusal_causes.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// Cause is a group of requests that ended in the same way.
+// Cause groups the log lines with the same message, route, outcome and reason.
 type Cause struct {
 	Msg, Route, Outcome, Reason string
-	Lines                       int     // that say so
-	LeftOut                     float64 // that a bound on lines left out
-	First                       Line
+	Lines                       int     // number of lines in the group
+	LeftOut                     float64 // number of lines that the log's rate limit suppressed
+	First                       Line    // earliest line of the group
 }
 
-// Causes groups the lines about requests that weren't served, the most frequent first.
+// Causes groups the lines that name a request and a reason, the most frequent group first.
 func Causes(lines []Line) []Cause {
 	groups := map[[4]string]*Cause{}
 	for _, l := range lines {
-		if text(l.Fields["request"]) == "" || text(l.Fields["reason"]) == "" {
+		if stringOrEmpty(l.Fields["request"]) == "" || stringOrEmpty(l.Fields["reason"]) == "" {
 			continue
 		}
-		key := [4]string{l.Msg, text(l.Fields["route"]), text(l.Fields["outcome"]), text(l.Fields["reason"])}
+		key := [4]string{l.Msg, stringOrEmpty(l.Fields["route"]), stringOrEmpty(l.Fields["outcome"]), stringOrEmpty(l.Fields["reason"])}
 		c := groups[key]
 		if c == nil {
 			c = &Cause{Msg: key[0], Route: key[1], Outcome: key[2], Reason: key[3], First: l}
@@ -28,21 +28,21 @@
 		}
 		c.add(l)
 	}
-	return byFrequency(groups)
+	return sortedByFrequency(groups)
 }
 
-// add counts a line of the group.
+// add counts a line, and the suppressed lines that it reports.
 func (c *Cause) add(l Line) {
 	c.Lines++
-	left, _ := l.Fields["repeated"].(float64)
-	c.LeftOut += left
+	suppressed, _ := l.Fields["repeated"].(float64)
+	c.LeftOut += suppressed
 	if l.Time.Before(c.First.Time) {
 		c.First = l
 	}
 }
 
-// byFrequency returns the groups, the most frequent first.
-func byFrequency(groups map[[4]string]*Cause) []Cause {
+// sortedByFrequency returns the groups, those with the most lines first.
+func sortedByFrequency(groups map[[4]string]*Cause) []Cause {
 	out := make([]Cause, 0, len(groups))
 	for _, c := range groups {
 		out = append(out, *c)
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -16,7 +16,7 @@
 {"some":"other program"}
 `
 
-func TestLinesThatArentOursAreLeftOut(t *testing.T) {
+func TestReadSkipsUnparsableLines(t *testing.T) {
 	c := qt.New(t)
 	lines, skipped, err := Read("f", strings.NewReader(logText))
 	c.Assert(err, qt.IsNil)
@@ -25,7 +25,7 @@
 	c.Assert(lines[1].Source, qt.Equals, "f 4.6012 node-1")
 }
 
-func TestStoryIsInOrderWithBeliefs(t *testing.T) {
+func TestTimelineIsOrderedAndHasStateChanges(t *testing.T) {
 	c := qt.New(t)
 	lines, _, _ := Read("f", strings.NewReader(logText))
 	var got []string
@@ -36,7 +36,7 @@
 	c.Assert(Timeline(lines, "nobody"), qt.HasLen, 0)
 }
 
-func TestCausesAreCounted(t *testing.T) {
+func TestCausesCountLoggedAndSuppressedLines(t *testing.T) {
 	c := qt.New(t)
 	lines, _, _ := Read("f", strings.NewReader(logText))
 	causes := Causes(lines)
@@ -50,7 +50,7 @@
 	f.Add(logText)
 	f.Fuzz(func(t *testing.T, s string) {
 		lines, _, err := Read("f", strings.NewReader(s))
-		if err != nil && len(s) < maxLine {
+		if err != nil && len(s) < maxLineBytes {
 			t.Fatal(err)
 		}
 		Causes(lines)
