--- a/pkg/daemon/daemon_main.go
+++ b/pkg/daemon/daemon_main.go
@@ -21,10 +21,10 @@
 const (
 	ExitOK       = 0
 	ExitFailed   = 1
-	ExitSettings = 2 // wrong use or settings
+	ExitSettings = 2 // invalid flags or settings
 )
 
-// envPrefix begins the environment variables that stand for flags, such as ROCKSPOKE_SETTINGS.
+// envPrefix is the prefix of the environment variables that set flags, such as ROCKSPOKE_SETTINGS.
 const envPrefix = "ROCKSPOKE"
 
 const usage = `rockspoked runs beside one backend server, or on an entry VM, and carries calls.
@@ -42,7 +42,7 @@
   rockspoked --settings /etc/rockspoke/daemon.yaml
   rockspoked --settings daemon.yaml --check`
 
-// Main runs rockspoked with the arguments and returns its exit status.
+// Main runs rockspoked with the command-line arguments args and returns its exit status.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	fs := flag.NewFlagSet("rockspoked", flag.ContinueOnError)
 	fs.SetOutput(stderr)
@@ -63,6 +63,7 @@
 	return status
 }
 
+// run loads the settings file, then checks it only or runs the daemon; it returns the exit status.
 func run(ctx context.Context, file string, check bool, stdout, stderr io.Writer) int {
 	if file == "" {
 		fmt.Fprintln(stderr, "rockspoked: --settings must name a file; see rockspoked --help")
@@ -84,7 +85,7 @@
 	return ExitOK
 }
 
-// newApp returns the daemon that the settings ask for.
+// newApp returns a mesh node if the settings have a mesh section, and a node with an operators' API otherwise.
 func newApp(file string, cfg settings.Settings, stdout, stderr io.Writer) *fx.App {
 	if cfg.Mesh != nil {
 		return MeshApp(file, cfg, stdout)
@@ -92,7 +93,7 @@
 	return App(cfg, stderr)
 }
 
-// serve runs the daemon until the context ends or a signal asks it to leave.
+// serve runs the daemon until the context is done or SIGTERM or SIGINT arrives, then stops it.
 func serve(ctx context.Context, app *fx.App) error {
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
--- a/pkg/daemon/doc.go
+++ b/pkg/daemon/doc.go
@@ -1,7 +1,7 @@
-// Package daemon wires rockspoked together with fx.
+// Package daemon assembles rockspoked with fx.
 //
-// Main reads the flags and the settings. App (daemon.go) is a node with its
-// operators' API and its keys; MeshApp (mesh_daemon.go) is a node of a mesh,
-// which the settings ask for by their mesh section. signal_watch.go serves the
-// signals of both.
+// Main parses the flags and loads the settings. App (daemon.go) builds a node
+// with its operators' API and its keys; MeshApp (mesh_daemon.go) builds a node
+// of a mesh, and is used when the settings have a mesh section.
+// signal_watch.go handles SIGUSR1 and SIGHUP for both.
 package daemon
--- a/pkg/daemon/mesh_daemon.go
+++ b/pkg/daemon/mesh_daemon.go
@@ -17,33 +17,34 @@
 	"github.com/rockspoke/rockspoke/platform"
 )
 
-// MeshApp returns a node of a mesh as an fx application; logs go to w. The file is read again on SIGHUP.
+// MeshApp returns a node of a mesh as an fx application that logs to w and reloads the settings file on SIGHUP.
 func MeshApp(file string, cfg settings.Settings, w io.Writer) *fx.App {
 	return fx.New(
 		fx.Supply(cfg),
 		fx.Supply(fx.Annotate(w, fx.As(new(io.Writer)))),
-		fx.Provide(newClock, newMeshFactory, newMeshNode),
-		// The last one in is stopped first: signals are taken until the node has stopped, since one that
-		// nobody takes would end the process.
+		fx.Provide(newClock, newMeshLoggerFactory, newMeshNode),
+		// fx runs stop hooks in reverse order. The signal handler comes first here so that it stops after the
+		// node: without a handler, SIGUSR1 or SIGHUP would terminate the process.
 		fx.Invoke(func(lc fx.Lifecycle, n *mesh.Node, f logging.Factory) { watchMeshSignals(lc, file, n, f) }),
 		fx.Invoke(runMeshNode),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
-		fx.StartTimeout(startTime),
+		fx.StartTimeout(startTimeout),
 		fx.StopTimeout(cfg.Mesh.Grace+time.Second),
 	)
 }
 
-// meshLinesPerSecond bounds the lines of one message that a node writes in a second: enough to follow
-// requests one by one while little is refused, and a bounded share of the processor when much is.
+// meshLinesPerSecond limits how many log lines with the same message a node writes in a second. While few requests
+// are rejected, each of them is logged; while many are, logging takes a bounded share of the CPU.
 const meshLinesPerSecond = 25
 
-// flushTime is the longest time that the last lines are waited for.
-const flushTime = 200 * time.Millisecond
+// flushTimeout limits how long a stop waits for the queued log lines to be written.
+const flushTimeout = 200 * time.Millisecond
 
-func newMeshFactory(lc fx.Lifecycle, cfg settings.Settings, w io.Writer, c clock.Clock) logging.Factory {
+// newMeshLoggerFactory provides loggers that write JSON lines to w through a queue, which is flushed on stop.
+func newMeshLoggerFactory(lc fx.Lifecycle, cfg settings.Settings, w io.Writer, c clock.Clock) logging.Factory {
 	q := logging.NewQueue(w, c, logging.DefaultQueue)
 	lc.Append(fx.Hook{OnStop: func(context.Context) error {
-		q.Close(flushTime)
+		q.Close(flushTimeout)
 		return nil
 	}})
 	return logging.Factory{
@@ -52,6 +53,8 @@
 	}
 }
 
+// newMeshNode provides the mesh node; its requests to the platform's store come from the IP address of its peer
+// listener. The error is that of a peer address without a port, or of mesh.New.
 func newMeshNode(cfg settings.Settings, c clock.Clock, f logging.Factory) (*mesh.Node, error) {
 	ip, _, err := net.SplitHostPort(cfg.Listen.Peers)
 	if err != nil {
@@ -64,11 +67,12 @@
 	})
 }
 
+// runMeshNode starts and stops the node with the application.
 func runMeshNode(lc fx.Lifecycle, n *mesh.Node) {
 	lc.Append(fx.Hook{OnStart: n.Start, OnStop: n.Stop})
 }
 
-// watchMeshSignals dumps the state on SIGUSR1 and reads the settings again on SIGHUP.
+// watchMeshSignals logs the state on SIGUSR1 and reloads the settings file on SIGHUP.
 func watchMeshSignals(lc fx.Lifecycle, file string, n *mesh.Node, f logging.Factory) {
 	log := f.Part("daemon")
 	w := &signalWatch{
@@ -76,13 +80,14 @@
 		reload: func() { reloadSettings(file, n, log) },
 		log:    log,
 	}
-	w.follow(lc)
+	w.register(lc)
 }
 
+// reloadSettings reloads the settings file; on an error it logs the error and the old settings stay in use.
 func reloadSettings(file string, n *mesh.Node, log *slog.Logger) {
 	cfg, err := settings.Load(file)
 	if err != nil {
-		log.Error("settings can't be read, the old ones stay in use", "err", err)
+		log.Error("cannot reload the settings, the old ones stay in use", "err", err)
 		return
 	}
 	n.Reload(cfg)
--- a/pkg/daemon/mesh_daemon_test.go
+++ b/pkg/daemon/mesh_daemon_test.go
@@ -16,7 +16,7 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// freeAddr returns an address that nothing listens on.
+// freeAddr returns a loopback address with a port that was free a moment ago.
 func freeAddr(c *qt.C) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -24,6 +24,7 @@
 	return ln.Addr().String()
 }
 
+// meshSettings writes a settings file for a mesh node into dir, and returns its path and the settings.
 func meshSettings(c *qt.C, dir string) (string, settings.Settings) {
 	text := fmt.Sprintf(`vm: a
 zone: z
@@ -40,9 +41,9 @@
 	return path, cfg
 }
 
-// A signal that comes while the node stops once ended the process, since its handler had gone first: the
-// test process itself ends if that comes back.
-func TestSignalsAreTakenUntilTheNodeHasStopped(t *testing.T) {
+// If the signal handler stops before the node, a SIGHUP that arrives during the stop terminates the process; here
+// that is the test process itself.
+func TestSignalsAreHandledUntilTheNodeHasStopped(t *testing.T) {
 	c := qt.New(t)
 	path, cfg := meshSettings(c, t.TempDir())
 	app := MeshApp(path, cfg, io.Discard)
@@ -57,7 +58,7 @@
 	c.Assert(<-stopped, qt.IsNil)
 }
 
-func TestMeshSettingsNameTheirFaults(t *testing.T) {
+func TestMeshSettingsErrorNamesEveryInvalidField(t *testing.T) {
 	c := qt.New(t)
 	_, err := settings.Parse("m.yaml", []byte("vm: a\nzone: z\nlisten: {peers: \"127.0.0.1:1\"}\nmesh: {grace: 2h, retryRatio: 3}\n"))
 	for _, field := range []string{"service", "backend.address", "listen.outbound", "listen.control", "listen.ready", "platform.url", "mesh.grace", "mesh.retryRatio"} {
--- a/pkg/daemon/signal_watch.go
+++ b/pkg/daemon/signal_watch.go
@@ -14,20 +14,20 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// signalWatch answers SIGUSR1 by writing the state to the log, and SIGHUP by reading files again.
+// signalWatch logs the state on SIGUSR1, and reloads files on SIGHUP and at an interval.
 type signalWatch struct {
-	dump   func() any
-	reload func()
-	clock  clock.Clock
-	every  time.Duration // between readings without a signal; 0: none
-	log    *slog.Logger
+	dump         func() any
+	reload       func()
+	clock        clock.Clock
+	reloadPeriod time.Duration // interval of reloads without a signal; 0 means none
+	log          *slog.Logger
 }
 
-// signalQueue is how many signals may wait: a few more than there are kinds.
+// signalQueue is the capacity of the signal channel, a few more than the two signals handled.
 const signalQueue = 4
 
-// follow takes signals from the start of the application until it stops.
-func (s *signalWatch) follow(lc fx.Lifecycle) {
+// register adds hooks that handle signals from the start of the application until it stops.
+func (s *signalWatch) register(lc fx.Lifecycle) {
 	signals := make(chan os.Signal, signalQueue)
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
@@ -36,7 +36,7 @@
 			ticks, stop := s.ticks()
 			go func() {
 				defer stop()
-				s.serve(signals, ticks, done)
+				s.loop(signals, ticks, done)
 			}()
 			return nil
 		},
@@ -48,19 +48,21 @@
 	})
 }
 
-// ticks returns a ticker's channel and stop function; the channel is nil, and never ready, without a period.
+// ticks returns the channel and the stop function of a ticker; without a reload period the channel is nil, which is
+// never ready.
 func (s *signalWatch) ticks() (<-chan time.Time, func()) {
-	if s.every == 0 {
+	if s.reloadPeriod == 0 {
 		return nil, func() {}
 	}
-	return s.clock.NewTicker(s.every)
+	return s.clock.NewTicker(s.reloadPeriod)
 }
 
-func (s *signalWatch) serve(signals <-chan os.Signal, ticks <-chan time.Time, done <-chan struct{}) {
+// loop handles signals and ticks until done is closed.
+func (s *signalWatch) loop(signals <-chan os.Signal, ticks <-chan time.Time, done <-chan struct{}) {
 	for {
 		select {
 		case sig := <-signals:
-			s.take(sig)
+			s.handle(sig)
 		case <-ticks:
 			s.reload()
 		case <-done:
@@ -69,18 +71,20 @@
 	}
 }
 
-func (s *signalWatch) take(sig os.Signal) {
+// handle logs the state on SIGUSR1 and reloads on any other signal.
+func (s *signalWatch) handle(sig os.Signal) {
 	if sig == syscall.SIGUSR1 {
-		s.writeState()
+		s.logState()
 		return
 	}
 	s.reload()
 }
 
-func (s *signalWatch) writeState() {
+// logState writes the state to the log as JSON.
+func (s *signalWatch) logState() {
 	b, err := json.Marshal(s.dump())
 	if err != nil {
-		s.log.Error("state can't be dumped", "err", err)
+		s.log.Error("cannot encode the state", "err", err)
 		return
 	}
 	s.log.Info("state", "dump", string(b))
