--- a/pkg/operator/doc.go
+++ b/pkg/operator/doc.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' HTTP API of a daemon.
+// Package operator serves the operators' HTTP API of a daemon.
 //
-// Every request comes over mutual TLS. Queries are GET and open to read-only
-// operators; commands are POST and need a read-write one. Errors are a Problem
-// in JSON.
+// Every request uses mutual TLS. Queries are GET requests and need a read-only
+// or a read-write certificate; commands are POST requests and need a read-write
+// certificate. Errors are returned as a Problem in JSON.
 package operator
--- a/pkg/operator/operator_problem.go
+++ b/pkg/operator/operator_problem.go
@@ -11,34 +11,35 @@
 	"github.com/rockspoke/rockspoke/pkg/store"
 )
 
-// ProblemKind sorts problems, so that a client knows what to do next.
+// ProblemKind classifies problems, so that a client can decide what to do next.
 type ProblemKind string
 
 // The kinds of problem.
 const (
-	ProblemInvalid   ProblemKind = "invalid"   // the request is wrong; nothing was done
+	ProblemInvalid   ProblemKind = "invalid"   // the request is invalid; nothing was done
 	ProblemRace      ProblemKind = "race"      // another operator's change came first; nothing was done
 	ProblemUnknown   ProblemKind = "unknown"   // it isn't known whether the change was accepted
 	ProblemPlatform  ProblemKind = "platform"  // the platform can't be used now; nothing was done
-	ProblemNotFound  ProblemKind = "not-found" // there is no such thing
+	ProblemNotFound  ProblemKind = "not-found" // the named object, version or route does not exist
 	ProblemForbidden ProblemKind = "forbidden" // the certificate doesn't allow it
 	ProblemFailed    ProblemKind = "failed"    // anything else; nothing was done
 )
 
-// Problem is the body of an answer that reports an error.
+// Problem is the response body that reports an error.
 type Problem struct {
 	Kind     ProblemKind         `json:"kind"`
 	Msg      string              `json:"msg"`
 	ChangeID string              `json:"change_id,omitempty"`
-	Version  int64               `json:"version,omitempty"` // in force, for a race
-	Changed  []string            `json:"changed,omitempty"` // objects that the other change touched
+	Version  int64               `json:"version,omitempty"` // version in force, for ProblemRace
+	Changed  []string            `json:"changed,omitempty"` // IDs of the objects that the other change modified
 	Faults   []config.FieldError `json:"faults,omitempty"`
 }
 
-// Error gives the message.
+// Error returns the message.
 func (p *Problem) Error() string { return p.Msg }
 
-func problemOf(err error) (int, Problem) {
+// toProblem returns the HTTP status and the problem that report err.
+func toProblem(err error) (int, Problem) {
 	var (
 		invalid  *config.InvalidError
 		noObject *config.NoObjectError
@@ -70,7 +71,8 @@
 	}
 }
 
-func fail(c *gin.Context, err error) {
-	status, p := problemOf(err)
+// writeProblem responds with the problem that reports err, and aborts the request.
+func writeProblem(c *gin.Context, err error) {
+	status, p := toProblem(err)
 	c.AbortWithStatusJSON(status, p)
 }
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -35,38 +35,38 @@
 	PathHealth   = "/healthz"
 )
 
-// maxBody bounds an operator's request in bytes.
-const maxBody = 4 << 20
+// maxRequestBytes limits the body of an operator's request.
+const maxRequestBytes = 4 << 20
 
-// Accepted is the answer to a change that was accepted.
+// Accepted is the response to a change that was accepted, and to a query whether it was.
 type Accepted struct {
-	Version  int64  `json:"version"` // 0 where a settled change wasn't accepted
+	Version  int64  `json:"version"` // 0 if the queried change wasn't accepted
 	ChangeID string `json:"change_id"`
 }
 
-// Previewed is the answer to a change that was only tried out.
+// Previewed is the response to a dry run of a change.
 type Previewed struct {
 	Differences []config.Difference `json:"differences"`
-	Matches     []PolicyMatch             `json:"catches"`
+	Matches     []PolicyMatch       `json:"catches"`
 }
 
-// PolicyMatch tells what a policy's selector would catch.
+// PolicyMatch lists the objects that a policy's selector would match.
 type PolicyMatch struct {
 	Policy  string   `json:"policy"`
 	Objects []string `json:"objects"`
 }
 
-// ReleaseRequest names a VM that is gone for good.
+// ReleaseRequest names a VM that will not come back, whose key ranges get new owners.
 type ReleaseRequest struct {
 	VM string `json:"vm"`
 }
 
-// Released tells how many key ranges were given to others.
+// Released reports how many key ranges were given to other nodes.
 type Released struct {
 	Ranges int `json:"ranges"`
 }
 
-// Server serves the API of one daemon; its zero value with a Node and Keys is ready to start.
+// Server serves the API of one daemon; it is ready to start once Node and Keys are set.
 type Server struct {
 	Node *node.Node
 	Keys *keys.Store
@@ -76,7 +76,7 @@
 	http *http.Server
 }
 
-// Handler returns the API without TLS.
+// Handler returns the API's HTTP handler, without TLS.
 func (s *Server) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	r := gin.New()
@@ -92,15 +92,15 @@
 	r.GET(PathHistory, s.getHistory)
 	r.GET(PathExplain, s.getExplain)
 	r.GET(PathChange, s.getChange)
-	w := r.Group("", s.needReadWrite)
+	w := r.Group("", s.requireReadWrite)
 	w.POST(PathChanges, s.postChange)
 	w.POST(PathPreview, s.postPreview)
 	w.POST(PathLeave, s.postLeave)
 	w.POST(PathRelease, s.postRelease)
-	return http.MaxBytesHandler(r, maxBody)
+	return http.MaxBytesHandler(r, maxRequestBytes)
 }
 
-// Start serves the API at the address over mutual TLS.
+// Start serves the API at the address over mutual TLS until Stop; the error is that of opening the listener.
 func (s *Server) Start(address string) error {
 	listen := s.Listen
 	if listen == nil {
@@ -112,11 +112,11 @@
 	}
 	cfg := s.Keys.ServerConfig([]string{"h2", "http/1.1"}, keys.RoleReadOnly, keys.RoleReadWrite)
 	s.http = &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 10 * time.Second, ErrorLog: nil}
-	go func() { _ = s.http.Serve(tls.NewListener(ln, cfg)) }() // ends with Stop
+	go func() { _ = s.http.Serve(tls.NewListener(ln, cfg)) }() // returns after Stop
 	return nil
 }
 
-// Stop ends the API.
+// Stop closes the listener and waits for requests in progress until ctx is done.
 func (s *Server) Stop(ctx context.Context) error {
 	if s.http == nil {
 		return nil
@@ -124,16 +124,18 @@
 	return s.http.Shutdown(ctx)
 }
 
-// identity returns the operator who sent the request.
-func identity(r *http.Request) (keys.Identity, error) {
+// operatorIdentity returns the operator's identity from the client certificate of the request, or an error without a
+// valid one.
+func operatorIdentity(r *http.Request) (keys.Identity, error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return keys.Identity{}, errors.New("no certificate")
 	}
 	return keys.IdentityOf(r.TLS.PeerCertificates[0])
 }
 
-func (s *Server) needReadWrite(c *gin.Context) {
-	id, err := identity(c.Request)
+// requireReadWrite aborts requests without a read-write operator's certificate.
+func (s *Server) requireReadWrite(c *gin.Context) {
+	id, err := operatorIdentity(c.Request)
 	if err != nil || id.Role != keys.RoleReadWrite {
 		c.AbortWithStatusJSON(http.StatusForbidden, Problem{
 			Kind: ProblemForbidden, Msg: "this command needs a read-write operator's certificate",
@@ -141,48 +143,54 @@
 	}
 }
 
+// getVersion responds with one version of the configuration.
 func (s *Server) getVersion(c *gin.Context) {
 	v, err := strconv.ParseInt(c.Param("version"), 10, 64)
 	if err != nil {
-		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "version", Msg: "isn't a number"}}})
+		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "version", Msg: "isn't a number"}}})
 		return
 	}
 	doc, err := s.Node.Version(c, v)
-	reply(c, doc, err)
+	writeResult(c, doc, err)
 }
 
+// getVersions responds with the daemons that have the wanted version in force, have an older one or do not respond.
 func (s *Server) getVersions(c *gin.Context) {
 	want, err := strconv.ParseInt(c.DefaultQuery("want", "0"), 10, 64)
 	if err != nil {
-		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "want", Msg: "isn't a number"}}})
+		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "want", Msg: "isn't a number"}}})
 		return
 	}
 	c.JSON(http.StatusOK, s.Node.Versions(c, want))
 }
 
-// defaultHistory is how many versions a history query gives by default.
-const defaultHistory = 20
+// defaultHistoryVersions is the number of versions that a history query returns by default.
+const defaultHistoryVersions = 20
 
+// getHistory responds with the newest versions of the configuration.
 func (s *Server) getHistory(c *gin.Context) {
-	most, err := strconv.Atoi(c.DefaultQuery("most", strconv.Itoa(defaultHistory)))
+	most, err := strconv.Atoi(c.DefaultQuery("most", strconv.Itoa(defaultHistoryVersions)))
 	if err != nil {
-		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "most", Msg: "isn't a number"}}})
+		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "most", Msg: "isn't a number"}}})
 		return
 	}
 	list, err := s.Node.History(c, most)
-	reply(c, list, err)
+	writeResult(c, list, err)
 }
 
+// getExplain responds with the routing and the policies that a request would get.
 func (s *Server) getExplain(c *gin.Context) {
 	e, err := s.Node.Explain(config.Match{Host: c.Query("host"), Method: c.DefaultQuery("method", "GET"), Path: c.DefaultQuery("path", "/")})
-	reply(c, e, err)
+	writeResult(c, e, err)
 }
 
+// getChange responds with the version as which a change was accepted, or 0.
 func (s *Server) getChange(c *gin.Context) {
 	v, err := s.Node.Settle(c, c.Param("id"))
-	reply(c, Accepted{Version: v, ChangeID: c.Param("id")}, err)
+	writeResult(c, Accepted{Version: v, ChangeID: c.Param("id")}, err)
 }
 
+// postChange applies a change and responds with its version.
 func (s *Server) postChange(c *gin.Context) {
 	ch, ok := readChange(c)
 	if !ok {
@@ -190,12 +198,13 @@
 	}
 	doc, err := s.Node.Change(c, ch)
 	if err != nil {
-		fail(c, err)
+		writeProblem(c, err)
 		return
 	}
 	c.JSON(http.StatusOK, Accepted{Version: doc.Version, ChangeID: doc.ChangeID})
 }
 
+// postPreview responds with the effects of a change without applying it.
 func (s *Server) postPreview(c *gin.Context) {
 	ch, ok := readChange(c)
 	if !ok {
@@ -203,50 +212,55 @@
 	}
 	diffs, objs, err := s.Node.Preview(c, ch)
 	if err != nil {
-		fail(c, err)
+		writeProblem(c, err)
 		return
 	}
 	out := Previewed{Differences: diffs}
-	for policy, caught := range config.Catches(objs) {
-		out.Matches = append(out.Matches, PolicyMatch{policy, caught})
+	for policy, matched := range config.Catches(objs) {
+		out.Matches = append(out.Matches, PolicyMatch{policy, matched})
 	}
 	c.JSON(http.StatusOK, out)
 }
 
+// readChange decodes a change and sets its author from the certificate; on an error it responds with a problem and
+// returns false.
 func readChange(c *gin.Context) (config.Change, bool) {
 	var ch config.Change
 	if err := c.ShouldBindJSON(&ch); err != nil {
-		fail(c, &config.InvalidError{Faults: []config.FieldError{{Msg: err.Error()}}})
+		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Msg: err.Error()}}})
 		return ch, false
 	}
 	if ch.ID == "" {
-		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "id", Msg: "must be set"}}})
+		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "id", Msg: "must be set"}}})
 		return ch, false
 	}
-	if id, err := identity(c.Request); err == nil {
+	if id, err := operatorIdentity(c.Request); err == nil {
 		ch.Author = id.Name
 	}
 	return ch, true
 }
 
+// postLeave makes the daemon leave and responds with its status.
 func (s *Server) postLeave(c *gin.Context) {
 	s.Node.Leave("an operator's command")
 	c.JSON(http.StatusOK, s.Node.Status())
 }
 
+// postRelease gives the key ranges of a lost VM to other nodes and responds with their number.
 func (s *Server) postRelease(c *gin.Context) {
 	var in ReleaseRequest
 	if err := c.ShouldBindJSON(&in); err != nil || in.VM == "" {
-		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "vm", Msg: "must be set"}}})
+		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "vm", Msg: "must be set"}}})
 		return
 	}
 	count, err := s.Node.ReleaseRanges(c, in.VM)
-	reply(c, Released{count}, err)
+	writeResult(c, Released{count}, err)
 }
 
-func reply(c *gin.Context, v any, err error) {
+// writeResult responds with v in JSON, or with a problem if err is set.
+func writeResult(c *gin.Context, v any, err error) {
 	if err != nil {
-		fail(c, err)
+		writeProblem(c, err)
 		return
 	}
 	c.JSON(http.StatusOK, v)
