--- a/pkg/client/doc.go
+++ b/pkg/client/doc.go
@@ -1,2 +1,2 @@
-// Package client talks to the operators' API of daemons over mutual TLS.
+// Package client sends requests to the operators' API of daemons over mutual TLS.
 package client
