--- a/cmd/rockspoke-lab/main.go
+++ b/cmd/rockspoke-lab/main.go
@@ -1,4 +1,4 @@
-// Command rockspoke-lab runs real daemons among fakes, and measures them.
+// Command rockspoke-lab runs daemons against simulated backend servers and callers, and measures them.
 package main
 
 import (
--- a/cmd/rockspoke-soak/main.go
+++ b/cmd/rockspoke-soak/main.go
@@ -1,4 +1,4 @@
-// Command rockspoke-soak runs real daemons under random faults and checks their promises.
+// Command rockspoke-soak runs daemons under random faults and checks that their guarantees hold.
 package main
 
 import (
--- a/cmd/rockspoked/main.go
+++ b/cmd/rockspoked/main.go
@@ -1,4 +1,4 @@
-// Command rockspoked is the daemon beside each backend server and on each entry VM.
+// Command rockspoked is the daemon that runs beside each backend server and on each entry VM.
 package main
 
 import (
