--- a/pkg/cli/cli_change.go
+++ b/pkg/cli/cli_change.go
@@ -35,13 +35,13 @@
 	if serr == nil && settled.Version > 0 {
 		return settled, nil
 	}
-	return a, &DoubtError{ch.ID, err}
+	return a, &UnknownOutcomeError{ch.ID, err}
 }
 
 func doubtful(id string, err error) error {
 	var p *operator.Problem
 	if errors.As(err, &p) && p.Kind == operator.ProblemUnknown {
-		return &DoubtError{id, err}
+		return &UnknownOutcomeError{id, err}
 	}
 	return err
 }
@@ -66,7 +66,7 @@
 			for _, vm := range r.Silent {
 				fmt.Fprintf(e.stdout, "no answer: %s\n", vm)
 			}
-			return &NotYetError{version, len(r.Behind), len(r.Silent)}
+			return &NotInForceError{version, len(r.Behind), len(r.Silent)}
 		}
 		select {
 		case <-time.After(waitPeriod):
--- a/pkg/cli/cli_exit.go
+++ b/pkg/cli/cli_exit.go
@@ -28,36 +28,36 @@
 
 func usagef(format string, args ...any) error { return &UsageError{fmt.Sprintf(format, args...)} }
 
-// DoubtError reports a change of which it isn't known whether it was accepted.
-type DoubtError struct {
+// UnknownOutcomeError reports a change of which it isn't known whether it was accepted.
+type UnknownOutcomeError struct {
 	ID    string
 	Cause error
 }
 
 // Error names the change.
-func (e *DoubtError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is unknown whether change %s was accepted: %v", e.ID, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *DoubtError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// NotYetError reports a change that is accepted and not in force at every daemon.
-type NotYetError struct {
+// NotInForceError reports a change that is accepted and not in force at every daemon.
+type NotInForceError struct {
 	Version int64
 	Behind  int
 	Silent  int
 }
 
 // Error counts the daemons that lack the version.
-func (e *NotYetError) Error() string {
+func (e *NotInForceError) Error() string {
 	return fmt.Sprintf("version %d is accepted; %d daemons are behind and %d didn't answer", e.Version, e.Behind, e.Silent)
 }
 
 func exitStatus(err error) int {
 	var (
 		usage   *UsageError
-		doubt   *DoubtError
+		doubt   *UnknownOutcomeError
 		gone    *client.UnreachableError
 		problem *operator.Problem
 		invalid *config.InvalidError
@@ -82,11 +82,11 @@
 // hintFor says what to do next.
 func hintFor(err error) string {
 	var (
-		doubt   *DoubtError
+		doubt   *UnknownOutcomeError
 		gone    *client.UnreachableError
 		lost    *client.LostResponseError
 		problem *operator.Problem
-		notYet  *NotYetError
+		notYet  *NotInForceError
 	)
 	switch {
 	case errors.As(err, &doubt):
