--- a/pkg/cli/cases_test.go
+++ b/pkg/cli/cases_test.go
@@ -27,10 +27,10 @@
 
 var update = flag.Bool("update", false, "write what the cases print as what is expected")
 
-// What differs from run to run is put in fixed words.
+// masks replace output that differs between runs by fixed words.
 var masks = []struct {
-	form *regexp.Regexp
-	word string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`), "CHANGE-ID"},
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ`), "TIME"},
@@ -39,15 +39,16 @@
 	{regexp.MustCompile(`127\.2\d\d\.\d+\.\d+`), "ADDRESS"},
 }
 
+// mask replaces the parts of s that differ between runs.
 func mask(s string) string {
 	for _, m := range masks {
-		s = m.form.ReplaceAllString(s, m.word)
+		s = m.pattern.ReplaceAllString(s, m.replacement)
 	}
 	return s
 }
 
-// startDaemon runs one daemon with an operators' listener and the Volta example, and returns the listener's
-// address and the folder of keys.
+// startDaemon runs one daemon with an operators' listener and the configuration of the Volta example. It returns the
+// listener's address and the directory of the key files.
 func startDaemon(t *testing.T) (address, dir string) {
 	t.Helper()
 	c := qt.New(t)
@@ -101,7 +102,8 @@
 	return ip + ":8444", dir
 }
 
-// TestCases runs the commands of testdata/cases in order against one daemon, and compares what they print.
+// TestCases runs the commands of testdata/cases in order against one daemon, and compares their output and exit status
+// with the expected ones.
 func TestCases(t *testing.T) {
 	c := qt.New(t)
 	address, dir := startDaemon(t)
@@ -130,7 +132,7 @@
 	}
 }
 
-// split parts a line at spaces, but for those within double quotes.
+// split splits a line at spaces outside double quotes.
 func split(line string) []string {
 	var out []string
 	for i, part := range strings.Split(line, `"`) {
@@ -143,11 +145,11 @@
 	return out
 }
 
-func TestEveryCommandStandsInCompletion(t *testing.T) {
+func TestCompletionListsEveryCommand(t *testing.T) {
 	c := qt.New(t)
 	var names []string
-	for _, mk := range commands {
-		names = append(names, mk(&env{}).Name)
+	for _, newCommand := range commands {
+		names = append(names, newCommand(&env{}).Name)
 	}
 	c.Assert(commandNames, qt.ContentEquals, names)
 }
--- a/pkg/cli/cli_env.go
+++ b/pkg/cli/cli_env.go
@@ -15,7 +15,7 @@
 	"github.com/rockspoke/rockspoke/pkg/keys"
 )
 
-// env is what the commands share: their streams and common flags.
+// env holds what all commands share: the standard streams and the common flags.
 type env struct {
 	stdin          io.Reader
 	stdout, stderr io.Writer
@@ -25,8 +25,8 @@
 	output  string
 }
 
-// flags makes a flag set with the common flags.
-func (e *env) flags(name string) *flag.FlagSet {
+// newFlagSet returns a flag set with the common flags; errors in parsing are printed to stderr.
+func (e *env) newFlagSet(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(e.stderr)
 	fs.StringVar(&e.daemons, "daemon", e.daemons, "operators' listeners of daemons, IP:PORT, separated by commas")
@@ -37,8 +37,8 @@
 	return fs
 }
 
-// client connects to the daemons of the flags.
-func (e *env) client() (*client.Client, error) {
+// newClient returns a client of the daemons given by the flags; a missing flag is a UsageError.
+func (e *env) newClient() (*client.Client, error) {
 	if e.daemons == "" {
 		return nil, usagef("--daemon must name a daemon; see rockspoke --help")
 	}
@@ -52,8 +52,8 @@
 	return client.New(strings.Split(e.daemons, ","), k), nil
 }
 
-// print writes v as the output flag says; table writes the table form.
-func (e *env) print(v any, table func(w io.Writer)) error {
+// printResult writes v to stdout in the format of --output; table writes v as a table.
+func (e *env) printResult(v any, table func(w io.Writer)) error {
 	switch e.output {
 	case "json":
 		enc := json.NewEncoder(e.stdout)
@@ -70,7 +70,7 @@
 	}
 }
 
-// printYAML goes by way of JSON, so that both forms have the same names.
+// printYAML writes v as YAML. It encodes v as JSON first, so that both formats have the same field names.
 func (e *env) printYAML(v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -88,7 +88,8 @@
 	return enc.Close()
 }
 
-func row(w io.Writer, cells ...any) {
+// writeRow writes the cells as one line, separated by tabs.
+func writeRow(w io.Writer, cells ...any) {
 	parts := make([]string, len(cells))
 	for i, c := range cells {
 		parts[i] = fmt.Sprint(c)
@@ -96,7 +97,7 @@
 	fmt.Fprintln(w, strings.Join(parts, "\t"))
 }
 
-// labelText writes labels as the usual list.
+// labelText returns labels as KEY=VALUE pairs, sorted by key and separated by commas, or "-" if there are none.
 func labelText(labels map[string]string) string {
 	if len(labels) == 0 {
 		return "-"
--- a/pkg/cli/cli_exit.go
+++ b/pkg/cli/cli_exit.go
@@ -13,28 +13,29 @@
 // The exit statuses of rockspoke.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // refused or failed; nothing was changed
-	ExitUsage       = 2 // wrong use
+	ExitFailed      = 1 // rejected or failed; nothing was changed
+	ExitUsage       = 2 // invalid flags, arguments or files
 	ExitRace        = 3 // another operator's change came first; nothing was changed
 	ExitUnknown     = 4 // it isn't known whether the change was accepted
 	ExitUnreachable = 5 // no daemon could be reached
 )
 
-// UsageError reports a command used wrongly.
+// UsageError reports invalid flags, arguments or files of a command.
 type UsageError struct{ Msg string }
 
-// Error says what is wrong.
+// Error returns the message.
 func (e *UsageError) Error() string { return e.Msg }
 
+// usagef returns a UsageError with a formatted message.
 func usagef(format string, args ...any) error { return &UsageError{fmt.Sprintf(format, args...)} }
 
-// UnknownOutcomeError reports a change of which it isn't known whether it was accepted.
+// UnknownOutcomeError reports a change that may or may not have been accepted.
 type UnknownOutcomeError struct {
 	ID    string
 	Cause error
 }
 
-// Error names the change.
+// Error returns the change's id and the cause.
 func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is unknown whether change %s was accepted: %v", e.ID, e.Cause)
 }
@@ -42,35 +43,36 @@
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// NotInForceError reports a change that is accepted and not in force at every daemon.
+// NotInForceError reports a change that was accepted but isn't in force at every daemon yet.
 type NotInForceError struct {
 	Version int64
 	Behind  int
 	Silent  int
 }
 
-// Error counts the daemons that lack the version.
+// Error returns the version and the numbers of daemons that are behind or unresponsive.
 func (e *NotInForceError) Error() string {
 	return fmt.Sprintf("version %d is accepted; %d daemons are behind and %d didn't answer", e.Version, e.Behind, e.Silent)
 }
 
+// exitStatus returns the exit status for the error of a command.
 func exitStatus(err error) int {
 	var (
-		usage   *UsageError
-		doubt   *UnknownOutcomeError
-		gone    *client.UnreachableError
-		problem *operator.Problem
-		invalid *config.InvalidError
-		file    *keys.FileError
+		usage       *UsageError
+		unknown     *UnknownOutcomeError
+		unreachable *client.UnreachableError
+		problem     *operator.Problem
+		invalid     *config.InvalidError
+		file        *keys.FileError
 	)
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &doubt):
+	case errors.As(err, &unknown):
 		return ExitUnknown
 	case errors.As(err, &usage), errors.As(err, &invalid), errors.As(err, &file):
 		return ExitUsage
-	case errors.As(err, &gone):
+	case errors.As(err, &unreachable):
 		return ExitUnreachable
 	case errors.As(err, &problem) && problem.Kind == operator.ProblemRace:
 		return ExitRace
@@ -79,21 +81,21 @@
 	}
 }
 
-// hintFor says what to do next.
+// hintFor returns what the operator can do about err, or "".
 func hintFor(err error) string {
 	var (
-		doubt   *UnknownOutcomeError
-		gone    *client.UnreachableError
-		lost    *client.LostResponseError
-		problem *operator.Problem
-		notYet  *NotInForceError
+		unknown     *UnknownOutcomeError
+		unreachable *client.UnreachableError
+		lost        *client.LostResponseError
+		problem     *operator.Problem
+		notYet      *NotInForceError
 	)
 	switch {
-	case errors.As(err, &doubt):
-		return "Ask again later with: rockspoke history --change " + doubt.ID
+	case errors.As(err, &unknown):
+		return "Ask again later with: rockspoke history --change " + unknown.ID
 	case errors.As(err, &notYet):
 		return "See which with: rockspoke status --all"
-	case errors.As(err, &gone):
+	case errors.As(err, &unreachable):
 		return "Name other daemons with --daemon IP:PORT[,IP:PORT...]."
 	case errors.As(err, &lost):
 		return "Nothing was changed by this query; ask again."
@@ -103,6 +105,7 @@
 	return ""
 }
 
+// hintForProblem returns what the operator can do about a problem that a daemon reported, or "".
 func hintForProblem(p *operator.Problem) string {
 	switch p.Kind {
 	case operator.ProblemRace:
--- a/pkg/cli/cli_main.go
+++ b/pkg/cli/cli_main.go
@@ -11,7 +11,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// commands is the table of all commands: those that change something first, then queries.
+// commands lists the constructors of all commands: those that change something first, then queries.
 var commands = []func(*env) *ffcli.Command{
 	applyCommand, labelCommand, leaveCommand, keyRangeCommand,
 	getCommand, statusCommand, historyCommand, diffCommand, explainCommand, dumpCommand, topCommand, traceCommand, heldBackCommand,
@@ -35,10 +35,10 @@
   rockspoke get service
   rockspoke label vm -l dc=old rockspoke/leaving=true --wait`
 
-// Main runs rockspoke with the arguments and returns its exit status.
+// Main runs rockspoke with the command-line arguments args and returns its exit status.
 func Main(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	e := &env{stdin: stdin, stdout: stdout, stderr: stderr}
-	fs := e.flags("rockspoke")
+	fs := e.newFlagSet("rockspoke")
 	root := &ffcli.Command{
 		Name: "rockspoke", ShortUsage: "rockspoke <command> [flags] [arguments]", LongHelp: rootHelp, FlagSet: fs,
 		Options: []ff.Option{ff.WithEnvVarPrefix("ROCKSPOKE")},
@@ -49,8 +49,8 @@
 			return flag.ErrHelp
 		},
 	}
-	for _, mk := range commands {
-		root.Subcommands = append(root.Subcommands, flagsAnywhere(mk(e)))
+	for _, newCommand := range commands {
+		root.Subcommands = append(root.Subcommands, flagsAnywhere(newCommand(e)))
 	}
 	if err := root.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -71,19 +71,19 @@
 	return exitStatus(err)
 }
 
-// flagsAnywhere lets a command's flags stand after its arguments too.
+// flagsAnywhere makes c accept flags after its arguments too, and returns c.
 func flagsAnywhere(c *ffcli.Command) *ffcli.Command {
 	exec := c.Exec
 	c.Exec = func(ctx context.Context, args []string) error {
-		var plain []string
+		var positional []string
 		for len(args) > 0 {
-			plain = append(plain, args[0])
+			positional = append(positional, args[0])
 			if err := c.FlagSet.Parse(args[1:]); err != nil {
 				return &UsageError{err.Error()}
 			}
 			args = c.FlagSet.Args()
 		}
-		return exec(ctx, plain)
+		return exec(ctx, positional)
 	}
 	return c
 }
--- a/pkg/cli/command_key_range.go
+++ b/pkg/cli/command_key_range.go
@@ -17,22 +17,25 @@
 Example:
   rockspoke key-range release hire-ledger-2 --daemon 127.0.0.1:8444`
 
-type keyRangeWork struct{ env *env }
+// keyRangeRunner holds what the key-range command needs to run.
+type keyRangeRunner struct{ env *env }
 
+// keyRangeCommand returns the key-range command.
 func keyRangeCommand(e *env) *ffcli.Command {
-	w := &keyRangeWork{env: e}
+	w := &keyRangeRunner{env: e}
 	return &ffcli.Command{
 		Name: "key-range", ShortUsage: "rockspoke key-range [flags] release VM",
 		ShortHelp: "give a lost VM's key ranges to others", LongHelp: keyRangeHelp,
-		FlagSet: e.flags("rockspoke key-range"), Exec: w.run,
+		FlagSet: e.newFlagSet("rockspoke key-range"), Exec: w.run,
 	}
 }
 
-func (w *keyRangeWork) run(ctx context.Context, args []string) error {
+// run releases the key ranges of a VM and prints how many there were.
+func (w *keyRangeRunner) run(ctx context.Context, args []string) error {
 	if len(args) != 2 || args[0] != "release" {
 		return usagef("key-range needs: release VM")
 	}
-	c, err := w.env.client()
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -40,5 +43,5 @@
 	if err != nil {
 		return err
 	}
-	return w.env.print(r, func(t io.Writer) { fmt.Fprintf(t, "%d key ranges have new owners\n", r.Ranges) })
+	return w.env.printResult(r, func(t io.Writer) { fmt.Fprintf(t, "%d key ranges have new owners\n", r.Ranges) })
 }
--- a/pkg/cli/command_label.go
+++ b/pkg/cli/command_label.go
@@ -19,15 +19,17 @@
   rockspoke label vm -l dc=old,service=hire-ledger rockspoke/leaving=true --wait
   rockspoke label policy to-ledger stage-`
 
-type labelWork struct {
+// labelRunner holds the flags of the label command.
+type labelRunner struct {
 	env      *env
 	selector string
 	flags    changeFlags
 }
 
+// labelCommand returns the label command.
 func labelCommand(e *env) *ffcli.Command {
-	w := &labelWork{env: e}
-	fs := e.flags("rockspoke label")
+	w := &labelRunner{env: e}
+	fs := e.newFlagSet("rockspoke label")
 	fs.StringVar(&w.selector, "l", "", "selector of the objects to label, instead of a name")
 	w.flags.register(fs)
 	return &ffcli.Command{
@@ -36,12 +38,13 @@
 	}
 }
 
-func (w *labelWork) run(ctx context.Context, args []string) error {
-	edit, err := w.parse(args)
+// run edits the labels in a change made for the version in force.
+func (w *labelRunner) run(ctx context.Context, args []string) error {
+	edit, err := w.parseEdit(args)
 	if err != nil {
 		return err
 	}
-	c, err := w.env.client()
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -49,16 +52,16 @@
 	if err != nil {
 		return err
 	}
-	return w.flags.make(ctx, w.env, c, config.Change{Base: doc.Version, Label: &edit})
+	return w.flags.submit(ctx, w.env, c, config.Change{Base: doc.Version, Label: &edit})
 }
 
-// parse reads the arguments.
-func (w *labelWork) parse(args []string) (config.LabelEdit, error) {
+// parseEdit returns the label edit that the arguments describe, or a UsageError.
+func (w *labelRunner) parseEdit(args []string) (config.LabelEdit, error) {
 	edit := config.LabelEdit{Selector: w.selector, Set: map[string]string{}}
 	if len(args) == 0 {
 		return edit, usagef("label needs a kind: service, route, class, policy or vm")
 	}
-	kind, err := kindOf(args[0])
+	kind, err := parseKind(args[0])
 	if err != nil {
 		return edit, err
 	}
@@ -87,7 +90,8 @@
 	return edit, nil
 }
 
-func kindOf(s string) (config.Kind, error) {
+// parseKind returns the kind for a singular or plural name in any case, or a UsageError.
+func parseKind(s string) (config.Kind, error) {
 	i := slices.IndexFunc(config.Kinds, func(k config.Kind) bool {
 		return strings.EqualFold(string(k), strings.TrimSuffix(s, "s")) || strings.EqualFold(string(k), s)
 	})
--- a/pkg/cli/command_leave.go
+++ b/pkg/cli/command_leave.go
@@ -15,19 +15,22 @@
 Example:
   rockspoke leave --daemon 127.0.0.1:8444`
 
-type leaveWork struct{ env *env }
+// leaveRunner holds what the leave command needs to run.
+type leaveRunner struct{ env *env }
 
+// leaveCommand returns the leave command.
 func leaveCommand(e *env) *ffcli.Command {
-	w := &leaveWork{env: e}
+	w := &leaveRunner{env: e}
 	return &ffcli.Command{
 		Name: "leave", ShortUsage: "rockspoke leave --daemon IP:PORT",
 		ShortHelp: "let one daemon and its backend server leave", LongHelp: leaveHelp,
-		FlagSet: e.flags("rockspoke leave"), Exec: w.run,
+		FlagSet: e.newFlagSet("rockspoke leave"), Exec: w.run,
 	}
 }
 
-func (w *leaveWork) run(ctx context.Context, _ []string) error {
-	c, err := w.env.client()
+// run makes the one daemon leave and prints its status.
+func (w *leaveRunner) run(ctx context.Context, _ []string) error {
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -38,5 +41,5 @@
 	if err != nil {
 		return err
 	}
-	return w.env.print(s, func(t io.Writer) { statusTable(t, s) })
+	return w.env.printResult(s, func(t io.Writer) { statusTable(t, s) })
 }
--- a/pkg/cli/object_text.go
+++ b/pkg/cli/object_text.go
@@ -7,7 +7,7 @@
 	"github.com/rockspoke/rockspoke/pkg/config"
 )
 
-// specText sums up an object's spec in one cell.
+// specText returns a one-line summary of an object's spec for a table cell.
 func specText(o config.Object) string {
 	switch {
 	case o.Service != nil:
@@ -23,6 +23,7 @@
 	}
 }
 
+// classText returns a one-line summary of a class.
 func classText(c config.ClassSpec) string {
 	s := fmt.Sprintf("tier %d", c.Tier)
 	if c.OnceOnly {
@@ -40,6 +41,7 @@
 	return s
 }
 
+// policyText returns a one-line summary of a policy.
 func policyText(p config.PolicySpec) string {
 	s := "selects " + p.Selector
 	if p.Retries != nil {
--- a/pkg/cli/query_completion.go
+++ b/pkg/cli/query_completion.go
@@ -26,10 +26,11 @@
 complete -F _rockspoke rockspoke
 `
 
+// completionCommand returns the completion command.
 func completionCommand(e *env) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "completion", ShortUsage: "rockspoke completion", ShortHelp: "write a completion script for bash",
-		LongHelp: completionHelp, FlagSet: e.flags("rockspoke completion"),
+		LongHelp: completionHelp, FlagSet: e.newFlagSet("rockspoke completion"),
 		Exec: func(context.Context, []string) error {
 			_, err := fmt.Fprintf(e.stdout, completionScript, strings.Join(commandNames, " "))
 			return err
@@ -37,7 +38,7 @@
 	}
 }
 
-// commandNames are the words that completion offers first.
+// commandNames are the command names, which completion offers for the first word.
 var commandNames = []string{
 	"apply", "label", "leave", "key-range",
 	"get", "status", "history", "diff", "explain", "dump", "top", "trace", "held-back", "completion",
--- a/pkg/cli/query_diff.go
+++ b/pkg/cli/query_diff.go
@@ -17,14 +17,16 @@
   rockspoke diff
   rockspoke diff --from 3 --to 7`
 
-type diffWork struct {
+// diffRunner holds the flags of the diff command.
+type diffRunner struct {
 	env      *env
 	from, to int64
 }
 
+// diffCommand returns the diff command.
 func diffCommand(e *env) *ffcli.Command {
-	w := &diffWork{env: e}
-	fs := e.flags("rockspoke diff")
+	w := &diffRunner{env: e}
+	fs := e.newFlagSet("rockspoke diff")
 	fs.Int64Var(&w.from, "from", -1, "older version; -1 is the one before --to")
 	fs.Int64Var(&w.to, "to", -1, "newer version; -1 is the one in force")
 	return &ffcli.Command{
@@ -33,8 +35,9 @@
 	}
 }
 
-func (w *diffWork) run(ctx context.Context, _ []string) error {
-	c, err := w.env.client()
+// run prints the differences between two versions.
+func (w *diffRunner) run(ctx context.Context, _ []string) error {
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -57,17 +60,17 @@
 		return err
 	}
 	diffs := config.Diff(before.Objects, after.Objects)
-	return w.env.print(diffs, func(t io.Writer) {
+	return w.env.printResult(diffs, func(t io.Writer) {
 		if len(diffs) == 0 {
 			fmt.Fprintf(t, "versions %d and %d are the same\n", w.from, w.to)
 		}
 		for _, d := range diffs {
-			row(t, differenceWord(d), d.ID)
+			writeRow(t, differenceLabel(d), d.ID)
 			if d.Before != nil {
-				row(t, "  before", labelText(d.Before.Labels), specText(*d.Before))
+				writeRow(t, "  before", labelText(d.Before.Labels), specText(*d.Before))
 			}
 			if d.After != nil {
-				row(t, "  after", labelText(d.After.Labels), specText(*d.After))
+				writeRow(t, "  after", labelText(d.After.Labels), specText(*d.After))
 			}
 		}
 	})
--- a/pkg/cli/query_dump.go
+++ b/pkg/cli/query_dump.go
@@ -15,18 +15,21 @@
 Example:
   rockspoke dump --daemon 127.0.0.1:8444 --output json`
 
-type dumpWork struct{ env *env }
+// dumpRunner holds what the dump command needs to run.
+type dumpRunner struct{ env *env }
 
+// dumpCommand returns the dump command.
 func dumpCommand(e *env) *ffcli.Command {
-	w := &dumpWork{env: e}
+	w := &dumpRunner{env: e}
 	return &ffcli.Command{
 		Name: "dump", ShortUsage: "rockspoke dump [--output json]", ShortHelp: "show the state of one daemon",
-		LongHelp: dumpHelp, FlagSet: e.flags("rockspoke dump"), Exec: w.run,
+		LongHelp: dumpHelp, FlagSet: e.newFlagSet("rockspoke dump"), Exec: w.run,
 	}
 }
 
-func (w *dumpWork) run(ctx context.Context, _ []string) error {
-	c, err := w.env.client()
+// run prints the daemon's state.
+func (w *dumpRunner) run(ctx context.Context, _ []string) error {
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -34,19 +37,21 @@
 	if err != nil {
 		return err
 	}
-	return w.env.print(d, func(t io.Writer) { dumpTable(t, d) })
+	return w.env.printResult(d, func(t io.Writer) { dumpTable(t, d) })
 }
 
+// dumpTable writes the daemon's status, counts of its keys, calls and peer connections, and the servers it calls.
 func dumpTable(t io.Writer, d node.Dump) {
 	statusTable(t, d.Status)
-	row(t, "keys remembered", d.Keys.Recent, "and", d.Keys.Expired, "past their window")
-	row(t, "calls in progress", len(d.Calls))
-	row(t, "peer connections", d.PeerConns)
+	writeRow(t, "keys remembered", d.Keys.Recent, "and", d.Keys.Expired, "past their window")
+	writeRow(t, "calls in progress", len(d.Calls))
+	writeRow(t, "peer connections", d.PeerConns)
 	serversTable(t, d)
 }
 
+// serversTable writes one row for each backend server that the daemon calls; LOAD is in percent.
 func serversTable(t io.Writer, d node.Dump) {
-	row(t, "SERVER", "ZONE", "RUNNING", "LOAD", "LEVEL", "STATE")
+	writeRow(t, "SERVER", "ZONE", "RUNNING", "LOAD", "LEVEL", "STATE")
 	for _, s := range d.Servers {
 		state := "well"
 		switch {
@@ -55,6 +60,6 @@
 		case s.Aside:
 			state = "set aside"
 		}
-		row(t, s.VM, s.Zone, s.Running, int(100*s.Load), s.Level, state)
+		writeRow(t, s.VM, s.Zone, s.Running, int(100*s.Load), s.Level, state)
 	}
 }
--- a/pkg/cli/query_explain.go
+++ b/pkg/cli/query_explain.go
@@ -18,14 +18,16 @@
   rockspoke explain POST /invoices
   rockspoke explain --host fleet.example GET /positions/17`
 
-type explainWork struct {
+// explainRunner holds the flags of the explain command.
+type explainRunner struct {
 	env  *env
 	host string
 }
 
+// explainCommand returns the explain command.
 func explainCommand(e *env) *ffcli.Command {
-	w := &explainWork{env: e}
-	fs := e.flags("rockspoke explain")
+	w := &explainRunner{env: e}
+	fs := e.newFlagSet("rockspoke explain")
 	fs.StringVar(&w.host, "host", "", "host of the request")
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "rockspoke explain [--host HOST] METHOD PATH",
@@ -33,11 +35,12 @@
 	}
 }
 
-func (w *explainWork) run(ctx context.Context, args []string) error {
+// run prints the routing and the policies that a request would get.
+func (w *explainRunner) run(ctx context.Context, args []string) error {
 	if len(args) != 2 || !strings.HasPrefix(args[1], "/") {
 		return usagef("explain needs a method and a path, as in: explain POST /invoices")
 	}
-	c, err := w.env.client()
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -45,19 +48,19 @@
 	if err != nil {
 		return err
 	}
-	return w.env.print(x, func(t io.Writer) {
-		row(t, "route", orDash(x.Route))
-		row(t, "service", x.Service)
-		row(t, "class", orDash(x.Class))
-		row(t, "tier", x.Tier)
-		row(t, "once only", x.OnceOnly)
-		row(t, "time-out", x.Timeout)
-		row(t, "retries", x.Retries)
+	return w.env.printResult(x, func(t io.Writer) {
+		writeRow(t, "route", orDash(x.Route))
+		writeRow(t, "service", x.Service)
+		writeRow(t, "class", orDash(x.Class))
+		writeRow(t, "tier", x.Tier)
+		writeRow(t, "once only", x.OnceOnly)
+		writeRow(t, "time-out", x.Timeout)
+		writeRow(t, "retries", x.Retries)
 		for _, v := range x.Targets {
-			row(t, "target", fmt.Sprintf("weight %d, %q: %s", v.Weight, v.Selector, orDash(strings.Join(v.VMs, " "))))
+			writeRow(t, "target", fmt.Sprintf("weight %d, %q: %s", v.Weight, v.Selector, orDash(strings.Join(v.VMs, " "))))
 		}
 		for _, why := range x.Why {
-			row(t, "why", why)
+			writeRow(t, "why", why)
 		}
 	})
 }
--- a/pkg/cli/query_get.go
+++ b/pkg/cli/query_get.go
@@ -18,29 +18,32 @@
   rockspoke get policy move-ledger --output yaml
   rockspoke get all`
 
-type getWork struct{ env *env }
+// getRunner holds what the get command needs to run.
+type getRunner struct{ env *env }
 
+// getCommand returns the get command.
 func getCommand(e *env) *ffcli.Command {
-	w := &getWork{env: e}
+	w := &getRunner{env: e}
 	return &ffcli.Command{
 		Name: "get", ShortUsage: "rockspoke get [flags] KIND|all [NAME]", ShortHelp: "show objects",
-		LongHelp: getHelp, FlagSet: e.flags("rockspoke get"), Exec: w.run,
+		LongHelp: getHelp, FlagSet: e.newFlagSet("rockspoke get"), Exec: w.run,
 	}
 }
 
-func (w *getWork) run(ctx context.Context, args []string) error {
+// run prints the objects of a kind, or one of them.
+func (w *getRunner) run(ctx context.Context, args []string) error {
 	if len(args) == 0 || len(args) > 2 {
 		return usagef("get needs a kind: service, route, class, policy, vm or all")
 	}
 	kind := config.Kind("")
 	if args[0] != "all" {
-		k, err := kindOf(args[0])
+		k, err := parseKind(args[0])
 		if err != nil {
 			return err
 		}
 		kind = k
 	}
-	c, err := w.env.client()
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -60,15 +63,15 @@
 	if w.env.output == "yaml" {
 		return w.env.printObjects(list)
 	}
-	return w.env.print(list, func(t io.Writer) {
-		row(t, "KIND", "NAME", "LABELS", "SPEC")
+	return w.env.printResult(list, func(t io.Writer) {
+		writeRow(t, "KIND", "NAME", "LABELS", "SPEC")
 		for _, o := range list {
-			row(t, o.Kind, o.Name, labelText(o.Labels), specText(o))
+			writeRow(t, o.Kind, o.Name, labelText(o.Labels), specText(o))
 		}
 	})
 }
 
-// printObjects writes objects as a file that apply takes.
+// printObjects writes objects as YAML that apply accepts.
 func (e *env) printObjects(list []config.Object) error {
 	text, err := config.Format(list)
 	if err != nil {
--- a/pkg/cli/query_held_back.go
+++ b/pkg/cli/query_held_back.go
@@ -26,20 +26,22 @@
   rockspoke held-back --node 10.1.0.8:9464
   rockspoke held-back --node 10.1.0.8:9464 --lift 680674fc7cfe4b36`
 
-// nodeTime bounds a call of a node's metrics listener.
-const nodeTime = 5 * time.Second
+// nodeRequestTimeout limits one request to a node's metrics listener.
+const nodeRequestTimeout = 5 * time.Second
 
-// maxNodeAnswer bounds its answer in bytes.
-const maxNodeAnswer = 4 << 20
+// maxNodeResponseBytes limits how much of the node's response is read.
+const maxNodeResponseBytes = 4 << 20
 
-type heldBackWork struct {
+// heldBackRunner holds the flags of the held-back command.
+type heldBackRunner struct {
 	env        *env
 	node, lift string
 }
 
+// heldBackCommand returns the held-back command.
 func heldBackCommand(e *env) *ffcli.Command {
-	w := &heldBackWork{env: e}
-	fs := e.flags("rockspoke held-back")
+	w := &heldBackRunner{env: e}
+	fs := e.newFlagSet("rockspoke held-back")
 	fs.StringVar(&w.node, "node", "", "metrics listener of a node, IP:PORT")
 	fs.StringVar(&w.lift, "lift", "", "id of an attempt, or fingerprint, of the request that may go anywhere again")
 	return &ffcli.Command{
@@ -48,7 +50,8 @@
 	}
 }
 
-func (w *heldBackWork) run(ctx context.Context, _ []string) error {
+// run lists the quarantined requests of a node, or lifts the quarantine of one.
+func (w *heldBackRunner) run(ctx context.Context, _ []string) error {
 	if w.node == "" {
 		return usagef("--node must name a node's metrics listener; see rockspoke held-back --help")
 	}
@@ -56,7 +59,7 @@
 	if w.lift != "" {
 		method = http.MethodDelete
 	}
-	list, err := w.call(ctx, method)
+	list, err := w.request(ctx, method)
 	if err != nil {
 		return err
 	}
@@ -64,12 +67,12 @@
 		fmt.Fprintln(w.env.stdout, "lifted", w.lift)
 		return nil
 	}
-	return w.env.print(list, func(t io.Writer) { suspectsTable(t, list) })
+	return w.env.printResult(list, func(t io.Writer) { suspectsTable(t, list) })
 }
 
-// call asks the node.
-func (w *heldBackWork) call(ctx context.Context, method string) ([]mesh.Suspect, error) {
-	ctx, cancel := context.WithTimeout(ctx, nodeTime)
+// request sends a request with the method to the node and returns the suspect requests that it lists.
+func (w *heldBackRunner) request(ctx context.Context, method string) ([]mesh.Suspect, error) {
+	ctx, cancel := context.WithTimeout(ctx, nodeRequestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.node+mesh.QuarantinePath+url.PathEscape(w.lift), nil)
 	if err != nil {
@@ -80,7 +83,7 @@
 		return nil, err
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxNodeAnswer))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxNodeResponseBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -91,13 +94,14 @@
 	return list, json.Unmarshal(data, &list)
 }
 
+// suspectsTable writes one row for each suspect request.
 func suspectsTable(t io.Writer, list []mesh.Suspect) {
-	row(t, "REQUEST", "SERVICE", "ROUTE", "TREATMENT", "FOR", "SOUND", "ENDED", "FINGERPRINT")
+	writeRow(t, "REQUEST", "SERVICE", "ROUTE", "TREATMENT", "FOR", "SOUND", "ENDED", "FINGERPRINT")
 	for _, s := range list {
-		ended := make([]string, 0, len(s.Crashed))
+		crashed := make([]string, 0, len(s.Crashed))
 		for _, l := range s.Crashed {
-			ended = append(ended, l.Host+" "+l.Instance)
+			crashed = append(crashed, l.Host+" "+l.Instance)
 		}
-		row(t, s.Request, s.Service, s.Route, s.Treatment, s.TimeLeft.Round(time.Second), s.RecentlySuccessful, strings.Join(ended, ", "), s.Fingerprint)
+		writeRow(t, s.Request, s.Service, s.Route, s.Treatment, s.TimeLeft.Round(time.Second), s.RecentlySuccessful, strings.Join(crashed, ", "), s.Fingerprint)
 	}
 }
--- a/pkg/cli/query_status.go
+++ b/pkg/cli/query_status.go
@@ -17,14 +17,16 @@
   rockspoke status
   rockspoke status --all`
 
-type statusWork struct {
+// statusRunner holds the flags of the status command.
+type statusRunner struct {
 	env *env
 	all bool
 }
 
+// statusCommand returns the status command.
 func statusCommand(e *env) *ffcli.Command {
-	w := &statusWork{env: e}
-	fs := e.flags("rockspoke status")
+	w := &statusRunner{env: e}
+	fs := e.newFlagSet("rockspoke status")
 	fs.BoolVar(&w.all, "all", false, "ask every daemon which version it has in force")
 	return &ffcli.Command{
 		Name: "status", ShortUsage: "rockspoke status [--all]", ShortHelp: "show daemons in short",
@@ -32,8 +34,9 @@
 	}
 }
 
-func (w *statusWork) run(ctx context.Context, _ []string) error {
-	c, err := w.env.client()
+// run prints the status of one daemon, or with --all the versions of all daemons.
+func (w *statusRunner) run(ctx context.Context, _ []string) error {
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -42,28 +45,30 @@
 		return err
 	}
 	if !w.all {
-		return w.env.print(s, func(t io.Writer) { statusTable(t, s) })
+		return w.env.printResult(s, func(t io.Writer) { statusTable(t, s) })
 	}
 	r, err := c.Versions(ctx, s.Version)
 	if err != nil {
 		return err
 	}
-	return w.env.print(r, func(t io.Writer) { versionsTable(t, r) })
+	return w.env.printResult(r, func(t io.Writer) { versionsTable(t, r) })
 }
 
+// statusTable writes the status as one row for each field.
 func statusTable(t io.Writer, s node.Status) {
-	row(t, "VM", s.VM)
-	row(t, "zone", s.Zone)
-	row(t, "service", orDash(s.Service))
-	row(t, "version", s.Version)
-	row(t, "leaving", s.Leaving)
-	row(t, "calls", fmt.Sprintf("%d running of %d, %d queued", s.Gate.Running, s.Gate.Limit, s.Gate.Queued))
-	row(t, "admission level", s.Gate.Level)
-	row(t, "key ranges", s.KeyRanges)
-	row(t, "VMs known", s.VMs)
-	row(t, "incarnation", s.Incarnation)
+	writeRow(t, "VM", s.VM)
+	writeRow(t, "zone", s.Zone)
+	writeRow(t, "service", orDash(s.Service))
+	writeRow(t, "version", s.Version)
+	writeRow(t, "leaving", s.Leaving)
+	writeRow(t, "calls", fmt.Sprintf("%d running of %d, %d queued", s.Gate.Running, s.Gate.Limit, s.Gate.Queued))
+	writeRow(t, "admission level", s.Gate.Level)
+	writeRow(t, "key ranges", s.KeyRanges)
+	writeRow(t, "VMs known", s.VMs)
+	writeRow(t, "incarnation", s.Incarnation)
 }
 
+// orDash returns s, or "-" if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -71,17 +76,18 @@
 	return s
 }
 
+// versionsTable writes one row for each daemon: in force, behind or unresponsive.
 func versionsTable(t io.Writer, r node.VersionReport) {
 	slices.Sort(r.InForce)
 	slices.Sort(r.Silent)
-	row(t, "VM", fmt.Sprintf("VERSION %d", r.Version))
+	writeRow(t, "VM", fmt.Sprintf("VERSION %d", r.Version))
 	for _, vm := range r.InForce {
-		row(t, vm, "in force")
+		writeRow(t, vm, "in force")
 	}
 	for vm, v := range r.Behind {
-		row(t, vm, fmt.Sprintf("behind, has %d", v))
+		writeRow(t, vm, fmt.Sprintf("behind, has %d", v))
 	}
 	for _, vm := range r.Silent {
-		row(t, vm, "no answer")
+		writeRow(t, vm, "no answer")
 	}
 }
--- a/pkg/cli/query_top.go
+++ b/pkg/cli/query_top.go
@@ -16,15 +16,17 @@
 Example:
   rockspoke top --every 2s --times 10`
 
-type topWork struct {
+// topRunner holds the flags of the top command.
+type topRunner struct {
 	env   *env
 	every time.Duration
 	times int
 }
 
+// topCommand returns the top command.
 func topCommand(e *env) *ffcli.Command {
-	w := &topWork{env: e}
-	fs := e.flags("rockspoke top")
+	w := &topRunner{env: e}
+	fs := e.newFlagSet("rockspoke top")
 	fs.DurationVar(&w.every, "every", time.Second, "time between looks")
 	fs.IntVar(&w.times, "times", 0, "number of looks; 0 goes on until interrupted")
 	return &ffcli.Command{
@@ -33,11 +35,12 @@
 	}
 }
 
-func (w *topWork) run(ctx context.Context, _ []string) error {
+// run prints the daemon's state every w.every until w.times is reached or ctx is done.
+func (w *topRunner) run(ctx context.Context, _ []string) error {
 	if w.every < 100*time.Millisecond {
 		return usagef("--every must be at least 100ms")
 	}
-	c, err := w.env.client()
+	c, err := w.env.newClient()
 	if err != nil {
 		return err
 	}
@@ -46,7 +49,7 @@
 		if err != nil {
 			return err
 		}
-		if err := w.env.print(d, func(t io.Writer) { topTable(t, d) }); err != nil {
+		if err := w.env.printResult(d, func(t io.Writer) { topTable(t, d) }); err != nil {
 			return err
 		}
 		select {
@@ -58,6 +61,7 @@
 	return nil
 }
 
+// topTable writes a summary line and the servers that the daemon calls.
 func topTable(t io.Writer, d node.Dump) {
 	s := d.Status
 	fmt.Fprintf(t, "%s %s: %d running of %d, %d queued, level %v, %d calls in progress\n",
--- a/pkg/cli/query_trace.go
+++ b/pkg/cli/query_trace.go
@@ -22,18 +22,19 @@
   rockspoke trace 9c41d07be2a35f68 node-1.log node-2.log
   rockspoke trace --why node-*.log`
 
-// traceTime is a line's time of day to the millisecond.
-const traceTime = "15:04:05.000"
+// traceTimeFormat shows the time of day in milliseconds.
+const traceTimeFormat = "15:04:05.000"
 
-// traceWork is one run of the command.
-type traceWork struct {
+// traceRunner holds the flags of the trace command.
+type traceRunner struct {
 	env *env
 	why bool
 }
 
+// traceCommand returns the trace command.
 func traceCommand(e *env) *ffcli.Command {
-	w := &traceWork{env: e}
-	fs := e.flags("rockspoke trace")
+	w := &traceRunner{env: e}
+	fs := e.newFlagSet("rockspoke trace")
 	fs.BoolVar(&w.why, "why", false, "group requests that weren't served by cause")
 	return &ffcli.Command{
 		Name: "trace", ShortUsage: "rockspoke trace ID FILE... | rockspoke trace --why FILE...", ShortHelp: "tell a request's story from logs",
@@ -41,8 +42,9 @@
 	}
 }
 
-func (w *traceWork) run(_ context.Context, args []string) error {
-	id, files, err := w.parse(args)
+// run prints the timeline of a request, or with --why the causes of requests that weren't served.
+func (w *traceRunner) run(_ context.Context, args []string) error {
+	id, files, err := w.parseArgs(args)
 	if err != nil {
 		return err
 	}
@@ -50,15 +52,15 @@
 	if err != nil {
 		return err
 	}
-	w.tellSkipped(skipped)
+	w.reportSkipped(skipped)
 	if w.why {
 		return w.printCauses(trace.Causes(lines))
 	}
-	return w.printStory(id, trace.Timeline(lines, id))
+	return w.printTimeline(id, trace.Timeline(lines, id))
 }
 
-// parse returns the request, which --why has none of, and the files.
-func (w *traceWork) parse(args []string) (id string, files []string, err error) {
+// parseArgs returns the request id, which is empty with --why, and the names of the log files.
+func (w *traceRunner) parseArgs(args []string) (id string, files []string, err error) {
 	if w.why {
 		if len(args) == 0 {
 			return "", nil, usagef("trace --why needs at least one file")
@@ -71,7 +73,8 @@
 	return args[0], args[1:], nil
 }
 
-func (w *traceWork) tellSkipped(skipped []trace.Skipped) {
+// reportSkipped prints to stderr how many lines were skipped, and the first of them.
+func (w *traceRunner) reportSkipped(skipped []trace.Skipped) {
 	if len(skipped) == 0 {
 		return
 	}
@@ -79,27 +82,29 @@
 	fmt.Fprintf(w.env.stderr, "%d lines left out, the first at %s:%d (%s)\n", len(skipped), s.Source, s.Number, s.Why)
 }
 
-func (w *traceWork) printStory(id string, story []trace.Line) error {
-	if len(story) == 0 {
+// printTimeline prints the lines about request id; no lines are a UsageError.
+func (w *traceRunner) printTimeline(id string, timeline []trace.Line) error {
+	if len(timeline) == 0 {
 		return usagef("no line speaks of request %s", id)
 	}
-	return w.env.print(story, func(t io.Writer) {
-		for _, l := range story {
-			row(t, l.Time.Format(traceTime), l.Source, l.Msg, fieldsText(l.Fields))
+	return w.env.printResult(timeline, func(t io.Writer) {
+		for _, l := range timeline {
+			writeRow(t, l.Time.Format(traceTimeFormat), l.Source, l.Msg, fieldsText(l.Fields))
 		}
 	})
 }
 
-func (w *traceWork) printCauses(causes []trace.Cause) error {
-	return w.env.print(causes, func(t io.Writer) {
-		row(t, "LINES", "LEFT OUT", "WHAT", "ROUTE", "OUTCOME", "REASON", "FIRST")
+// printCauses prints one row for each cause.
+func (w *traceRunner) printCauses(causes []trace.Cause) error {
+	return w.env.printResult(causes, func(t io.Writer) {
+		writeRow(t, "LINES", "LEFT OUT", "WHAT", "ROUTE", "OUTCOME", "REASON", "FIRST")
 		for _, c := range causes {
-			row(t, c.Lines, c.LeftOut, c.Msg, orDash(c.Route), orDash(c.Outcome), c.Reason, c.First.Fields["request"])
+			writeRow(t, c.Lines, c.LeftOut, c.Msg, orDash(c.Route), orDash(c.Outcome), c.Reason, c.First.Fields["request"])
 		}
 	})
 }
 
-// readLogs reads the files one after the other.
+// readLogs returns the parsed and the skipped lines of all files; a file that can't be read is a UsageError.
 func readLogs(files []string) ([]trace.Line, []trace.Skipped, error) {
 	var lines []trace.Line
 	var skipped []trace.Skipped
@@ -109,7 +114,7 @@
 			return nil, nil, &UsageError{err.Error()}
 		}
 		l, s, err := trace.Read(name, f)
-		_ = f.Close() // only read
+		_ = f.Close() // opened for reading only
 		if err != nil {
 			return nil, nil, &UsageError{name + ": " + err.Error()}
 		}
@@ -119,7 +124,7 @@
 	return lines, skipped, nil
 }
 
-// fieldsText writes a line's fields in order of name.
+// fieldsText returns a line's fields but level as KEY=VALUE pairs in order of name.
 func fieldsText(fields map[string]any) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
