--- a/pkg/daemon/mesh_daemon.go
+++ b/pkg/daemon/mesh_daemon.go
@@ -60,7 +60,7 @@
 	store := &platform.StoreClient{URL: cfg.Platform.URL, HTTP: mesh.NewStoreHTTP(ip)}
 	return mesh.New(mesh.Options{
 		Settings: cfg, Names: platform.Headers, Store: store.Store(), Decode: platform.DecodeState,
-		Control: platform.Control, Clock: c, Logger: f.Part,
+		Control: platform.ControlHandler, Clock: c, Logger: f.Part,
 	})
 }
 
--- a/pkg/soak/fault_store.go
+++ b/pkg/soak/fault_store.go
@@ -33,7 +33,7 @@
 }
 
 func silenceStore(s *site, kind string, _ *rand.Rand, d time.Duration) {
-	s.holdStore(kind, s.vms, standin.Fault{Silent: true}, d)
+	s.holdStore(kind, s.vms, standin.Fault{Unresponsive: true}, d)
 }
 
 func slowStore(s *site, kind string, _ *rand.Rand, d time.Duration) {
@@ -41,9 +41,9 @@
 }
 
 func loseStoreAnswers(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdStore(kind, s.some(rnd), standin.Fault{LoseAnswer: true}, d)
+	s.holdStore(kind, s.some(rnd), standin.Fault{LoseResponse: true}, d)
 }
 
 func forgetStoreHistory(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	s.holdStore(kind, s.some(rnd), standin.Fault{Forget: true}, faultLeast)
+	s.holdStore(kind, s.some(rnd), standin.Fault{ForgetHistory: true}, faultLeast)
 }
--- a/pkg/soak/site_teams.go
+++ b/pkg/soak/site_teams.go
@@ -161,10 +161,10 @@
 func storeComesBack(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	s.keyMu.Lock()
 	defer s.keyMu.Unlock()
-	s.store.Copy()
+	s.store.Snapshot()
 	time.Sleep(time.Duration(rnd.Float64() * float64(d)))
-	s.holdStore(kind, s.vms, standin.Fault{Silent: true}, faultLeast)
-	s.store.ComeBack()
+	s.holdStore(kind, s.vms, standin.Fault{Unresponsive: true}, faultLeast)
+	s.store.Restore()
 	over := s.history.begin(kind, false)
 	defer over()
 	time.Sleep(faultLeast)
