--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -206,7 +206,7 @@
 	if c.opts.Settings != nil {
 		c.opts.Settings(&v.cfg)
 	}
-	v.cfg.Fill()
+	v.cfg.SetDefaults()
 	logs := logging.Factory{W: c.opts.Log, Levels: logging.Levels{All: c.opts.LogLevel}, Clock: clock.Real{}}
 	n, err := node.New(node.Options{
 		Settings: v.cfg, Platform: c.platformOf(v), Keys: v.keys, Clock: clock.Real{},
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -28,7 +28,7 @@
 
 // usualHold returns how long a run of the route holds a slot at any server, or 0 where that isn't known.
 func (n *Node) usualHold(route string) time.Duration {
-	if p := n.plan.Load(); p != nil && !n.off[settings.KindHolds] {
+	if p := n.plan.Load(); p != nil && !n.off[settings.KindHoldTimes] {
 		return p.holds[route]
 	}
 	return 0
@@ -53,7 +53,7 @@
 		plan.runs[route] = c.Runs
 	}
 	roots, capacity := n.roots(now, reports, plan, costs), n.capacity()
-	options := overload.Options{NoMinimumShare: n.off[settings.LeastPart], EqualShares: n.off[settings.CostWeight]}
+	options := overload.Options{NoMinimumShare: n.off[settings.MinShare], EqualShares: n.off[settings.CostWeight]}
 	plan.shares = options.PlanShares(roots, capacity)
 	plan.binding = overload.BottleneckServices(roots, plan.shares, capacity)
 	missing := withoutCost(roots)
--- a/pkg/mesh/choose_server.go
+++ b/pkg/mesh/choose_server.go
@@ -27,7 +27,7 @@
 
 // comparisonSettings returns the factors that this node's settings switch off.
 func (n *Node) comparisonSettings() comparisonOptions {
-	return comparisonOptions{ignoreZone: n.off[settings.NearFirst], ignoreSlowdown: n.off[settings.Pace], ignoreSuccess: n.off[settings.Success]}
+	return comparisonOptions{ignoreZone: n.off[settings.PreferOwnZone], ignoreSlowdown: n.off[settings.SlowdownFactor], ignoreSuccess: n.off[settings.SuccessRate]}
 }
 
 // baseline is the best success share and slowdown factor of any server of a service. Servers are scored relative to it.
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -41,7 +41,7 @@
 // then. The wait ends with errRequestMissing when the peer turns out not to have the request. Once-only work is never
 // given up this way, since that wouldn't make it any clearer whether it ran.
 func (d *delivery) roundTrip(ctx context.Context, p *peer, usual time.Duration, req *httpconn.Request) (*httpconn.Response, error) {
-	if d.q.Once || d.q.stream != nil || d.n.off[settings.Silence] {
+	if d.q.Once || d.q.stream != nil || d.n.off[settings.UnresponsivePeers] {
 		return p.pool.Do(ctx, req)
 	}
 	waiting, giveUp := context.WithCancelCause(ctx)
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -94,7 +94,7 @@
 	}
 	n := &Node{
 		cfg: o.Settings, names: o.Names, store: o.Store, decode: o.Decode, clock: o.Clock, network: o.Network,
-		off: o.Settings.Mesh.OffSet(), ip: host, epoch: o.Clock.Now().UnixMilli(),
+		off: o.Settings.Mesh.DisabledMechanisms(), ip: host, epoch: o.Clock.Now().UnixMilli(),
 		callLog: o.Logger("call"), controlLog: o.Logger("control"),
 		peers:  make(map[string]*peer),
 		events: make(chan func(), eventQueueSize),
@@ -111,7 +111,7 @@
 	n.stats.learner.NoLateCalls = n.off[settings.LateCalls]
 	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
-	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
+	n.poison.Policy = o.Settings.Mesh.Quarantine.Policy()
 	n.watch.mayBegin = make(chan struct{})
 	n.watch.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
--- a/pkg/mesh/report_own_load.go
+++ b/pkg/mesh/report_own_load.go
@@ -59,7 +59,7 @@
 
 // roomPart returns the part of the own server's room that may be planned for.
 func (n *Node) roomPart() float64 {
-	if n.off[settings.RoomControl] {
+	if n.off[settings.UsableSlots] {
 		return 1
 	}
 	return n.control.usableFraction.UsableFraction()
--- a/pkg/mesh/retry_budget.go
+++ b/pkg/mesh/retry_budget.go
@@ -21,7 +21,7 @@
 // spendRetryBudget reports whether the retry budget lets a request reach one more server, and takes its cost from the
 // budget.
 func (n *Node) spendRetryBudget(q *request) bool {
-	if n.off[settings.Repeats] {
+	if n.off[settings.Retries] {
 		return false
 	}
 	runs := n.expectedRuns(q)
--- a/pkg/mesh/suspect_trial.go
+++ b/pkg/mesh/suspect_trial.go
@@ -48,7 +48,7 @@
 // are tried alone go one at a time. It returns a refusal for a request that may not go on; done must be called when the
 // run has ended.
 func (b *backend) awaitTrialTurn(ctx context.Context, q *request) (done func(), a *answer) {
-	if !q.Stages.Suspected() && !b.n.poison.AnySuspects() || b.n.off[settings.HeldBack] {
+	if !q.Stages.Suspected() && !b.n.poison.AnySuspects() || b.n.off[settings.Quarantine] {
 		return func() {}, nil
 	}
 	wait := time.NewTimer(trialWait)
--- a/pkg/mesh/suspects.go
+++ b/pkg/mesh/suspects.go
@@ -39,7 +39,7 @@
 // suspectDecision returns how to treat a request, by the crashes during its runs at any node. It is one atomic load
 // while there are no suspects.
 func (n *Node) suspectDecision(q *request) poison.Decision {
-	if !n.poison.AnySuspects() || n.off[settings.HeldBack] {
+	if !n.poison.AnySuspects() || n.off[settings.Quarantine] {
 		return poison.Decision{}
 	}
 	return n.poison.Decide(n.clock.Now(), q.identity())
@@ -148,7 +148,7 @@
 // recordGoodRun clears a request whose run ended well. A server failure (5xx) doesn't clear it: the run may have been
 // cut short before it could do harm.
 func (b *backend) recordGoodRun(q *request, a *answer) {
-	if a.outcome != wire.Ran || a.status >= http.StatusInternalServerError || b.n.off[settings.HeldBack] {
+	if a.outcome != wire.Ran || a.status >= http.StatusInternalServerError || b.n.off[settings.Quarantine] {
 		return
 	}
 	b.recentGoodRuns.RecordSuccess(b.n.clock.Now(), q.fingerprintInput())
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -120,7 +120,7 @@
 	if s.tune != nil {
 		s.tune(cfg.Mesh)
 	}
-	cfg.Fill()
+	cfg.SetDefaults()
 	n, err := New(Options{
 		Settings: cfg, Names: testNames, Store: s.store.seam(f.ip), Decode: decodeTestState, Network: s.nodeNetwork(),
 		Control: func(*Node) http.Handler { return http.NotFoundHandler() }, Clock: s.clockOf(f.ip),
--- a/pkg/mesh/unresponsive_peer.go
+++ b/pkg/mesh/unresponsive_peer.go
@@ -55,7 +55,7 @@
 // expectedResponseTime returns the time within which a request with the given expected slot hold time should be answered (httpconn.Request.Patience);
 // 0 if the detection is switched off.
 func (n *Node) expectedResponseTime(holdTime time.Duration) time.Duration {
-	if n.off[settings.Silence] {
+	if n.off[settings.UnresponsivePeers] {
 		return 0
 	}
 	return minResponseWait + responseWaitHoldFactor*holdTime
@@ -85,7 +85,7 @@
 
 // backOffUnresponsivePeers backs off the peers that have become unresponsive and closes their idle connections.
 func (n *Node) backOffUnresponsivePeers(now time.Time) {
-	if n.off[settings.Silence] {
+	if n.off[settings.UnresponsivePeers] {
 		return
 	}
 	n.peersMu.Lock()
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -77,7 +77,7 @@
 // New makes a daemon that isn't started yet.
 func New(opts Options) (*Node, error) {
 	cfg := opts.Settings
-	cfg.Fill()
+	cfg.SetDefaults()
 	if id := opts.Keys.Current().Identity; id.Role != keys.RoleVM || id.Name != cfg.VM || id.Zone != cfg.Zone {
 		return nil, &keys.IdentityError{Want: fmt.Sprintf("VM %s in zone %s", cfg.VM, cfg.Zone), Have: id.Name + " in zone " + id.Zone}
 	}
--- a/pkg/settings/mechanism.go
+++ b/pkg/settings/mechanism.go
@@ -11,21 +11,21 @@
 
 // The mechanisms.
 const (
-	RootAdmission Mechanism = "admission"
-	LeastPart     Mechanism = "least-part"
-	CostWeight    Mechanism = "cost-weight"
-	RoomControl   Mechanism = "room-control"
-	LateCalls     Mechanism = "late-calls"
-	LearnedMemory Mechanism = "learned-memory"
-	Repeats       Mechanism = "repeats"
-	NearFirst     Mechanism = "near-first"
-	Pace          Mechanism = "pace"
-	Success       Mechanism = "success"
-	Silence       Mechanism = "silence"
-	PackedHeaders Mechanism = "packed-headers"
-	GateOrder     Mechanism = "gate-order"
-	KindHolds     Mechanism = "kind-holds"
-	HeldBack      Mechanism = "held-back"
+	RootAdmission     Mechanism = "admission"
+	MinShare          Mechanism = "least-part"
+	CostWeight        Mechanism = "cost-weight"
+	UsableSlots       Mechanism = "room-control"
+	LateCalls         Mechanism = "late-calls"
+	LearnedMemory     Mechanism = "learned-memory"
+	Retries           Mechanism = "repeats"
+	PreferOwnZone     Mechanism = "near-first"
+	SlowdownFactor    Mechanism = "pace"
+	SuccessRate       Mechanism = "success"
+	UnresponsivePeers Mechanism = "silence"
+	PackedHeaders     Mechanism = "packed-headers"
+	GateOrder         Mechanism = "gate-order"
+	KindHoldTimes     Mechanism = "kind-holds"
+	Quarantine        Mechanism = "held-back"
 )
 
 // MechanismInfo describes one mechanism.
@@ -37,24 +37,24 @@
 // Mechanisms lists them all.
 var Mechanisms = []MechanismInfo{
 	{RootAdmission, "all root requests are taken in, whatever the services below can carry"},
-	{LeastPart, "the most urgent kinds may take all of a service"},
+	{MinShare, "the most urgent kinds may take all of a service"},
 	{CostWeight, "kinds of one rank get the same share, whatever they take of the tightest service"},
-	{RoomControl, "a gate that turns requests away is planned with in full"},
+	{UsableSlots, "a gate that turns requests away is planned with in full"},
 	{LateCalls, "a call that is seen after its run's time limit is taken for another run's"},
 	{LearnedMemory, "a node that starts knows nothing of which requests make which calls, what they cost and how many come"},
-	{Repeats, "no request is sent to a second server once one has got it"},
-	{NearFirst, "servers of all availability zones are compared alike"},
-	{Pace, "servers are compared by use alone, not by how fast they are"},
-	{Success, "a server that fails is compared like any other"},
-	{Silence, "a node that has fallen silent is sent to until requests to it time out, and so are connections that have"},
+	{Retries, "no request is sent to a second server once one has got it"},
+	{PreferOwnZone, "servers of all availability zones are compared alike"},
+	{SlowdownFactor, "servers are compared by use alone, not by how fast they are"},
+	{SuccessRate, "a server that fails is compared like any other"},
+	{UnresponsivePeers, "a node that has fallen silent is sent to until requests to it time out, and so are connections that have"},
 	{PackedHeaders, "headers between availability zones are sent as text"},
 	{GateOrder, "a server's queue is in the order of arrival"},
-	{KindHolds, "whether a request can end in time goes by the average of all kinds"},
-	{HeldBack, "a request that ends the servers that run it goes on to others like any request"},
+	{KindHoldTimes, "whether a request can end in time goes by the average of all kinds"},
+	{Quarantine, "a request that ends the servers that run it goes on to others like any request"},
 }
 
-// OffSet returns the mechanisms that are switched off.
-func (m *Mesh) OffSet() map[Mechanism]bool {
+// DisabledMechanisms returns the mechanisms that are switched off.
+func (m *Mesh) DisabledMechanisms() map[Mechanism]bool {
 	off := make(map[Mechanism]bool, len(m.Off))
 	for _, x := range m.Off {
 		off[x] = true
--- a/pkg/settings/mechanism_test.go
+++ b/pkg/settings/mechanism_test.go
@@ -27,7 +27,7 @@
 	c := qt.New(t)
 	s, err := Parse("d.yaml", fmt.Appendf(nil, meshSettings, "pace, room-control"))
 	c.Assert(err, qt.IsNil)
-	c.Assert(s.Mesh.OffSet(), qt.DeepEquals, map[Mechanism]bool{Pace: true, RoomControl: true})
+	c.Assert(s.Mesh.DisabledMechanisms(), qt.DeepEquals, map[Mechanism]bool{SlowdownFactor: true, UsableSlots: true})
 	_, err = Parse("d.yaml", fmt.Appendf(nil, meshSettings, "pace, speed"))
 	var invalid *config.InvalidError
 	c.Assert(errors.As(err, &invalid), qt.IsTrue)
@@ -57,7 +57,7 @@
 	for _, field := range []string{"mesh.heldBack.suspect", "mesh.heldBack.times", "mesh.heldBack.most"} {
 		c.Check(err.Error(), qt.Contains, field)
 	}
-	rules := HoldTimes{First: time.Minute}.Rules()
+	rules := QuarantineTimes{First: time.Minute}.Policy()
 	rules.SetDefaults()
 	c.Assert(rules.FirstQuarantine, qt.Equals, time.Minute)
 	c.Assert(rules.QuarantineFactor > 1, qt.IsTrue)
--- a/pkg/settings/mesh_settings.go
+++ b/pkg/settings/mesh_settings.go
@@ -27,24 +27,24 @@
 	// Zones are the availability zones among which each quota is divided.
 	Zones []string `yaml:"zones,omitempty"`
 	// PeerPort is the port at which the other nodes are reached, if it isn't the one that this node binds.
-	PeerPort   int       `yaml:"peerPort,omitempty"`
-	FirstStart bool      `yaml:"firstStart,omitempty"` // the whole system starts for the first time
-	HeldBack   HoldTimes `yaml:"heldBack,omitempty"`
+	PeerPort   int             `yaml:"peerPort,omitempty"`
+	FirstStart bool            `yaml:"firstStart,omitempty"` // the whole system starts for the first time
+	Quarantine QuarantineTimes `yaml:"heldBack,omitempty"`
 	// Off lists the mechanisms that are switched off.
 	Off []Mechanism `yaml:"off,omitempty"`
 }
 
-// HoldTimes says for how long requests are remembered under which backend servers ended; what is left out has the defaults of package poison.
-type HoldTimes struct {
+// QuarantineTimes says for how long requests are remembered under which backend servers ended; what is left out has the defaults of package poison.
+type QuarantineTimes struct {
 	Suspect time.Duration `yaml:"suspect,omitempty"` // a request under which one or two ended
 	First   time.Duration `yaml:"first,omitempty"`   // one that ended three is held back at first
-	Times   int           `yaml:"times,omitempty"`   // by how many times longer after each further end
-	Most    time.Duration `yaml:"most,omitempty"`    // at the longest
+	Factor  int           `yaml:"times,omitempty"`   // by how many times longer after each further end
+	Max     time.Duration `yaml:"most,omitempty"`    // at the longest
 }
 
-// Rules returns them as package poison goes by them.
-func (h HoldTimes) Rules() poison.Policy {
-	return poison.Policy{SuspectRetention: h.Suspect, FirstQuarantine: h.First, QuarantineFactor: h.Times, MaxQuarantine: h.Most}
+// Policy returns them as package poison goes by them.
+func (h QuarantineTimes) Policy() poison.Policy {
+	return poison.Policy{SuspectRetention: h.Suspect, FirstQuarantine: h.First, QuarantineFactor: h.Factor, MaxQuarantine: h.Max}
 }
 
 // maxHeld is the longest time that a request may be held back.
@@ -82,24 +82,24 @@
 }
 
 // heldBack checks them.
-func (c *checker) heldBack(h HoldTimes) {
+func (c *checker) heldBack(h QuarantineTimes) {
 	for _, d := range []struct {
 		field string
 		v     time.Duration
 	}{
 		{"mesh.heldBack.suspect", h.Suspect},
 		{"mesh.heldBack.first", h.First},
-		{"mesh.heldBack.most", h.Most},
+		{"mesh.heldBack.most", h.Max},
 	} {
 		if d.v < 0 || d.v > maxHeld {
 			c.fail(d.field, "%v must be above 0 and at most %v, with a unit", d.v, maxHeld)
 		}
 	}
-	if h.Times < 0 || h.Times > maxHeldTimes {
-		c.fail("mesh.heldBack.times", "%d must be 1 to %d, or left out", h.Times, maxHeldTimes)
+	if h.Factor < 0 || h.Factor > maxHeldTimes {
+		c.fail("mesh.heldBack.times", "%d must be 1 to %d, or left out", h.Factor, maxHeldTimes)
 	}
-	if h.Most > 0 && h.Most < h.First {
-		c.fail("mesh.heldBack.most", "%v is below mesh.heldBack.first, %v", h.Most, h.First)
+	if h.Max > 0 && h.Max < h.First {
+		c.fail("mesh.heldBack.most", "%v is below mesh.heldBack.first, %v", h.Max, h.First)
 	}
 }
 
@@ -155,7 +155,7 @@
 		c.fail("mesh.peerPort", "%d must be 1 to %d, or left out", m.PeerPort, maxPort)
 	}
 	c.mechanisms(m.Off)
-	c.heldBack(m.HeldBack)
+	c.heldBack(m.Quarantine)
 	if m.RetrySlack < 0 {
 		c.fail("mesh.retrySlack", "%v must not be negative", m.RetrySlack)
 	}
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -109,8 +109,8 @@
 	DefaultNeighbors       = 6
 )
 
-// Fill sets what was left out to its default.
-func (s *Settings) Fill() {
+// SetDefaults sets what was left out to its default.
+func (s *Settings) SetDefaults() {
 	fill(&s.Platform.Timeout, DefaultPlatformTimeout)
 	fill(&s.Backend.Ramp, DefaultRamp)
 	fill(&s.Backend.StopWait, DefaultStopWait)
--- a/pkg/settings/settings_check.go
+++ b/pkg/settings/settings_check.go
@@ -46,7 +46,7 @@
 	if len(c.faults) > 0 {
 		return Settings{}, &config.InvalidError{Faults: c.faults}
 	}
-	s.Fill()
+	s.SetDefaults()
 	return s, nil
 }
 
--- a/pkg/soak/site.go
+++ b/pkg/soak/site.go
@@ -128,7 +128,7 @@
 		cfg.Seeds = append(cfg.Seeds, s.vms[i].at(portControl))
 	}
 	tuneTeams(cfg.Mesh)
-	cfg.Fill()
+	cfg.SetDefaults()
 	return cfg
 }
 
