--- a/pkg/cli/query_get.go
+++ b/pkg/cli/query_get.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if len(args) == 2 && len(list) == 0 {
-		return &config.NoObjectError{ID: string(kind) + "/" + args[1]}
+		return &config.ObjectNotFoundError{ID: string(kind) + "/" + args[1]}
 	}
 	if w.env.output == "yaml" {
 		return w.env.printObjects(list)
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -39,7 +39,7 @@
 		plan, err := Compile(&Document{Version: 1, Objects: readExample(c, name)})
 		c.Assert(err, qt.IsNil)
 		for m, class := range classes {
-			tr, _ := plan.Route(m)
+			tr, _ := plan.TreatRequest(m)
 			c.Assert(tr, qt.IsNotNil, qt.Commentf("%v", m))
 			c.Assert(tr.Class, qt.Equals, class, qt.Commentf("%v", m))
 			c.Assert(tr.Retries, qt.Equals, 2)
@@ -98,7 +98,7 @@
 	}})
 	c.Assert(err, qt.ErrorAs, new(*InvalidError))
 	_, err = Apply(doc, Change{Delete: []string{"Policy/none"}})
-	c.Assert(err, qt.ErrorAs, new(*NoObjectError))
+	c.Assert(err, qt.ErrorAs, new(*ObjectNotFoundError))
 	objs, err := Apply(doc, Change{Label: &LabelEdit{Kind: KindVM, Name: "hire-ledger-0", Set: map[string]string{"dc": "new"}}})
 	c.Assert(err, qt.IsNil)
 	diff := Diff(doc.Objects, objs)
--- a/pkg/config/document_change.go
+++ b/pkg/config/document_change.go
@@ -28,11 +28,11 @@
 	Remove   []string          `json:"remove,omitempty"`
 }
 
-// NoObjectError reports an edit of an object that isn't there.
-type NoObjectError struct{ ID string }
+// ObjectNotFoundError reports an edit of an object that isn't there.
+type ObjectNotFoundError struct{ ID string }
 
 // Error names the object.
-func (e *NoObjectError) Error() string { return fmt.Sprintf("there is no object %s", e.ID) }
+func (e *ObjectNotFoundError) Error() string { return fmt.Sprintf("there is no object %s", e.ID) }
 
 // Apply returns the objects of doc with the change made; doc stays as it is.
 // The error is a *NoObjectError or an *InvalidError.
@@ -43,7 +43,7 @@
 	}
 	for _, id := range ch.Delete {
 		if _, ok := byID[id]; !ok {
-			return nil, &NoObjectError{id}
+			return nil, &ObjectNotFoundError{id}
 		}
 		delete(byID, id)
 	}
@@ -69,13 +69,13 @@
 		names = []string{e.Name}
 	}
 	if len(names) == 0 {
-		return &NoObjectError{fmt.Sprintf("%s matching %q", e.Kind, e.Selector)}
+		return &ObjectNotFoundError{fmt.Sprintf("%s matching %q", e.Kind, e.Selector)}
 	}
 	for _, name := range names {
 		o := Object{Kind: e.Kind, Name: name}
 		old, ok := byID[o.ID()]
 		if !ok && e.Kind != KindVM {
-			return &NoObjectError{o.ID()}
+			return &ObjectNotFoundError{o.ID()}
 		}
 		o = old
 		o.Kind, o.Name = e.Kind, name
--- a/pkg/config/object_parse.go
+++ b/pkg/config/object_parse.go
@@ -105,7 +105,7 @@
 	loc := located{node: node.Content[0]}
 	if err := node.Decode(&loc.obj); err != nil {
 		faults := YAMLFaults(file, err)
-		NameFields(loc.node, faults)
+		FillFieldNames(loc.node, faults)
 		return located{}, faults
 	}
 	var scratch Object
@@ -213,8 +213,8 @@
 	}
 }
 
-// NameFields finds the fields of faults that have only a line, by the values that the lines hold.
-func NameFields(root *yaml.Node, faults []FieldError) {
+// FillFieldNames finds the fields of faults that have only a line, by the values that the lines hold.
+func FillFieldNames(root *yaml.Node, faults []FieldError) {
 	for i, f := range faults {
 		if f.Field == "" && f.value != "" {
 			faults[i].Field = fieldAt(root, "", f.Line, f.value)
--- a/pkg/config/plan.go
+++ b/pkg/config/plan.go
@@ -88,8 +88,8 @@
 	Path   string
 }
 
-// Route finds the treatment of a caller's request; the route's name is returned too, and nil if none matches.
-func (p *Plan) Route(m Match) (*Treatment, string) {
+// TreatRequest finds the treatment of a caller's request; the route's name is returned too, and nil if none matches.
+func (p *Plan) TreatRequest(m Match) (*Treatment, string) {
 	for _, r := range p.routes {
 		if r.spec.Host != "" && r.spec.Host != m.Host {
 			continue
@@ -101,8 +101,8 @@
 	return nil, ""
 }
 
-// Call finds the treatment of a call from one service to another, or nil if there is no such service.
-func (p *Plan) Call(service string, m Match) *Treatment {
+// TreatCall finds the treatment of a call from one service to another, or nil if there is no such service.
+func (p *Plan) TreatCall(service string, m Match) *Treatment {
 	s, ok := p.services[service]
 	if !ok {
 		return nil
--- a/pkg/config/plan_treatment.go
+++ b/pkg/config/plan_treatment.go
@@ -121,8 +121,8 @@
 	return *p
 }
 
-// Takes tells whether the treatment's targets pick a VM with the labels.
-func (t *Treatment) Takes(set labels.Set) bool {
+// Selects tells whether the treatment's targets pick a VM with the labels.
+func (t *Treatment) Selects(set labels.Set) bool {
 	if len(t.Targets) == 0 {
 		return true
 	}
--- a/pkg/config/policy_catch.go
+++ b/pkg/config/policy_catch.go
@@ -4,9 +4,9 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Catches returns, for each policy, the IDs of the services, routes and classes that its selector
+// PolicyMatches returns, for each policy, the IDs of the services, routes and classes that its selector
 // matches by their own labels alone.
-func Catches(objs []Object) map[string][]string {
+func PolicyMatches(objs []Object) map[string][]string {
 	out := map[string][]string{}
 	for _, p := range objs {
 		if p.Kind != KindPolicy {
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -253,7 +253,7 @@
 		return
 	}
 	for _, t := range snap.plan.Treatments(n.cfg.Service) {
-		snap.selfTarget[t] = t.Takes(self.Labels)
+		snap.selfTarget[t] = t.Selects(self.Labels)
 	}
 }
 
--- a/pkg/node/control_ranges.go
+++ b/pkg/node/control_ranges.go
@@ -75,7 +75,7 @@
 		return true
 	}
 	for _, t := range snap.plan.Treatments(s.n.cfg.Service) {
-		if t.Takes(c.Labels) {
+		if t.Selects(c.Labels) {
 			return true
 		}
 	}
--- a/pkg/operator/operator_problem.go
+++ b/pkg/operator/operator_problem.go
@@ -41,7 +41,7 @@
 func problemOf(err error) (int, Problem) {
 	var (
 		invalid  *config.InvalidError
-		noObject *config.NoObjectError
+		noObject *config.ObjectNotFoundError
 		race     *node.RaceError
 		doubt    *node.InDoubtError
 		refused  *store.RefusedError
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -207,7 +207,7 @@
 		return
 	}
 	out := Previewed{Differences: diffs}
-	for policy, caught := range config.Catches(objs) {
+	for policy, caught := range config.PolicyMatches(objs) {
 		out.Catches = append(out.Catches, Catch{policy, caught})
 	}
 	c.JSON(http.StatusOK, out)
--- a/pkg/settings/settings_check.go
+++ b/pkg/settings/settings_check.go
@@ -40,7 +40,7 @@
 	}
 	if err := yaml.Unmarshal(data, &node); err == nil && len(node.Content) > 0 {
 		c.root = node.Content[0]
-		config.NameFields(c.root, c.faults)
+		config.FillFieldNames(c.root, c.faults)
 	}
 	c.check(&s)
 	if len(c.faults) > 0 {
