--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	log := f.Part("keys")
+	log := f.Logger("keys")
 	k.Refused = func(err error) { log.Warn("certificate refused", "err", err) }
 	return k, nil
 }
@@ -62,7 +62,7 @@
 
 func newNode(cfg settings.Settings, p store.Platform, k *keys.Store, c clock.Clock, m *metric.Set, f logging.Factory) (*node.Node, error) {
 	return node.New(node.Options{
-		Settings: cfg, Platform: p, Keys: k, Clock: c, Metrics: m, Logger: f.Part,
+		Settings: cfg, Platform: p, Keys: k, Clock: c, Metrics: m, Logger: f.Logger,
 	})
 }
 
@@ -89,7 +89,7 @@
 
 // watchSignals dumps the state on SIGUSR1, and reads the keys again on SIGHUP and from time to time.
 func watchSignals(lc fx.Lifecycle, n *node.Node, k *keys.Store, c clock.Clock, f logging.Factory) {
-	log := f.Part("daemon")
+	log := f.Logger("daemon")
 	w := &signalWatch{
 		dump:   func() any { return n.Dump() },
 		reload: func() { reloadKeys(k, log) },
--- a/pkg/daemon/mesh_daemon.go
+++ b/pkg/daemon/mesh_daemon.go
@@ -41,7 +41,7 @@
 const flushTime = 200 * time.Millisecond
 
 func newMeshFactory(lc fx.Lifecycle, cfg settings.Settings, w io.Writer, c clock.Clock) logging.Factory {
-	q := logging.NewQueue(w, c, logging.DefaultQueue)
+	q := logging.NewQueue(w, c, logging.DefaultQueueSize)
 	lc.Append(fx.Hook{OnStop: func(context.Context) error {
 		q.Close(flushTime)
 		return nil
@@ -60,7 +60,7 @@
 	store := &platform.StoreClient{URL: cfg.Platform.URL, HTTP: mesh.NewStoreHTTP(ip)}
 	return mesh.New(mesh.Options{
 		Settings: cfg, Names: platform.Headers, Store: store.Store(), Decode: platform.DecodeState,
-		Control: platform.ControlHandler, Clock: c, Logger: f.Part,
+		Control: platform.ControlHandler, Clock: c, Logger: f.Logger,
 	})
 }
 
@@ -70,7 +70,7 @@
 
 // watchMeshSignals dumps the state on SIGUSR1 and reads the settings again on SIGHUP.
 func watchMeshSignals(lc fx.Lifecycle, file string, n *mesh.Node, f logging.Factory) {
-	log := f.Part("daemon")
+	log := f.Logger("daemon")
 	w := &signalWatch{
 		dump:   func() any { return n.Dump() },
 		reload: func() { reloadSettings(file, n, log) },
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -211,7 +211,7 @@
 	n, err := node.New(node.Options{
 		Settings: v.cfg, Platform: c.platformOf(v), Keys: v.keys, Clock: clock.Real{},
 		Network: node.Network{ListenPacket: c.Fabric.ListenPacket}, Metrics: metric.NewSet(),
-		Logger: func(part string) *slog.Logger { return logs.Part(part).With("vm", v.Info.Name) },
+		Logger: func(part string) *slog.Logger { return logs.Logger(part).With("vm", v.Info.Name) },
 		Seed:   c.opts.Seed + uint64(v.Addr.As4()[3]),
 	})
 	if err != nil {
--- a/pkg/logging/line_queue.go
+++ b/pkg/logging/line_queue.go
@@ -10,8 +10,8 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// DefaultQueue is how many lines may wait to be written: a second of a busy node's.
-const DefaultQueue = 2048
+// DefaultQueueSize is how many lines may wait to be written: a second of a busy node's.
+const DefaultQueueSize = 2048
 
 // leftOutPeriod is the time between lines that say how many were left out.
 const leftOutPeriod = 5 * time.Second
@@ -43,8 +43,8 @@
 	return len(line), nil
 }
 
-// LeftOut returns how many lines were left out and not yet told of.
-func (q *Queue) LeftOut() int64 { return q.leftOut.Load() }
+// Dropped returns how many lines were left out and not yet told of.
+func (q *Queue) Dropped() int64 { return q.leftOut.Load() }
 
 func (q *Queue) run(w io.Writer, c clock.Clock) {
 	ticks, stop := c.NewTicker(leftOutPeriod)
--- a/pkg/logging/line_queue_test.go
+++ b/pkg/logging/line_queue_test.go
@@ -33,11 +33,11 @@
 	clk := clock.NewManual(time.Unix(0, 0))
 	q := NewQueue(w, clk, 4)
 	f := Factory{W: q, Clock: clk, JSON: true, PerSecond: 1000}
-	log := f.Part("call")
+	log := f.Logger("call")
 	for range 100 {
 		log.Info("refused", "request", "r")
 	}
-	left := q.LeftOut()
+	left := q.Dropped()
 	c.Assert(left >= 95 && left <= 96, qt.IsTrue, qt.Commentf("%d", left))
 	close(w.release)
 	q.Close(5 * time.Second)
@@ -52,7 +52,7 @@
 	c := qt.New(t)
 	var b bytes.Buffer
 	clk := clock.NewManual(time.Unix(0, 0))
-	log := Factory{W: &b, Clock: clk, JSON: true, PerSecond: 3}.Part("call")
+	log := Factory{W: &b, Clock: clk, JSON: true, PerSecond: 3}.Logger("call")
 	for range 10 {
 		log.Info("refused")
 	}
@@ -63,8 +63,8 @@
 }
 
 func BenchmarkQueuedLine(b *testing.B) {
-	q := NewQueue(&bytes.Buffer{}, clock.Real{}, DefaultQueue)
-	log := Factory{W: q, Clock: clock.Real{}, JSON: true, PerSecond: 1 << 30}.Part("call")
+	q := NewQueue(&bytes.Buffer{}, clock.Real{}, DefaultQueueSize)
+	log := Factory{W: q, Clock: clock.Real{}, JSON: true, PerSecond: 1 << 30}.Logger("call")
 	b.ReportAllocs()
 	for b.Loop() {
 		log.Info("refused", "request", "9c41d07be2a35f68", "route", "r", "reason", "level")
--- a/pkg/logging/part_logger.go
+++ b/pkg/logging/part_logger.go
@@ -30,8 +30,8 @@
 	PerSecond int
 }
 
-// Part returns the logger of one part, whose lines start with its name.
-func (f Factory) Part(name string) *slog.Logger {
+// Logger returns the logger of one part, whose lines start with its name.
+func (f Factory) Logger(name string) *slog.Logger {
 	if f.W == nil {
 		return slog.New(slog.DiscardHandler)
 	}
--- a/pkg/logging/part_logger_test.go
+++ b/pkg/logging/part_logger_test.go
@@ -15,10 +15,10 @@
 	c := qt.New(t)
 	var b bytes.Buffer
 	f := Factory{W: &b, Levels: Levels{All: "info", Parts: map[string]string{"peer": "error"}}, Clock: clock.NewManual(time.Unix(0, 0))}
-	f.Part("call").Info("served")
-	f.Part("call").Debug("hidden")
-	f.Part("peer").Warn("hidden")
-	f.Part("peer").With("vm", "a").Error("broken")
+	f.Logger("call").Info("served")
+	f.Logger("call").Debug("hidden")
+	f.Logger("peer").Warn("hidden")
+	f.Logger("peer").With("vm", "a").Error("broken")
 	c.Assert(strings.Count(b.String(), "\n"), qt.Equals, 2, qt.Commentf("%s", &b))
 	c.Assert(b.String(), qt.Contains, `msg="call: served"`)
 	c.Assert(b.String(), qt.Contains, `msg="peer: broken" vm=a`)
@@ -28,7 +28,7 @@
 	c := qt.New(t)
 	var b bytes.Buffer
 	clk := clock.NewManual(time.Unix(0, 0))
-	log := Factory{W: &b, Clock: clk}.Part("call")
+	log := Factory{W: &b, Clock: clk}.Logger("call")
 	for range 5 {
 		log.Info("same")
 	}
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -54,7 +54,7 @@
 func (s *site) logTo(log *logBuffer) {
 	factory := logging.Factory{W: log, Clock: clock.Real{}, JSON: true, PerSecond: 1000}
 	for _, n := range s.nodes {
-		n.callLog = factory.Part("call").With("node", n.ip)
+		n.callLog = factory.Logger("call").With("node", n.ip)
 	}
 }
 
