--- a/pkg/clock/suspended.go
+++ b/pkg/clock/suspended.go
@@ -32,8 +32,8 @@
 // leastSuspension is what is taken for a suspension: the two clocks are read one after the other.
 const leastSuspension = 50 * time.Millisecond
 
-// NoteSuspension looks for how long the machine was suspended since the last look, and counts it from now on.
-func (Real) NoteSuspension() time.Duration {
+// DetectSuspension looks for how long the machine was suspended since the last look, and counts it from now on.
+func (Real) DetectSuspension() time.Duration {
 	total := stoodStill() - atStart
 	before := time.Duration(suspended.Load())
 	if total-before < leastSuspension {
@@ -43,22 +43,22 @@
 	return total - before
 }
 
-// Suspender is a Clock whose steady part may stand still while the machine is suspended.
-type Suspender interface {
-	// NoteSuspension returns for how long that was since the last look, and has the clock count it from now on.
-	NoteSuspension() time.Duration
+// SuspensionDetector is a Clock whose steady part may stand still while the machine is suspended.
+type SuspensionDetector interface {
+	// DetectSuspension returns for how long that was since the last look, and has the clock count it from now on.
+	DetectSuspension() time.Duration
 }
 
-// NoteSuspension looks for a suspension if the clock knows of any.
-func NoteSuspension(c Clock) time.Duration {
-	if s, ok := c.(Suspender); ok {
-		return s.NoteSuspension()
+// DetectSuspension looks for a suspension if the clock knows of any.
+func DetectSuspension(c Clock) time.Duration {
+	if s, ok := c.(SuspensionDetector); ok {
+		return s.DetectSuspension()
 	}
 	return 0
 }
 
-// Limits are the time limits of work in progress; its zero value has none. Timers stand still with the steady clock.
-type Limits struct {
+// Deadlines are the time limits of work in progress; its zero value has none. Timers stand still with the steady clock.
+type Deadlines struct {
 	mu   sync.Mutex
 	ends map[*limit]struct{}
 }
@@ -70,7 +70,7 @@
 }
 
 // Context returns a context that ends at a time of the clock.
-func (l *Limits) Context(ctx context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
+func (l *Deadlines) Context(ctx context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, at.Sub(c.Now()))
 	x := &limit{at: at, cancel: cancel}
 	l.mu.Lock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// Lapse ends what should have ended by now, after a suspension; it returns how many there were.
-func (l *Limits) Lapse(now time.Time) int {
+// CancelExpired ends what should have ended by now, after a suspension; it returns how many there were.
+func (l *Deadlines) CancelExpired(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -103,18 +103,18 @@
 }
 
 // Boot returns the time since the machine was started, its suspensions included, noticed or not.
-func (Real) Boot() time.Time { return time.Time{}.Add(readClock(unix.CLOCK_BOOTTIME)) }
+func (Real) BootNow() time.Time { return time.Time{}.Add(readClock(unix.CLOCK_BOOTTIME)) }
 
-// Booter is a Clock that knows the time since the machine was started.
-type Booter interface {
-	// Boot returns it as a time, for spans only.
-	Boot() time.Time
+// BootClock is a Clock that knows the time since the machine was started.
+type BootClock interface {
+	// BootNow returns it as a time, for spans only.
+	BootNow() time.Time
 }
 
-// Boot returns a time for spans that go on while the machine is suspended, also before anybody has noticed that it was.
-func Boot(c Clock) time.Time {
-	if b, ok := c.(Booter); ok {
-		return b.Boot()
+// BootNow returns a time for spans that go on while the machine is suspended, also before anybody has noticed that it was.
+func BootNow(c Clock) time.Time {
+	if b, ok := c.(BootClock); ok {
+		return b.BootNow()
 	}
 	return c.Now()
 }
--- a/pkg/clock/suspended_test.go
+++ b/pkg/clock/suspended_test.go
@@ -12,12 +12,12 @@
 func TestLimitsLapse(t *testing.T) {
 	c := qt.New(t)
 	k := NewManual(time.Unix(1000, 0))
-	var l Limits
+	var l Deadlines
 	first, endFirst := l.Context(context.Background(), k, k.Now().Add(time.Minute))
 	second, endSecond := l.Context(context.Background(), k, k.Now().Add(time.Hour))
 	defer endSecond()
 	k.Advance(2 * time.Minute)
-	c.Assert(l.Lapse(k.Now()), qt.Equals, 1)
+	c.Assert(l.CancelExpired(k.Now()), qt.Equals, 1)
 	c.Assert(first.Err(), qt.IsNotNil)
 	c.Assert(second.Err(), qt.IsNil)
 	endFirst()
@@ -27,8 +27,8 @@
 // The machine's clocks show no suspension while it runs.
 func TestARunningMachineIsNotSuspended(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(NoteSuspension(Real{}), qt.Equals, time.Duration(0))
-	c.Assert(NoteSuspension(NewManual(time.Time{})), qt.Equals, time.Duration(0))
+	c.Assert(DetectSuspension(Real{}), qt.Equals, time.Duration(0))
+	c.Assert(DetectSuspension(NewManual(time.Time{})), qt.Equals, time.Duration(0))
 	c.Assert(readClock(-1000) == 0, qt.IsTrue)
 	before := Real{}.Now()
 	c.Assert(Real{}.Now().Sub(before) < time.Second, qt.IsTrue)
@@ -41,7 +41,7 @@
 }
 
 func BenchmarkLimit(b *testing.B) {
-	var l Limits
+	var l Deadlines
 	for b.Loop() {
 		_, cancel := l.Context(context.Background(), Real{}, Real{}.Now().Add(time.Minute))
 		cancel()
--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -102,7 +102,7 @@
 	if !n.cfg.Mesh.StrictRevoke {
 		return true
 	}
-	now := clock.Boot(n.clock)
+	now := clock.BootNow(n.clock)
 	n.proofs.withKeeper(func(k *freshness.ProofTracker) { accept = k.MayAcceptKey(now, s.Version) })
 	return accept
 }
@@ -114,7 +114,7 @@
 	}
 	certain := true
 	if n.cfg.Mesh.StrictRevoke {
-		now := clock.Boot(n.clock)
+		now := clock.BootNow(n.clock)
 		n.proofs.withKeeper(func(k *freshness.ProofTracker) { certain = k.MayRejectUnknownKey(now, s.Version) })
 	}
 	return certain
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -106,7 +106,7 @@
 
 // tick does the work of the control goroutine that is due.
 func (n *Node) tick(ctx context.Context) {
-	if d := clock.NoteSuspension(n.clock); d > 0 {
+	if d := clock.DetectSuspension(n.clock); d > 0 {
 		n.handleSuspension(d)
 	}
 	now := n.clock.Now()
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -128,7 +128,7 @@
 		kind, span = followStateCall, followTime
 		read = func(ctx context.Context) ([]byte, Cursor, error) { return n.store.FollowState(ctx, *next) }
 	}
-	sent, own := clock.Boot(n.clock), n.version()
+	sent, own := clock.BootNow(n.clock), n.version()
 	err := n.callStore(ctx, t, kind, span, func(ctx context.Context) (err error) {
 		data, after, err = read(ctx)
 		return err
--- a/pkg/mesh/freshness_proof.go
+++ b/pkg/mesh/freshness_proof.go
@@ -63,7 +63,7 @@
 func (n *Node) refreshProofIfDue(ctx context.Context) {
 	roles := n.roles.Load().proofs
 	age, known := n.proofAge()
-	switch n.proofs.schedule.Next(clock.Boot(n.clock), age, known, roles.IsReader(n.ip)) {
+	switch n.proofs.schedule.Next(clock.BootNow(n.clock), age, known, roles.IsReader(n.ip)) {
 	case freshness.ReadStore:
 		startUnlessBusy(&n.proofs.reading, func() { n.readProofFromStore(ctx) })
 	case freshness.QueryUpstream:
@@ -111,7 +111,7 @@
 // readProofFromStore reads the desired state from the store as a freshness proof. A read reflects the store at one moment; the store's feed of
 // changes may lag or stall without an error.
 func (n *Node) readProofFromStore(ctx context.Context) {
-	sent, current := clock.Boot(n.clock), n.version()
+	sent, current := clock.BootNow(n.clock), n.version()
 	var data []byte
 	err := n.callStore(ctx, n.storeWatch.try(), proveStateCall, proofReadTimeout, func(ctx context.Context) (err error) {
 		data, _, err = n.store.ReadState(ctx)
@@ -143,7 +143,7 @@
 
 // proofAge returns the age of the freshness proof for the state in force; known is false if there is none.
 func (n *Node) proofAge() (age time.Duration, known bool) {
-	now, current := clock.Boot(n.clock), n.version()
+	now, current := clock.BootNow(n.clock), n.version()
 	n.proofs.withKeeper(func(k *freshness.ProofTracker) { age, known = k.ProofAge(now, current) })
 	return age, known
 }
@@ -154,7 +154,7 @@
 	if host == "" {
 		return
 	}
-	sent := clock.Boot(n.clock)
+	sent := clock.BootNow(n.clock)
 	var res proofResponse
 	if err := n.queryNode(ctx, host, proofPath, proofRequestTimeout, nil, &res); err != nil || res.Version <= 0 || res.Age < 0 {
 		return
@@ -168,7 +168,7 @@
 	current := n.version()
 	var res proofResponse
 	n.proofs.withKeeper(func(k *freshness.ProofTracker) {
-		now := clock.Boot(n.clock)
+		now := clock.BootNow(n.clock)
 		if age, known := k.ProofAge(now, current); known {
 			res = proofResponse{Version: k.YoungestProof(current).Version, Age: age}
 		}
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -61,7 +61,7 @@
 	retryBudgetMu      sync.Mutex
 	retryBudget        overload.RetryBudget
 	poison             poison.Table
-	timeLimits         clock.Limits       // of requests in flight
+	timeLimits         clock.Deadlines    // of requests in flight
 	peerRequests       awaited.InProgress // requests of other nodes in flight here
 	serverNotListening atomic.Bool        // the local backend server has crashed and hasn't been seen since
 	clients            clientconns.Connections
@@ -134,7 +134,7 @@
 	context.AfterFunc(ctx, func() { close(n.done) })
 	n.started = n.clock.Now()
 	if n.cfg.Mesh.FirstStart {
-		n.quotas.owner.FillOnceAt = clock.Boot(n.clock).Add(quota.SettleTime)
+		n.quotas.owner.FillOnceAt = clock.BootNow(n.clock).Add(quota.SettleTime)
 	}
 	for _, s := range n.servers {
 		if err := n.listen(s); err != nil {
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -52,7 +52,7 @@
 	if !team.Limited() {
 		return quotaResponse{Wait: unknownTeamWait}
 	}
-	g := n.quotas.owner.Grant(clock.Boot(n.clock), q.Team, quotaLimit(team), q.Want, q.Zone != n.cfg.Zone)
+	g := n.quotas.owner.Grant(clock.BootNow(n.clock), q.Team, quotaLimit(team), q.Want, q.Zone != n.cfg.Zone)
 	return quotaResponse{Tokens: g.Tokens, Wait: g.Wait}
 }
 
@@ -74,7 +74,7 @@
 	limits := quotaLimits(n.state.Load())
 	owns := func(shard int) bool { return ring != nil && ring[shard] == n.ip }
 	n.quotas.mu.Lock()
-	released := n.quotas.owner.UpdateOwnership(clock.Boot(n.clock), owns, presentFraction, n.quotaGrantDelay(now), limits)
+	released := n.quotas.owner.UpdateOwnership(clock.BootNow(n.clock), owns, presentFraction, n.quotaGrantDelay(now), limits)
 	n.quotas.mu.Unlock()
 	byOwner := make(map[string][]quota.Balance)
 	for _, b := range released {
@@ -102,7 +102,7 @@
 	if !n.readNodeRequest(w, r, maxMessage, &balances, func() bool { return true }) {
 		return
 	}
-	now, state := clock.Boot(n.clock), n.state.Load()
+	now, state := clock.BootNow(n.clock), n.state.Load()
 	n.quotas.mu.Lock()
 	for _, b := range balances {
 		if team := state.Team(b.Team); team.Limited() && b.Tokens > 0 {
--- a/pkg/mesh/store_era.go
+++ b/pkg/mesh/store_era.go
@@ -76,7 +76,7 @@
 	if era <= n.storeEpoch.now() {
 		return // with every message
 	}
-	settled := clock.Boot(n.clock).Add(time.Duration(eraSettle * float64(n.cfg.Mesh.Revoke)))
+	settled := clock.BootNow(n.clock).Add(time.Duration(eraSettle * float64(n.cfg.Mesh.Revoke)))
 	if before := n.storeEpoch.rise(era, settled); before != 0 {
 		n.storeCameBack(from, before, era)
 	}
--- a/pkg/mesh/suspension.go
+++ b/pkg/mesh/suspension.go
@@ -16,7 +16,7 @@
 func (n *Node) handleSuspension(d time.Duration) {
 	now := n.clock.Now()
 	n.watch.with(func(w *follow.Tracker) { w.NoteRunning(now) })
-	expired := n.timeLimits.Lapse(now)
+	expired := n.timeLimits.CancelExpired(now)
 	if d >= deadConnDetectTime {
 		n.forEachPool((*httpconn.Pool).DropIdle)
 	}
--- a/pkg/mesh/suspension_test.go
+++ b/pkg/mesh/suspension_test.go
@@ -24,8 +24,8 @@
 // Now returns the steady time plus the suspensions noted so far.
 func (k *suspendableClock) Now() time.Time { return time.Now().Add(time.Duration(k.noted.Load())) }
 
-// Boot returns the time including suspensions.
-func (k *suspendableClock) Boot() time.Time { return time.Now().Add(time.Duration(k.suspended.Load())) }
+// BootNow returns the time including suspensions.
+func (k *suspendableClock) BootNow() time.Time { return time.Now().Add(time.Duration(k.suspended.Load())) }
 
 // NewTicker returns a ticker made of function timers. The race detector crashes on channel timers in a synctest bubble: when several
 // goroutines look at channel timers that are due at the same instant, the runtime runs them concurrently in one detector context.
@@ -52,8 +52,8 @@
 	}
 }
 
-// NoteSuspension returns the suspension time that wasn't noted yet.
-func (k *suspendableClock) NoteSuspension() time.Duration {
+// DetectSuspension returns the suspension time that wasn't noted yet.
+func (k *suspendableClock) DetectSuspension() time.Duration {
 	total := k.suspended.Load()
 	return time.Duration(total - k.noted.Swap(total))
 }
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -77,7 +77,7 @@
 	if !n.countsAgainstQuota(q) {
 		return nil
 	}
-	requestedAt := clock.Boot(n.clock) // tokens expire while the VM is suspended, too
+	requestedAt := clock.BootNow(n.clock) // tokens expire while the VM is suspended, too
 	n.quotas.mu.Lock()
 	ok, want := n.quotas.pool.Take(requestedAt, q.team.Name)
 	n.quotas.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
-	n.quotas.pool.ReturnToken(clock.Boot(n.clock), q.team.Name)
+	n.quotas.pool.ReturnToken(clock.BootNow(n.clock), q.team.Name)
 }
 
 // requestTokens requests tokens from the owner in this zone, and if it has none from the owners in the other zones in random order. It returns
@@ -144,7 +144,7 @@
 // whether the owner has answered now or a moment ago.
 func (n *Node) requestTokensFromZone(ctx context.Context, zone string, team *desired.Team, want int) (tokens int, reached bool) {
 	n.quotas.mu.Lock()
-	mayHaveTokens := n.quotas.pool.MayHaveTokens(clock.Boot(n.clock), team.Name, zone)
+	mayHaveTokens := n.quotas.pool.MayHaveTokens(clock.BootNow(n.clock), team.Name, zone)
 	n.quotas.mu.Unlock()
 	if !mayHaveTokens {
 		return 0, true
@@ -152,7 +152,7 @@
 	a, ok := n.requestTokensFromOwner(ctx, zone, team, want)
 	if ok && a.Tokens == 0 {
 		n.quotas.mu.Lock()
-		n.quotas.pool.MarkEmpty(team.Name, zone, clock.Boot(n.clock).Add(a.Wait))
+		n.quotas.pool.MarkEmpty(team.Name, zone, clock.BootNow(n.clock).Add(a.Wait))
 		n.quotas.mu.Unlock()
 	}
 	return a.Tokens, ok
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -457,7 +457,7 @@
 	s.waitUntilAccepted("kb1")
 	n := s.nodes[0]
 	n.quotas.mu.Lock()
-	n.quotas.pool.AddGranted(clock.Boot(k), "blue", 5)
+	n.quotas.pool.AddGranted(clock.BootNow(k), "blue", 5)
 	n.quotas.mu.Unlock()
 	s.store.turnAway(n.ip, true)
 	for i := range 20 { // a request or the control goroutine may notice the suspension first
@@ -465,7 +465,7 @@
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
 		c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 		n.quotas.mu.Lock()
-		inHand, _ := n.quotas.pool.Take(clock.Boot(k), "blue")
+		inHand, _ := n.quotas.pool.Take(clock.BootNow(k), "blue")
 		n.quotas.mu.Unlock()
 		c.Assert(inHand, qt.IsFalse)
 	}
