--- a/pkg/settings/doc.go
+++ b/pkg/settings/doc.go
@@ -1,4 +1,4 @@
 // Package settings reads and checks a daemon's settings file.
 //
-// Every fault is found in one reading and told with file, line and field.
+// Parsing reports every error of a file at once, each with file, line and field.
 package settings
--- a/pkg/settings/mechanism.go
+++ b/pkg/settings/mechanism.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Mechanism names one part of how a mesh decides, which can be switched off: to see what it is worth at a site, or
-// to go without it should it do harm.
+// Mechanism names one part of a mesh's decision making that can be switched off, to measure its benefit at a site or because it does
+// harm there.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms, by their names in setting mesh.off; Mechanisms says what happens without each.
 const (
 	RootAdmission     Mechanism = "admission"
 	MinShare          Mechanism = "least-part"
@@ -31,29 +31,29 @@
 // MechanismInfo describes one mechanism.
 type MechanismInfo struct {
 	Name Mechanism
-	Help string // what goes on without it
+	Help string // what happens while it is off
 }
 
-// Mechanisms lists them all.
+// Mechanisms lists all mechanisms in the order of the documentation.
 var Mechanisms = []MechanismInfo{
-	{RootAdmission, "all root requests are taken in, whatever the services below can carry"},
-	{MinShare, "the most urgent kinds may take all of a service"},
-	{CostWeight, "kinds of one rank get the same share, whatever they take of the tightest service"},
-	{UsableSlots, "a gate that turns requests away is planned with in full"},
-	{LateCalls, "a call that is seen after its run's time limit is taken for another run's"},
-	{LearnedMemory, "a node that starts knows nothing of which requests make which calls, what they cost and how many come"},
-	{Retries, "no request is sent to a second server once one has got it"},
-	{PreferOwnZone, "servers of all availability zones are compared alike"},
-	{SlowdownFactor, "servers are compared by use alone, not by how fast they are"},
-	{SuccessRate, "a server that fails is compared like any other"},
-	{UnresponsivePeers, "a node that has fallen silent is sent to until requests to it time out, and so are connections that have"},
+	{RootAdmission, "all root requests are admitted, whatever load the services that they call can carry"},
+	{MinShare, "the most urgent kinds may use all of a service's capacity"},
+	{CostWeight, "kinds of one rank get the same share, whatever they cost at the bottleneck service"},
+	{UsableSlots, "the plan counts on all slots of a server, also while its gate rejects requests"},
+	{LateCalls, "a call that is seen after its run's time limit is attributed to another run"},
+	{LearnedMemory, "a node starts without knowing which requests make which calls, what they cost and how many arrive"},
+	{Retries, "no request is sent to a second server once one has received it"},
+	{PreferOwnZone, "servers of all availability zones are treated alike"},
+	{SlowdownFactor, "servers are compared by utilization alone, not by their slowdown factor"},
+	{SuccessRate, "a server whose requests fail is treated like any other"},
+	{UnresponsivePeers, "unresponsive nodes and connections are used until requests on them time out"},
 	{PackedHeaders, "headers between availability zones are sent as text"},
-	{GateOrder, "a server's queue is in the order of arrival"},
-	{KindHoldTimes, "whether a request can end in time goes by the average of all kinds"},
-	{Quarantine, "a request that ends the servers that run it goes on to others like any request"},
+	{GateOrder, "a server's queue is in order of arrival"},
+	{KindHoldTimes, "whether a request can finish in time is estimated from the average slot hold time of all kinds"},
+	{Quarantine, "a request that crashes its servers is sent to further servers like any other"},
 }
 
-// DisabledMechanisms returns the mechanisms that are switched off.
+// DisabledMechanisms returns the set of mechanisms that are switched off.
 func (m *Mesh) DisabledMechanisms() map[Mechanism]bool {
 	off := make(map[Mechanism]bool, len(m.Off))
 	for _, x := range m.Off {
@@ -62,12 +62,12 @@
 	return off
 }
 
-// known tells whether there is such a mechanism.
+// known reports whether the mechanism exists.
 func (x Mechanism) known() bool {
 	return slices.ContainsFunc(Mechanisms, func(i MechanismInfo) bool { return i.Name == x })
 }
 
-// mechanismNames lists the names, for error messages.
+// mechanismNames returns the names of all mechanisms, separated by commas, for error messages.
 func mechanismNames() string {
 	names := make([]string, 0, len(Mechanisms))
 	for _, i := range Mechanisms {
@@ -76,11 +76,11 @@
 	return strings.Join(names, ", ")
 }
 
-// mechanisms checks the list of those that are switched off.
+// mechanisms checks the names in setting mesh.off.
 func (c *checker) mechanisms(off []Mechanism) {
 	for _, x := range off {
 		if !x.known() {
-			c.fail("mesh.off", "%q is no mechanism; there are %s", string(x), mechanismNames())
+			c.fail("mesh.off", "unknown mechanism %q; the mechanisms are %s", string(x), mechanismNames())
 		}
 	}
 }
--- a/pkg/settings/mechanism_test.go
+++ b/pkg/settings/mechanism_test.go
@@ -32,10 +32,10 @@
 	var invalid *config.InvalidError
 	c.Assert(errors.As(err, &invalid), qt.IsTrue)
 	c.Assert(invalid.Faults, qt.HasLen, 1)
-	c.Assert(err.Error(), qt.Contains, `"speed" is no mechanism; there are admission, least-part`)
+	c.Assert(err.Error(), qt.Contains, `unknown mechanism "speed"; the mechanisms are admission, least-part`)
 }
 
-func TestPageHasEveryMechanism(t *testing.T) {
+func TestDocumentationListsEveryMechanism(t *testing.T) {
 	c := qt.New(t)
 	rows, err := docpage.Rows("../../docs/OPERATIONS.md")
 	c.Assert(err, qt.IsNil)
@@ -49,7 +49,7 @@
 	c.Assert(strings.Contains(string(page), "mesh.off"), qt.IsTrue)
 }
 
-func TestHoldTimesAreChecked(t *testing.T) {
+func TestInvalidQuarantineTimesAreRejected(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Replace(meshSettings, "off: [%s]", "heldBack: {suspect: -1s, first: 30m, times: 1000, most: 10m}", 1)
 	_, err := Parse("d.yaml", []byte(text))
@@ -57,8 +57,8 @@
 	for _, field := range []string{"mesh.heldBack.suspect", "mesh.heldBack.times", "mesh.heldBack.most"} {
 		c.Check(err.Error(), qt.Contains, field)
 	}
-	rules := QuarantineTimes{First: time.Minute}.Policy()
-	rules.SetDefaults()
-	c.Assert(rules.FirstQuarantine, qt.Equals, time.Minute)
-	c.Assert(rules.QuarantineFactor > 1, qt.IsTrue)
+	policy := QuarantineTimes{First: time.Minute}.Policy()
+	policy.SetDefaults()
+	c.Assert(policy.FirstQuarantine, qt.Equals, time.Minute)
+	c.Assert(policy.QuarantineFactor > 1, qt.IsTrue)
 }
--- a/pkg/settings/mesh_settings.go
+++ b/pkg/settings/mesh_settings.go
@@ -7,62 +7,63 @@
 	"github.com/rockspoke/rockspoke/pkg/poison"
 )
 
-// Mesh is set where the daemon finds the others by itself, and every request begins beside a backend
-// server. Keys, labels and a list of VMs aren't used then.
+// Mesh holds the settings of a node of a mesh: nodes find one another, and every request enters at the node of a VM with a backend
+// server. Settings of keys and labels, and the list of VMs, aren't used then.
 type Mesh struct {
 	Grace       time.Duration `yaml:"grace"`                 // between SIGTERM and SIGKILL
-	Apply       time.Duration `yaml:"apply,omitempty"`       // a change of the desired state is in force within it
-	RetryRatio  float64       `yaml:"retryRatio,omitempty"`  // repeats a service may see, as a share of its requests
-	RetrySlack  float64       `yaml:"retrySlack,omitempty"`  // repeats beyond that share in one window
-	RetryWindow time.Duration `yaml:"retryWindow,omitempty"` // window of both
-	// StrictRevoke tells that no request runs with a key that was taken away, once it was sent later than Revoke after the confirmation
-	// of the desired state that took it away, whatever the node can reach.
+	Apply       time.Duration `yaml:"apply,omitempty"`       // time within which a change of the desired state is in force
+	RetryRatio  float64       `yaml:"retryRatio,omitempty"`  // retries that a service may receive, as a share of its requests
+	RetrySlack  float64       `yaml:"retrySlack,omitempty"`  // further retries in one window, beyond that share
+	RetryWindow time.Duration `yaml:"retryWindow,omitempty"` // window for RetryRatio and RetrySlack
+	// StrictRevoke guarantees that a request with a revoked key doesn't run if it was sent more than Revoke after the confirmation of the
+	// desired state that revoked the key, even if the node is partitioned.
 	StrictRevoke bool          `yaml:"strictRevoke,omitempty"`
 	Revoke       time.Duration `yaml:"revoke,omitempty"`
-	// QuotaWindow is the time over which a team's requests are counted; without it quotas aren't kept. QuotaExcess is the share of
-	// what the quota allows in a window that may run beyond it, and QuotaSlack how many requests beyond that.
+	// QuotaWindow is the time over which a team's requests are counted; if it is 0, quotas aren't enforced. QuotaExcess is the share of
+	// the quota of a window by which a team may exceed it, and QuotaSlack is a number of requests allowed beyond that.
 	QuotaWindow time.Duration `yaml:"quotaWindow,omitempty"`
 	QuotaExcess float64       `yaml:"quotaExcess,omitempty"`
 	QuotaSlack  float64       `yaml:"quotaSlack,omitempty"`
-	// Zones are the availability zones among which each quota is divided.
+	// Zones lists the availability zones among which each quota is divided.
 	Zones []string `yaml:"zones,omitempty"`
-	// PeerPort is the port at which the other nodes are reached, if it isn't the one that this node binds.
+	// PeerPort is the port of the other nodes, 0 if it is the port that this node binds.
 	PeerPort   int             `yaml:"peerPort,omitempty"`
 	FirstStart bool            `yaml:"firstStart,omitempty"` // the whole system starts for the first time
 	Quarantine QuarantineTimes `yaml:"heldBack,omitempty"`
-	// Off lists the mechanisms that are switched off.
+	// Off lists the mechanisms to switch off.
 	Off []Mechanism `yaml:"off,omitempty"`
 }
 
-// QuarantineTimes says for how long requests are remembered under which backend servers ended; what is left out has the defaults of package poison.
+// QuarantineTimes says how long requests that crashed backend servers are remembered and quarantined; a field that is 0 has the default of
+// package poison.
 type QuarantineTimes struct {
-	Suspect time.Duration `yaml:"suspect,omitempty"` // a request under which one or two ended
-	First   time.Duration `yaml:"first,omitempty"`   // one that ended three is held back at first
-	Factor  int           `yaml:"times,omitempty"`   // by how many times longer after each further end
-	Max     time.Duration `yaml:"most,omitempty"`    // at the longest
+	Suspect time.Duration `yaml:"suspect,omitempty"` // how long a request that crashed one or two servers is remembered
+	First   time.Duration `yaml:"first,omitempty"`   // first quarantine of a request that crashed three servers
+	Factor  int           `yaml:"times,omitempty"`   // factor by which each further crash lengthens the quarantine
+	Max     time.Duration `yaml:"most,omitempty"`    // longest quarantine
 }
 
-// Policy returns them as package poison goes by them.
+// Policy returns the times as a policy of package poison, without its defaults.
 func (h QuarantineTimes) Policy() poison.Policy {
 	return poison.Policy{SuspectRetention: h.Suspect, FirstQuarantine: h.First, QuarantineFactor: h.Factor, MaxQuarantine: h.Max}
 }
 
-// maxHeld is the longest time that a request may be held back.
-const maxHeld = 24 * time.Hour
+// maxQuarantine is the highest value of each of QuarantineTimes' durations.
+const maxQuarantine = 24 * time.Hour
 
-// The bounds of the settings about teams.
+// The limits of the settings about teams.
 const (
-	// leastRevoke is the shortest time within which keys can be taken away: a proof takes some calls between nodes.
-	leastRevoke = time.Second
-	// leastQuotaWindow is the shortest time over which requests are counted: some times that for which nodes have tokens in hand.
-	leastQuotaWindow = time.Second
-	maxQuotaExcess   = 10.0
+	// minRevoke is the shortest time within which keys can be revoked: a freshness proof takes several calls between nodes.
+	minRevoke = time.Second
+	// minQuotaWindow is the shortest time over which requests are counted: a small multiple of the time for which nodes hold tokens.
+	minQuotaWindow = time.Second
+	maxQuotaExcess = 10.0
 )
 
-// teams checks the settings about keys and quotas.
+// teams checks the settings about teams' keys and quotas.
 func (c *checker) teams(zone string, m *Mesh) {
-	if m.StrictRevoke && (m.Revoke < leastRevoke || m.Revoke > time.Hour) {
-		c.fail("mesh.revoke", "%v must be %v to 1h, with a unit, where mesh.strictRevoke is set", m.Revoke, leastRevoke)
+	if m.StrictRevoke && (m.Revoke < minRevoke || m.Revoke > time.Hour) {
+		c.fail("mesh.revoke", "%v must be %v to 1h, with a unit, where mesh.strictRevoke is set", m.Revoke, minRevoke)
 	}
 	if m.QuotaExcess < 0 || m.QuotaExcess > maxQuotaExcess {
 		c.fail("mesh.quotaExcess", "%v must be 0 to %v", m.QuotaExcess, maxQuotaExcess)
@@ -73,16 +74,16 @@
 	if m.QuotaWindow == 0 {
 		return
 	}
-	if m.QuotaWindow < leastQuotaWindow || m.QuotaWindow > time.Hour {
-		c.fail("mesh.quotaWindow", "%v must be %v to 1h, with a unit, or left out", m.QuotaWindow, leastQuotaWindow)
+	if m.QuotaWindow < minQuotaWindow || m.QuotaWindow > time.Hour {
+		c.fail("mesh.quotaWindow", "%v must be %v to 1h, with a unit, or left out", m.QuotaWindow, minQuotaWindow)
 	}
 	if !slices.Contains(m.Zones, zone) {
-		c.fail("mesh.zones", "%v must have this VM's zone %q, since quotas are divided among the zones", m.Zones, zone)
+		c.fail("mesh.zones", "%v must contain this VM's zone %q, since quotas are divided among the zones", m.Zones, zone)
 	}
 }
 
-// heldBack checks them.
-func (c *checker) heldBack(h QuarantineTimes) {
+// quarantine checks the quarantine times.
+func (c *checker) quarantine(h QuarantineTimes) {
 	for _, d := range []struct {
 		field string
 		v     time.Duration
@@ -91,22 +92,22 @@
 		{"mesh.heldBack.first", h.First},
 		{"mesh.heldBack.most", h.Max},
 	} {
-		if d.v < 0 || d.v > maxHeld {
-			c.fail(d.field, "%v must be above 0 and at most %v, with a unit", d.v, maxHeld)
+		if d.v < 0 || d.v > maxQuarantine {
+			c.fail(d.field, "%v must be above 0 and at most %v, with a unit", d.v, maxQuarantine)
 		}
 	}
-	if h.Factor < 0 || h.Factor > maxHeldTimes {
-		c.fail("mesh.heldBack.times", "%d must be 1 to %d, or left out", h.Factor, maxHeldTimes)
+	if h.Factor < 0 || h.Factor > maxQuarantineFactor {
+		c.fail("mesh.heldBack.times", "%d must be 1 to %d, or left out", h.Factor, maxQuarantineFactor)
 	}
 	if h.Max > 0 && h.Max < h.First {
 		c.fail("mesh.heldBack.most", "%v is below mesh.heldBack.first, %v", h.Max, h.First)
 	}
 }
 
-// maxHeldTimes bounds by how many times longer a request is held back after each further end.
-const maxHeldTimes = 100
+// maxQuarantineFactor is the highest value of QuarantineTimes.Factor.
+const maxQuarantineFactor = 100
 
-// Defaults of the mesh settings, the users' own bounds of today.
+// Defaults of the mesh settings, which are the limits that the users work with.
 const (
 	DefaultGrace       = 6 * time.Second
 	DefaultApply       = 2 * time.Second
@@ -115,18 +116,19 @@
 	DefaultRetryWindow = 10 * time.Second
 )
 
-func (m *Mesh) fill() {
-	fill(&m.Grace, DefaultGrace)
-	fill(&m.Apply, DefaultApply)
-	fill(&m.RetryRatio, DefaultRetryRatio)
-	fill(&m.RetrySlack, DefaultRetrySlack)
-	fill(&m.RetryWindow, DefaultRetryWindow)
+// setDefaults sets every field that is 0 to its default.
+func (m *Mesh) setDefaults() {
+	setDefault(&m.Grace, DefaultGrace)
+	setDefault(&m.Apply, DefaultApply)
+	setDefault(&m.RetryRatio, DefaultRetryRatio)
+	setDefault(&m.RetrySlack, DefaultRetrySlack)
+	setDefault(&m.RetryWindow, DefaultRetryWindow)
 }
 
 // maxPort is the highest TCP port.
 const maxPort = 1<<16 - 1
 
-// mesh checks the settings of a mesh daemon.
+// mesh checks the settings of a mesh node; s.Mesh must be set.
 func (c *checker) mesh(s *Settings) {
 	c.required("service", s.Service)
 	c.required("backend.address", s.Backend.Address)
@@ -155,7 +157,7 @@
 		c.fail("mesh.peerPort", "%d must be 1 to %d, or left out", m.PeerPort, maxPort)
 	}
 	c.mechanisms(m.Off)
-	c.heldBack(m.Quarantine)
+	c.quarantine(m.Quarantine)
 	if m.RetrySlack < 0 {
 		c.fail("mesh.retrySlack", "%v must not be negative", m.RetrySlack)
 	}
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -12,83 +12,83 @@
 type Settings struct {
 	VM      string            `yaml:"vm"`
 	Zone    string            `yaml:"zone"`
-	Service string            `yaml:"service,omitempty"` // of the backend server on this VM; empty on an entry VM
+	Service string            `yaml:"service,omitempty"` // service of the local backend server; empty on an entry VM
 	Labels  map[string]string `yaml:"labels,omitempty"`
 
 	Listen    Listen     `yaml:"listen"`
 	Backend   Backend    `yaml:"backend,omitempty"`
 	Platform  Platform   `yaml:"platform"`
-	Seeds     []string   `yaml:"seeds,omitempty"` // peer addresses asked when the platform can't be
+	Seeds     []string   `yaml:"seeds,omitempty"` // addresses of peers to query while the platform can't be reached
 	Keys      keys.Files `yaml:"keys"`
 	Log       Log        `yaml:"log,omitempty"`
 	Admission Admission  `yaml:"admission,omitempty"`
 	OnceOnly  OnceOnly   `yaml:"onceOnly,omitempty"`
 	Limits    Limits     `yaml:"limits,omitempty"`
 	Control   Control    `yaml:"control,omitempty"`
-	Mesh      *Mesh      `yaml:"mesh,omitempty"` // set: the daemon is a node of a mesh
+	Mesh      *Mesh      `yaml:"mesh,omitempty"` // if set, the daemon is a node of a mesh
 }
 
 // Listen holds the addresses that a daemon binds, as IP:port; an empty one isn't bound.
 type Listen struct {
 	Callers   string `yaml:"callers,omitempty"`   // HTTP, from callers
 	Peers     string `yaml:"peers"`               // HTTP/3 over UDP, from daemons
-	Outbound  string `yaml:"outbound,omitempty"`  // HTTP, from the backend server on this VM
+	Outbound  string `yaml:"outbound,omitempty"`  // HTTP, from the local backend server
 	Operators string `yaml:"operators,omitempty"` // HTTPS, from operators
-	Control   string `yaml:"control,omitempty"`   // HTTP, registrations of the backend server on this VM; mesh only
+	Control   string `yaml:"control,omitempty"`   // HTTP, registrations of the local backend server; mesh only
 	Ready     string `yaml:"ready,omitempty"`     // HTTP, the platform's readiness checks; mesh only
 	Metrics   string `yaml:"metrics,omitempty"`   // HTTP, metrics as text; mesh only
 }
 
-// Backend is the backend server on this VM.
+// Backend holds the settings of the local backend server.
 type Backend struct {
 	Address   string        `yaml:"address,omitempty"`   // IP:port
-	DrainPath string        `yaml:"drainPath,omitempty"` // answers with header Rockspoke-Drain: true when the server drains
-	Ramp      time.Duration `yaml:"ramp,omitempty"`      // cold start: time to reach the full limit
-	// StopWait is the longest time that a planned stop waits for calls in progress.
+	DrainPath string        `yaml:"drainPath,omitempty"` // its response has header Rockspoke-Drain: true while the server drains
+	Ramp      time.Duration `yaml:"ramp,omitempty"`      // time after a cold start until the full concurrency limit is used
+	// StopWait is the longest time that a planned stop waits for calls in flight.
 	StopWait time.Duration `yaml:"stopWait,omitempty"`
 }
 
-// Platform says how the users' platform is reached.
+// Platform holds how to reach the users' platform.
 type Platform struct {
-	URL     string        `yaml:"url"`               // of the HTTP adapter
-	Timeout time.Duration `yaml:"timeout,omitempty"` // of one call
+	URL     string        `yaml:"url"`               // base URL of the HTTP adapter
+	Timeout time.Duration `yaml:"timeout,omitempty"` // for one call
 }
 
-// Log holds the levels of logs: debug, info, warn or error.
+// Log holds the log level of the daemon and of single parts: debug, info, warn or error.
 type Log struct {
 	Level string            `yaml:"level,omitempty"`
 	Parts map[string]string `yaml:"parts,omitempty"`
 }
 
-// Admission bounds the queue before the backend server.
+// Admission holds the limits of the queue in front of the local backend server.
 type Admission struct {
 	Target     time.Duration `yaml:"target,omitempty"`     // queue delay that counts as overload
-	MaxSojourn time.Duration `yaml:"maxSojourn,omitempty"` // longest wait
-	Floor      int           `yaml:"floor,omitempty"`      // least concurrency limit
+	MaxSojourn time.Duration `yaml:"maxSojourn,omitempty"` // longest time in the queue
+	Floor      int           `yaml:"floor,omitempty"`      // lowest concurrency limit
 }
 
-// OnceOnly bounds the memory of keys.
+// OnceOnly holds the limits of the idempotency keys that are remembered, with their recorded answers.
 type OnceOnly struct {
-	Window      time.Duration `yaml:"window,omitempty"`      // repeat window: records are kept for this time
-	TokenLife   time.Duration `yaml:"tokenLife,omitempty"`   // a token starts a run within this time
+	Window      time.Duration `yaml:"window,omitempty"`      // records are retained for this time, in which a retry finds them
+	TokenLife   time.Duration `yaml:"tokenLife,omitempty"`   // a token is valid for starting a run for this time
 	MaxKeys     int           `yaml:"maxKeys,omitempty"`     // keys remembered
-	AnswerBytes int           `yaml:"answerBytes,omitempty"` // recorded answers together
+	AnswerBytes int           `yaml:"answerBytes,omitempty"` // total size of the recorded answers
 }
 
-// Limits bounds what comes from outside.
+// Limits holds the limits of connections and requests from outside.
 type Limits struct {
-	RequestBytes int64         `yaml:"requestBytes,omitempty"` // body of a request
-	HeaderBytes  int           `yaml:"headerBytes,omitempty"`  // header of a request
+	RequestBytes int64         `yaml:"requestBytes,omitempty"` // size of a request body
+	HeaderBytes  int           `yaml:"headerBytes,omitempty"`  // size of a request header
 	Connections  int           `yaml:"connections,omitempty"`  // callers' connections
-	Streams      int64         `yaml:"streams,omitempty"`      // calls in progress on one peer connection
+	Streams      int64         `yaml:"streams,omitempty"`      // calls in flight on one peer connection
 	SlowCaller   time.Duration `yaml:"slowCaller,omitempty"`   // longest time to send a request
 }
 
-// Control holds the periods of control work.
+// Control holds the periods and sizes of the exchange of control state.
 type Control struct {
-	Exchange  time.Duration `yaml:"exchange,omitempty"`  // between exchanges with one neighbour
-	PollHead  time.Duration `yaml:"pollHead,omitempty"`  // between readings of the table
-	PollList  time.Duration `yaml:"pollList,omitempty"`  // between readings of the list of VMs
+	Exchange  time.Duration `yaml:"exchange,omitempty"`  // time between exchanges with one neighbour
+	PollHead  time.Duration `yaml:"pollHead,omitempty"`  // time between reads of the table
+	PollList  time.Duration `yaml:"pollList,omitempty"`  // time between reads of the list of VMs
 	Neighbors int           `yaml:"neighbors,omitempty"` // daemons that this one exchanges control state with
 	Subset    int           `yaml:"subset,omitempty"`    // servers of one service that this daemon calls
 }
@@ -109,35 +109,36 @@
 	DefaultNeighbors       = 6
 )
 
-// SetDefaults sets what was left out to its default.
+// SetDefaults sets every optional setting that is left out to its default.
 func (s *Settings) SetDefaults() {
-	fill(&s.Platform.Timeout, DefaultPlatformTimeout)
-	fill(&s.Backend.Ramp, DefaultRamp)
-	fill(&s.Backend.StopWait, DefaultStopWait)
-	fill(&s.Admission.Target, admission.DefaultTarget)
-	fill(&s.Admission.MaxSojourn, admission.DefaultMaxSojourn)
-	fill(&s.OnceOnly.Window, onceonly.DefaultWindow)
-	fill(&s.OnceOnly.TokenLife, onceonly.DefaultTokenLife)
-	fill(&s.OnceOnly.MaxKeys, onceonly.DefaultMaxKeys)
-	fill(&s.OnceOnly.AnswerBytes, onceonly.DefaultAnswerBytes)
-	fill(&s.Limits.RequestBytes, DefaultRequestBytes)
-	fill(&s.Limits.HeaderBytes, DefaultHeaderBytes)
-	fill(&s.Limits.Connections, DefaultConnections)
-	fill(&s.Limits.Streams, DefaultStreams)
-	fill(&s.Limits.SlowCaller, DefaultSlowCaller)
-	fill(&s.Control.Exchange, DefaultExchange)
-	fill(&s.Control.PollHead, DefaultPollHead)
-	fill(&s.Control.PollList, DefaultPollList)
-	fill(&s.Control.Neighbors, DefaultNeighbors)
+	setDefault(&s.Platform.Timeout, DefaultPlatformTimeout)
+	setDefault(&s.Backend.Ramp, DefaultRamp)
+	setDefault(&s.Backend.StopWait, DefaultStopWait)
+	setDefault(&s.Admission.Target, admission.DefaultTarget)
+	setDefault(&s.Admission.MaxSojourn, admission.DefaultMaxSojourn)
+	setDefault(&s.OnceOnly.Window, onceonly.DefaultWindow)
+	setDefault(&s.OnceOnly.TokenLife, onceonly.DefaultTokenLife)
+	setDefault(&s.OnceOnly.MaxKeys, onceonly.DefaultMaxKeys)
+	setDefault(&s.OnceOnly.AnswerBytes, onceonly.DefaultAnswerBytes)
+	setDefault(&s.Limits.RequestBytes, DefaultRequestBytes)
+	setDefault(&s.Limits.HeaderBytes, DefaultHeaderBytes)
+	setDefault(&s.Limits.Connections, DefaultConnections)
+	setDefault(&s.Limits.Streams, DefaultStreams)
+	setDefault(&s.Limits.SlowCaller, DefaultSlowCaller)
+	setDefault(&s.Control.Exchange, DefaultExchange)
+	setDefault(&s.Control.PollHead, DefaultPollHead)
+	setDefault(&s.Control.PollList, DefaultPollList)
+	setDefault(&s.Control.Neighbors, DefaultNeighbors)
 	if s.Mesh != nil {
-		s.Mesh.fill()
+		s.Mesh.setDefaults()
 	}
 	if s.Log.Level == "" {
 		s.Log.Level = "info"
 	}
 }
 
-func fill[T comparable](p *T, def T) {
+// setDefault sets *p to def if it has the zero value.
+func setDefault[T comparable](p *T, def T) {
 	var zero T
 	if *p == zero {
 		*p = def
--- a/pkg/settings/settings_check.go
+++ b/pkg/settings/settings_check.go
@@ -17,7 +17,7 @@
 	"github.com/rockspoke/rockspoke/pkg/config"
 )
 
-// Load reads, checks and fills a settings file; the error is a *config.InvalidError with every fault.
+// Load reads and checks a settings file and sets defaults; the error is a *config.InvalidError with every error found.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return Parse(path, data)
 }
 
-// Parse is Load for the bytes of a file.
+// Parse does what Load does for the content of a file; path is only for error messages.
 func Parse(path string, data []byte) (Settings, error) {
 	var (
 		s    Settings
@@ -50,19 +50,21 @@
 	return s, nil
 }
 
+// checker collects the errors of one settings file.
 type checker struct {
 	file   string
-	root   *yaml.Node
+	root   *yaml.Node // nil if the file isn't valid YAML or is empty
 	faults []config.FieldError
 }
 
+// fail adds an error about a dotted field.
 func (c *checker) fail(field, format string, args ...any) {
 	c.faults = append(c.faults, config.FieldError{
 		File: c.file, Line: c.line(field), Field: field, Msg: fmt.Sprintf(format, args...),
 	})
 }
 
-// line returns the line of a dotted field, or of its nearest parent that is there.
+// line returns the line of a dotted field, or of its nearest parent in the file; 0 if there is no YAML.
 func (c *checker) line(field string) int {
 	if c.root == nil {
 		return 0
@@ -70,6 +72,7 @@
 	return config.LineOf(c.root, field)
 }
 
+// check adds an error for every setting that is missing or invalid.
 func (c *checker) check(s *Settings) {
 	c.required("vm", s.VM)
 	c.required("zone", s.Zone)
@@ -95,14 +98,16 @@
 	c.numbers(s)
 }
 
+// required adds an error if a setting is empty.
 func (c *checker) required(field, v string) {
 	if v == "" {
 		c.fail(field, "must be set")
 	}
 }
 
+// addresses checks the addresses of listeners, backend server and seeds, and that no two TCP addresses are equal.
 func (c *checker) addresses(s *Settings) {
-	// Peers listen on UDP, the others on TCP, so only the latter can clash.
+	// The listener for peers is on UDP and the others are on TCP, so it can't conflict with them.
 	taken := map[string]string{}
 	for _, l := range []struct{ field, addr string }{
 		{"listen.callers", s.Listen.Callers},
@@ -117,7 +122,7 @@
 		}
 		c.address(l.field, l.addr)
 		if other, ok := taken[l.addr]; ok {
-			c.fail(l.field, "%s is the address of %s already", l.addr, other)
+			c.fail(l.field, "%s is already the address of %s", l.addr, other)
 		}
 		taken[l.addr] = l.field
 	}
@@ -129,16 +134,18 @@
 	}
 }
 
+// address checks that a is one IP address with a port.
 func (c *checker) address(field, a string) {
 	ap, err := netip.ParseAddrPort(a)
 	switch {
 	case err != nil:
-		c.fail(field, "%q isn't an IP number and port", a)
+		c.fail(field, "%q isn't an IP address and port", a)
 	case ap.Addr().IsUnspecified():
 		c.fail(field, "%q must name one address of this VM", a)
 	}
 }
 
+// platform checks the URL of the platform.
 func (c *checker) platform(p Platform) {
 	u, err := url.Parse(p.URL)
 	if err != nil || u.Host == "" || !strings.HasPrefix(u.Scheme, "http") {
@@ -146,6 +153,7 @@
 	}
 }
 
+// keyFiles checks that every key file is set and exists.
 func (c *checker) keyFiles(s *Settings) {
 	for _, f := range []struct{ field, path string }{
 		{"keys.ca", s.Keys.CA},
@@ -163,6 +171,7 @@
 	}
 }
 
+// levels checks all log levels.
 func (c *checker) levels(l Log) {
 	c.level("log.level", l.Level)
 	for part, v := range l.Parts {
@@ -170,18 +179,20 @@
 	}
 }
 
+// level checks one log level; an empty one is valid.
 func (c *checker) level(field, v string) {
 	var level slog.Level
 	if v != "" && level.UnmarshalText([]byte(v)) != nil {
-		c.fail(field, "%q is none of debug, info, warn, error", v)
+		c.fail(field, "%q must be one of debug, info, warn, error", v)
 	}
 }
 
+// durations checks the ranges of durations, and that once-only records outlive the tokens.
 func (c *checker) durations(s *Settings) {
 	for _, d := range []struct {
 		field string
 		v     time.Duration
-		most  time.Duration
+		max   time.Duration
 	}{
 		{"backend.ramp", s.Backend.Ramp, 10 * time.Minute},
 		{"backend.stopWait", s.Backend.StopWait, time.Hour},
@@ -195,8 +206,8 @@
 		{"control.pollHead", s.Control.PollHead, 10 * time.Minute},
 		{"control.pollList", s.Control.PollList, 10 * time.Minute},
 	} {
-		if d.v != 0 && (d.v < time.Millisecond || d.v > d.most) {
-			c.fail(d.field, "%v must be 1ms to %v, with a unit", d.v, d.most)
+		if d.v != 0 && (d.v < time.Millisecond || d.v > d.max) {
+			c.fail(d.field, "%v must be 1ms to %v, with a unit", d.v, d.max)
 		}
 	}
 	window, life := s.OnceOnly.Window, s.OnceOnly.TokenLife
@@ -205,6 +216,7 @@
 	}
 }
 
+// numbers checks that no number is negative.
 func (c *checker) numbers(s *Settings) {
 	for _, n := range []struct {
 		field string
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"github.com/rockspoke/rockspoke/pkg/config"
 )
 
-// keyFiles makes empty key files and moves into their folder, since settings name them relatively.
-func keyFiles(t *testing.T, names ...string) {
+// makeKeyFiles makes empty key files in a temporary directory and changes to it, since the settings have relative paths.
+func makeKeyFiles(t *testing.T, names ...string) {
 	t.Helper()
 	dir := t.TempDir()
 	qt.Assert(t, os.Mkdir(filepath.Join(dir, "keys"), 0o700), qt.IsNil)
@@ -23,7 +23,7 @@
 	t.Chdir(dir)
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	c := qt.New(t)
 	var files []string
 	for _, deployment := range []string{"volta", "fraser-bend"} {
@@ -33,18 +33,18 @@
 			files = append(files, f)
 		}
 	}
-	keyFiles(t, "ca.crt", "token.secret", "entry-0.crt", "entry-0.key",
+	makeKeyFiles(t, "ca.crt", "token.secret", "entry-0.crt", "entry-0.key",
 		"hire-ledger-0.crt", "hire-ledger-0.key", "booking-0.crt", "booking-0.key")
 	for _, f := range files {
 		s, err := Load(f)
 		c.Assert(err, qt.IsNil)
-		c.Assert(s.Control.Neighbors, qt.Equals, DefaultNeighbors, qt.Commentf("defaults are filled in"))
+		c.Assert(s.Control.Neighbors, qt.Equals, DefaultNeighbors, qt.Commentf("defaults must be set"))
 	}
 }
 
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+func TestParseReportsEveryErrorWithItsLine(t *testing.T) {
 	c := qt.New(t)
-	keyFiles(t, "ca.crt")
+	makeKeyFiles(t, "ca.crt")
 	_, err := Parse("d.yaml", []byte(`vm: a
 service: s
 colour: red
--- a/pkg/settings/team_settings_test.go
+++ b/pkg/settings/team_settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/rockspoke/rockspoke/pkg/config"
 )
 
-// meshFile is a sound settings file up to its mesh section.
+// meshFile is a valid settings file that ends in its mesh section, so that a test can append mesh settings.
 const meshFile = `vm: a
 zone: z1
 service: s
@@ -36,7 +36,7 @@
 	c.Check(s.Mesh.Zones, qt.DeepEquals, []string{"z1", "z2"})
 }
 
-func TestFaultsOfTeamSettings(t *testing.T) {
+func TestInvalidTeamSettingsAreRejected(t *testing.T) {
 	c := qt.New(t)
 	for field, lines := range map[string]string{
 		"mesh.revoke":      "  strictRevoke: true\n",
