--- a/pkg/store/http_adapter.go
+++ b/pkg/store/http_adapter.go
@@ -13,13 +13,13 @@
 	"github.com/rockspoke/rockspoke/pkg/member"
 )
 
-// HTTP is a client of the stand-in's protocol.
+// HTTP is a client of the JSON protocol of Server.
 type HTTP struct {
 	URL    string       // base, as in http://127.0.0.1:7000
 	Client *http.Client // nil means http.DefaultClient
 }
 
-// Platform returns the functions that act over HTTP.
+// Platform returns functions that make their calls over HTTP.
 func (h HTTP) Platform() Platform {
 	return Platform{
 		Read: func(ctx context.Context, keys []string) (map[string]Row, error) {
@@ -44,6 +44,7 @@
 	}
 }
 
+// call posts in as JSON and decodes the response into out; the error is a *ConflictError, *RefusedError or *UnknownError.
 func (h HTTP) call(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -59,7 +60,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return lostOrRefused(err)
+		return classifyError(err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
@@ -67,7 +68,7 @@
 		return &UnknownError{err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return readFailure(resp.StatusCode, data)
+		return decodeFailure(resp.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
 		return &UnknownError{err}
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// lostOrRefused tells a call that never left from one whose answer was lost.
-func lostOrRefused(err error) error {
+// classifyError returns a *RefusedError if the connection failed, so that the call had no effect, and an *UnknownError otherwise.
+func classifyError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &RefusedError{err.Error()}
@@ -84,10 +85,11 @@
 	return &UnknownError{err}
 }
 
-func readFailure(status int, data []byte) error {
+// decodeFailure returns the error in the body of a response whose status isn't 200.
+func decodeFailure(status int, data []byte) error {
 	var f failure
 	if err := json.Unmarshal(data, &f); err != nil {
-		return &UnknownError{fmt.Errorf("status %d without a reason", status)}
+		return &UnknownError{fmt.Errorf("status %d without a valid error body", status)}
 	}
 	if f.Kind == failConflict && f.Conflict != nil {
 		return f.Conflict
--- a/pkg/store/http_server.go
+++ b/pkg/store/http_server.go
@@ -9,44 +9,47 @@
 	"github.com/rockspoke/rockspoke/pkg/member"
 )
 
-// The paths of the stand-in's protocol; each takes POST with a JSON body.
+// The paths of the protocol; each takes POST with a JSON body.
 const (
 	pathRead      = "/table/read"
 	pathCommit    = "/table/commit"
 	pathPutObject = "/objects/put"
 	pathGetObject = "/objects/get"
 	pathVMs       = "/vms"
-	// PathSetVMs replaces the list of VMs; it is for tests of the system only.
+	// PathSetVMs replaces the list of VMs; only tests of the system use it.
 	PathSetVMs = "/vms/set"
-	// PathSetFaults replaces the Faults; it is for tests of the system only.
+	// PathSetFaults replaces the Faults; only tests of the system use it.
 	PathSetFaults = "/faults/set"
 )
 
-// maxBody bounds a body of the protocol in bytes.
+// maxBody is the size limit of request and response bodies in bytes.
 const maxBody = 16 << 20
 
+// readRequest is the body of a request to pathRead.
 type readRequest struct {
 	Keys []string `json:"keys"`
 }
 
+// object is the body of requests to pathPutObject and pathGetObject, and of the latter's response.
 type object struct {
 	Name string `json:"name"`
 	Data []byte `json:"data,omitempty"`
 }
 
+// failure is the body of a response whose status isn't 200.
 type failure struct {
 	Kind     string         `json:"kind"`
 	Msg      string         `json:"msg"`
 	Conflict *ConflictError `json:"conflict,omitempty"`
 }
 
-// The kinds of failure.
+// The values of failure.Kind.
 const (
 	failConflict = "conflict"
 	failRefused  = "refused"
 )
 
-// Server serves a Memory over HTTP as the stand-in for the users' platform.
+// Server returns a handler that serves a Memory over HTTP, as a simulation of the users' platform.
 func Server(m *Memory) http.Handler {
 	p := m.Platform()
 	mux := http.NewServeMux()
@@ -77,6 +80,7 @@
 	return mux
 }
 
+// serve returns a handler that decodes the request body, calls fn, and writes its result or error as JSON.
 func serve[In any](fn func(*http.Request, In) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -93,7 +97,7 @@
 		case err == nil:
 			writeJSON(w, http.StatusOK, out)
 		case errors.As(err, &unknown):
-			panic(http.ErrAbortHandler) // a lost answer is a broken connection
+			panic(http.ErrAbortHandler) // simulates a lost response by closing the connection
 		case errors.As(err, &conflict):
 			writeJSON(w, http.StatusConflict, failure{failConflict, err.Error(), conflict})
 		default:
@@ -102,8 +106,9 @@
 	}
 }
 
+// writeJSON writes a response with v as its body.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that left is told nothing
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/pkg/store/memory_adapter.go
+++ b/pkg/store/memory_adapter.go
@@ -10,14 +10,14 @@
 	"github.com/rockspoke/rockspoke/pkg/member"
 )
 
-// Faults are the ways in which a Memory fails on request.
+// Faults are the faults that a Memory can simulate.
 type Faults struct {
-	Down       bool          `json:"down"`        // refuse every call
-	LoseAnswer bool          `json:"lose_answer"` // make commits take effect and lose their answers
-	Delay      time.Duration `json:"delay"`       // wait before each call
+	Down       bool          `json:"down"`        // reject every call
+	LoseAnswer bool          `json:"lose_answer"` // commits take effect, but their responses are lost
+	Delay      time.Duration `json:"delay"`       // delay of each call
 }
 
-// Memory is a platform held in memory; its zero value is empty and well.
+// Memory is a simulated platform in memory; its zero value is empty and has no faults.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[string]Row
@@ -28,31 +28,31 @@
 	commits int64
 }
 
-// errLost is the cause of answers that are lost on request.
-var errLost = errors.New("lost on request")
+// errLostResponse is the cause of simulated lost responses.
+var errLostResponse = errors.New("simulated loss of the response")
 
-// SetFaults changes the ways in which the platform fails.
+// SetFaults replaces the simulated faults.
 func (m *Memory) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
-// SetVMs changes the list of VMs.
+// SetVMs replaces the list of VMs.
 func (m *Memory) SetVMs(vms []member.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.vms = slices.Clone(vms)
 }
 
-// Counts returns how many reads and commits were served.
+// Counts returns the numbers of reads and commits served.
 func (m *Memory) Counts() (reads, commits int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reads, m.commits
 }
 
-// Platform returns the functions that act on the Memory.
+// Platform returns functions that operate on the Memory.
 func (m *Memory) Platform() Platform {
 	return Platform{
 		Read: m.read, Commit: m.commit,
@@ -60,8 +60,8 @@
 	}
 }
 
-// enter waits and fails as the faults say; it locks the Memory when it returns nil.
-func (m *Memory) enter(ctx context.Context) error {
+// lockOrFail simulates the faults: it waits for the delay and may return a *RefusedError. If it returns nil, it has locked m.mu.
+func (m *Memory) lockOrFail(ctx context.Context) error {
 	m.mu.Lock()
 	f := m.faults
 	m.mu.Unlock()
@@ -80,7 +80,7 @@
 }
 
 func (m *Memory) read(ctx context.Context, keys []string) (map[string]Row, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.lockOrFail(ctx); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -95,7 +95,7 @@
 }
 
 func (m *Memory) commit(ctx context.Context, tx Tx) error {
-	if err := m.enter(ctx); err != nil {
+	if err := m.lockOrFail(ctx); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
@@ -112,13 +112,13 @@
 		m.rows[w.Key] = Row{Value: slices.Clone(w.Value), Version: m.rows[w.Key].Version + 1}
 	}
 	if m.faults.LoseAnswer {
-		return &UnknownError{errLost}
+		return &UnknownError{errLostResponse}
 	}
 	return nil
 }
 
 func (m *Memory) putObject(ctx context.Context, name string, data []byte) error {
-	if err := m.enter(ctx); err != nil {
+	if err := m.lockOrFail(ctx); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
@@ -130,7 +130,7 @@
 }
 
 func (m *Memory) getObject(ctx context.Context, name string) ([]byte, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.lockOrFail(ctx); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -142,7 +142,7 @@
 }
 
 func (m *Memory) listVMs(ctx context.Context) ([]member.VM, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.lockOrFail(ctx); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
