--- a/pkg/logging/doc.go
+++ b/pkg/logging/doc.go
@@ -1,5 +1,5 @@
-// Package logging gives each part of a daemon a logger with a fixed prefix and a level of its own.
+// Package logging makes a logger for each part of a daemon, with the part's prefix and level.
 //
-// Lines that repeat within a second are counted instead of written, beyond a number that the Factory sets.
-// A Queue before the writer keeps a reader that stalls from holding up whoever logs.
+// Beyond a number of lines per second and message, which the Factory sets, lines are counted instead of written.
+// A Queue in front of the writer keeps a stalled reader of the log from blocking the code that logs.
 package logging
--- a/pkg/logging/line_queue_test.go
+++ b/pkg/logging/line_queue_test.go
@@ -13,7 +13,7 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// stalledWriter takes nothing until it is released.
+// stalledWriter blocks every write until release is closed.
 type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -27,7 +27,7 @@
 	return w.b.Write(p)
 }
 
-func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
+func TestStalledWriterDoesNotBlockLogging(t *testing.T) {
 	c := qt.New(t)
 	w := &stalledWriter{release: make(chan struct{})}
 	clk := clock.NewManual(time.Unix(0, 0))
@@ -37,8 +37,8 @@
 	for range 100 {
 		log.Info("refused", "request", "r")
 	}
-	left := q.Dropped()
-	c.Assert(left >= 95 && left <= 96, qt.IsTrue, qt.Commentf("%d", left))
+	dropped := q.Dropped()
+	c.Assert(dropped >= 95 && dropped <= 96, qt.IsTrue, qt.Commentf("%d", dropped))
 	close(w.release)
 	q.Close(5 * time.Second)
 	w.mu.Lock()
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestLinesOfOneMessageAreBoundedAndCounted(t *testing.T) {
+func TestLinesPerMessageAreLimitedAndCounted(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
 	clk := clock.NewManual(time.Unix(0, 0))
--- a/pkg/logging/part_logger.go
+++ b/pkg/logging/part_logger.go
@@ -10,27 +10,27 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// repeatPeriod is the time in which a repeated message is written a bounded number of times.
+// repeatPeriod is the period in which the lines of one message are limited.
 const repeatPeriod = time.Second
 
-// Levels holds the level of all parts and of single ones, as debug, info, warn or error.
+// Levels holds the default level and the levels of single parts, as debug, info, warn or error.
 type Levels struct {
 	All   string
 	Parts map[string]string
 }
 
-// Factory makes the loggers of a daemon's parts; a zero W discards every line.
+// Factory makes the loggers of a daemon's parts; if W is nil, every line is discarded.
 type Factory struct {
 	W      io.Writer
 	Levels Levels
 	Clock  clock.Clock
 	// JSON writes lines as JSON objects instead of text.
 	JSON bool
-	// PerSecond is how many lines of one message are written in a second; 0 means one.
+	// PerSecond is the most lines of one message that a part writes in a second; 0 means one.
 	PerSecond int
 }
 
-// Logger returns the logger of one part, whose lines start with its name.
+// Logger returns the logger of one part; its messages start with the part's name.
 func (f Factory) Logger(name string) *slog.Logger {
 	if f.W == nil {
 		return slog.New(slog.DiscardHandler)
@@ -42,9 +42,10 @@
 	if f.JSON {
 		h = slog.NewJSONHandler(f.W, opts)
 	}
-	return slog.New(&partHandler{next: h, prefix: name + ": ", seen: &repeats{most: max(f.PerSecond, 1)}, clock: f.Clock})
+	return slog.New(&partHandler{next: h, prefix: name + ": ", limiter: &messageLimiter{perPeriod: max(f.PerSecond, 1)}, clock: f.Clock})
 }
 
+// parseLevel returns the level that s names, or def if s is empty or invalid.
 func parseLevel(s string, def slog.Level) slog.Level {
 	var l slog.Level
 	if s == "" || l.UnmarshalText([]byte(s)) != nil {
@@ -53,20 +54,20 @@
 	return l
 }
 
-// partHandler puts the prefix before each message and limits repeated ones.
+// partHandler prefixes each message and limits the lines of each message.
 type partHandler struct {
-	next   slog.Handler
-	prefix string
-	seen   *repeats
-	clock  clock.Clock
+	next    slog.Handler
+	prefix  string
+	limiter *messageLimiter
+	clock   clock.Clock
 }
 
-// Enabled tells whether the level is written.
+// Enabled reports whether lines of the level are written.
 func (h *partHandler) Enabled(ctx context.Context, l slog.Level) bool { return h.next.Enabled(ctx, l) }
 
-// Handle writes the record unless the same message was written within the period.
+// Handle writes the record unless its message has reached its limit in the current period.
 func (h *partHandler) Handle(ctx context.Context, rec slog.Record) error {
-	dropped, ok := h.seen.pass(h.clock.Now(), rec.Message)
+	dropped, ok := h.limiter.allow(h.clock.Now(), rec.Message)
 	if !ok {
 		return nil
 	}
@@ -95,39 +96,41 @@
 	return &c
 }
 
-// repeats remembers when each message was last written.
-type repeats struct {
-	mu   sync.Mutex
-	most int // lines of one message in a period
-	last map[string]*repeat
+// messageLimiter limits the lines of each message in a period.
+type messageLimiter struct {
+	mu        sync.Mutex
+	perPeriod int // most lines of one message in a period
+	counts    map[string]*messageCount
 }
 
-type repeat struct {
-	at      time.Time // when the period began
-	written int       // in the period
+// messageCount counts the lines of one message in its current period.
+type messageCount struct {
+	start   time.Time // of the period
+	written int
 	dropped int
 }
 
-func (r *repeats) pass(now time.Time, msg string) (dropped int, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.last == nil {
-		r.last = map[string]*repeat{}
+// allow reports whether a line may be written. If the line starts a new period, dropped is the number of lines dropped in the last one.
+func (l *messageLimiter) allow(now time.Time, msg string) (dropped int, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.counts == nil {
+		l.counts = map[string]*messageCount{}
 	}
-	e, met := r.last[msg]
-	if met && now.Sub(e.at) < repeatPeriod {
-		if e.written >= r.most {
+	e, known := l.counts[msg]
+	if known && now.Sub(e.start) < repeatPeriod {
+		if e.written >= l.perPeriod {
 			e.dropped++
 			return 0, false
 		}
 		e.written++
 		return 0, true
 	}
-	if !met {
-		e = &repeat{}
-		r.last[msg] = e
+	if !known {
+		e = &messageCount{}
+		l.counts[msg] = e
 	}
 	dropped = e.dropped
-	e.at, e.written, e.dropped = now, 1, 0
+	e.start, e.written, e.dropped = now, 1, 0
 	return dropped, true
 }
--- a/pkg/logging/part_logger_test.go
+++ b/pkg/logging/part_logger_test.go
@@ -11,7 +11,7 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-func TestPartsHaveAPrefixAndALevelOfTheirOwn(t *testing.T) {
+func TestEachPartHasItsPrefixAndLevel(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
 	f := Factory{W: &b, Levels: Levels{All: "info", Parts: map[string]string{"peer": "error"}}, Clock: clock.NewManual(time.Unix(0, 0))}
@@ -24,7 +24,7 @@
 	c.Assert(b.String(), qt.Contains, `msg="peer: broken" vm=a`)
 }
 
-func TestRepeatedLinesAreCounted(t *testing.T) {
+func TestDroppedRepeatsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
 	clk := clock.NewManual(time.Unix(0, 0))
@@ -38,7 +38,7 @@
 	c.Assert(b.String(), qt.Contains, "repeated=4")
 }
 
-func TestManualClockFiresTickersInStep(t *testing.T) {
+func TestManualClockFiresTickers(t *testing.T) {
 	c := qt.New(t)
 	clk := clock.NewManual(time.Unix(0, 0))
 	ticks, stop := clk.NewTicker(time.Second)
