--- a/pkg/metric/doc.go
+++ b/pkg/metric/doc.go
@@ -1,5 +1,5 @@
-// Package metric names a daemon's metrics and serves them as JSON and as text for scrapers.
+// Package metric defines a daemon's metrics and writes them as JSON and in the Prometheus text format.
 //
-// Every metric stands once in the table Metrics, with its unit and meaning, and
-// docs/METRICS.md is checked against that table.
+// The table Metrics lists every metric once, with its unit and meaning; a test
+// compares docs/METRICS.md with that table.
 package metric
--- a/pkg/metric/metric_table.go
+++ b/pkg/metric/metric_table.go
@@ -10,10 +10,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Kind is the way in which a metric counts.
+// Kind is the type of a metric.
 type Kind string
 
-// The kinds of metric.
+// The kinds of metrics.
 const (
 	Counter   Kind = "counter"
 	Gauge     Kind = "gauge"
@@ -31,42 +31,42 @@
 // Metrics is the table of all metrics.
 var Metrics = []Info{
 	{"entry_requests", Counter, "requests", "Requests that callers sent to this daemon."},
-	{"entry_refused", Counter, "requests", "Callers' requests refused as not run."},
-	{"entry_unknown", Counter, "requests", "Callers' requests answered as unknown."},
-	{"entry_repeats", Counter, "requests", "Callers' repeats of a key met before."},
-	{"entry_repeats_refused", Counter, "requests", "Callers' repeats refused for want of a share or a token."},
+	{"entry_refused", Counter, "requests", "Callers' requests rejected without running."},
+	{"entry_unknown", Counter, "requests", "Callers' requests whose outcome is unknown."},
+	{"entry_repeats", Counter, "requests", "Callers' retries with an idempotency key seen before."},
+	{"entry_repeats_refused", Counter, "requests", "Callers' retries rejected because the customer's share or the retry tokens were used up."},
 	{"peer_calls", Counter, "calls", "Calls that other daemons sent to this one."},
 	{"outbound_calls", Counter, "calls", "Calls that the backend server on this VM made."},
-	{"refused_level", Counter, "calls", "Calls refused below the admission level of this backend server."},
-	{"refused_queue", Counter, "calls", "Calls refused for waiting too long or evicted."},
-	{"refused_deadline", Counter, "calls", "Calls refused for too little time."},
-	{"refused_server", Counter, "calls", "Calls that the backend server itself refused."},
-	{"refused_local", Counter, "calls", "Calls refused here by what is known of levels below."},
+	{"refused_level", Counter, "calls", "Calls rejected because their priority is below the admission level of this backend server."},
+	{"refused_queue", Counter, "calls", "Calls rejected after waiting too long in the queue or being evicted from it."},
+	{"refused_deadline", Counter, "calls", "Calls rejected because too little time was left."},
+	{"refused_server", Counter, "calls", "Calls that the backend server itself rejected."},
+	{"refused_local", Counter, "calls", "Calls rejected by this daemon because of the admission levels of services further down the call graph."},
 	{"retries", Counter, "calls", "Attempts beyond the first that this daemon made."},
-	{"retries_denied", Counter, "calls", "Retries not made for want of a token or a target's share."},
-	{"lost_answers", Counter, "calls", "Attempts whose answer was lost."},
-	{"once_runs", Counter, "runs", "Runs of once-only work started by this home."},
-	{"once_joined", Counter, "attempts", "Repeats joined to a running call."},
-	{"once_replayed", Counter, "attempts", "Repeats answered from the record."},
-	{"once_delegated", Counter, "runs", "Runs that this home handed to another backend server."},
-	{"once_unknown", Counter, "attempts", "Attempts answered as unknown by this home."},
+	{"retries_denied", Counter, "calls", "Retries not made because the retry tokens or the target's retry share were used up."},
+	{"lost_answers", Counter, "calls", "Attempts whose response was lost."},
+	{"once_runs", Counter, "runs", "Runs of once-only calls started by this home node."},
+	{"once_joined", Counter, "attempts", "Retries joined to a call in flight."},
+	{"once_replayed", Counter, "attempts", "Retries answered from the recorded response."},
+	{"once_delegated", Counter, "runs", "Runs that this home node delegated to another backend server."},
+	{"once_unknown", Counter, "attempts", "Attempts for which this home node answered that the outcome is unknown."},
 	{"control_bytes", Counter, "bytes", "Control messages sent and received, without transport headers."},
 	{"config_version", Gauge, "version", "Configuration version in force."},
 	{"limit", Gauge, "calls", "Concurrency limit of the backend server."},
-	{"running", Gauge, "calls", "Calls in progress at the backend server."},
+	{"running", Gauge, "calls", "Calls in flight at the backend server."},
 	{"queued", Gauge, "calls", "Calls waiting for the backend server."},
 	{"level", Gauge, "priority", "Admission level of the backend server; tier times 2^24 plus rank."},
-	{"call_time", Histogram, "microseconds", "Time from a call's arrival to its answer at the home or server."},
-	{"queue_time", Histogram, "microseconds", "Time that started calls waited in the queue."},
+	{"call_time", Histogram, "microseconds", "Time from a call's arrival to its response, at the home node or the backend server."},
+	{"queue_time", Histogram, "microseconds", "Queueing time of calls that were started."},
 }
 
-// sampleSize and sampleAlpha are the usual size and bias of a forward-decaying sample.
+// sampleSize and sampleAlpha are the usual size and decay factor of a forward-decaying sample.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// Set is a daemon's metrics in use.
+// Set holds the current values of a daemon's metrics. Its methods take names of the table Metrics only; other names panic.
 type Set struct {
 	registry metrics.Registry
 	counters map[string]metrics.Counter
@@ -74,7 +74,7 @@
 	hists    map[string]metrics.Histogram
 }
 
-// NewSet registers every metric of the table.
+// NewSet returns a Set with every metric of the table, all zero.
 func NewSet() *Set {
 	s := &Set{
 		registry: metrics.NewRegistry(),
@@ -102,7 +102,7 @@
 // Add adds n to a counter of the table.
 func (s *Set) Add(name string, n int64) { s.counters[name].Inc(n) }
 
-// Count returns a counter's value.
+// Count returns the value of a counter of the table.
 func (s *Set) Count(name string) int64 { return s.counters[name].Count() }
 
 // Set sets a gauge of the table.
@@ -111,13 +111,13 @@
 // Observe adds a value to a histogram of the table.
 func (s *Set) Observe(name string, v int64) { s.hists[name].Update(v) }
 
-// WriteJSON writes all metrics as one JSON object.
+// WriteJSON writes all metrics to w as one JSON object.
 func (s *Set) WriteJSON(w io.Writer) { metrics.WriteJSONOnce(s.registry, w) }
 
-// quantiles are those that the text form gives of a histogram.
+// quantiles lists the quantiles of a histogram that WriteText writes.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// WriteText writes all metrics in the text form that scrapers read.
+// WriteText writes all metrics to w in the Prometheus text format, sorted by name; histograms are written as summaries.
 func (s *Set) WriteText(w io.Writer) {
 	list := slices.SortedFunc(slices.Values(Metrics), func(a, b Info) int { return cmp.Compare(a.Name, b.Name) })
 	for _, m := range list {
--- a/pkg/metric/metric_test.go
+++ b/pkg/metric/metric_test.go
@@ -11,7 +11,7 @@
 	"github.com/rockspoke/rockspoke/pkg/docpage"
 )
 
-func TestPageHasEveryMetricAndNoOther(t *testing.T) {
+func TestDocumentationListsExactlyTheMetrics(t *testing.T) {
 	c := qt.New(t)
 	rows, err := docpage.Rows("../../docs/METRICS.md")
 	c.Assert(err, qt.IsNil)
@@ -22,7 +22,7 @@
 	c.Assert(rows, qt.DeepEquals, want)
 }
 
-func TestTextForm(t *testing.T) {
+func TestWriteText(t *testing.T) {
 	c := qt.New(t)
 	s := NewSet()
 	s.Inc("retries")
