--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -13,11 +13,11 @@
 	NewTicker(d time.Duration) (<-chan time.Time, func())
 }
 
-// Real is the machine's clock. Spans between its times count suspensions of the machine that were noticed (NoteSuspension); its time of day is ahead by
-// as much then, so it is for spans, not for dates.
+// Real is the machine's clock. Differences between its times include the suspensions of the machine that DetectSuspension has found. Its
+// time of day is ahead by as much, so it is for measuring durations, not for dates.
 type Real struct{}
 
-// Now returns the current time with its monotonic reading.
+// Now returns the current time with its monotonic reading, plus the detected suspensions.
 func (Real) Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 
 // NewTicker returns the channel and the stop function of a time.Ticker.
@@ -26,17 +26,18 @@
 	return t.C, t.Stop
 }
 
-// Manual is a clock that stands still until it is advanced; its zero value starts at the zero time.
+// Manual is a clock that only Advance moves; its zero value starts at the zero time.
 type Manual struct {
 	mu      sync.Mutex
 	now     time.Time
 	tickers map[*manualTicker]struct{}
 }
 
+// manualTicker is a ticker of a Manual clock.
 type manualTicker struct {
-	c     chan time.Time
-	every time.Duration
-	next  time.Time
+	c      chan time.Time
+	period time.Duration
+	next   time.Time // of the next tick
 }
 
 // NewManual returns a Manual clock that shows now.
@@ -49,11 +50,11 @@
 	return m.now
 }
 
-// NewTicker returns a channel that fires as Advance passes each multiple of d.
+// NewTicker returns a channel that receives the time when Advance passes one or more multiples of d, and a function that stops it.
 func (m *Manual) NewTicker(d time.Duration) (<-chan time.Time, func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := &manualTicker{c: make(chan time.Time, 1), every: d, next: m.now.Add(d)}
+	t := &manualTicker{c: make(chan time.Time, 1), period: d, next: m.now.Add(d)}
 	if m.tickers == nil {
 		m.tickers = map[*manualTicker]struct{}{}
 	}
@@ -66,7 +67,7 @@
 	return t.c, stop
 }
 
-// Advance moves the clock forward by d and fires the tickers that fall due.
+// Advance moves the clock forward by d and fires each ticker that is due once.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,7 +77,7 @@
 			continue
 		}
 		for !t.next.After(m.now) {
-			t.next = t.next.Add(t.every)
+			t.next = t.next.Add(t.period)
 		}
 		select {
 		case t.c <- m.now:
--- a/pkg/clock/doc.go
+++ b/pkg/clock/doc.go
@@ -1,5 +1,6 @@
-// Package clock is the source of time for every part that measures it.
+// Package clock is the source of time for all code that measures it.
 //
-// Decisions take a time.Time as an argument and never read a clock; the shell
-// around them reads the Clock it was given, so tests run in virtual time.
+// Code that makes decisions takes a time.Time as an argument and never reads a
+// clock; its callers read the Clock that they were given, so tests run in
+// virtual time.
 package clock
--- a/pkg/clock/sleep.go
+++ b/pkg/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d of the machine's time, and reports false if ctx ends first.
+// Sleep waits for d by the machine's timers and returns true, or returns false as soon as ctx is done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/pkg/clock/sleep_test.go
+++ b/pkg/clock/sleep_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepReturnsWhenItsContextIsDone(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Sleep(context.Background(), time.Millisecond), qt.IsTrue)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/clock/suspended.go
+++ b/pkg/clock/suspended.go
@@ -9,18 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspended is for how long, in nanoseconds, this machine was suspended while the process lived, as far as that was noticed.
+// suspended is the total time in nanoseconds of the machine's suspensions that were detected since the process started.
 var suspended atomic.Int64
 
-// stoodStill is how far the boot clock, which goes on while the machine is suspended, is ahead of the steady one, which doesn't.
-func stoodStill() time.Duration {
+// totalSuspension returns how far the boot clock, which advances while the machine is suspended, is ahead of the monotonic clock, which
+// doesn't.
+func totalSuspension() time.Duration {
 	return readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC)
 }
 
-// atStart is the same as it was when the process began.
-var atStart = stoodStill()
+// suspensionAtStart is totalSuspension when the process started.
+var suspensionAtStart = totalSuspension()
 
-// readClock returns what a clock of the system shows; one that can't be read shows 0, and then none is ahead.
+// readClock returns the time of a system clock, or 0 if it can't be read.
 func readClock(id int32) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
@@ -29,27 +30,28 @@
 	return time.Duration(t.Nano())
 }
 
-// leastSuspension is what is taken for a suspension: the two clocks are read one after the other.
-const leastSuspension = 50 * time.Millisecond
+// minSuspension is the shortest difference that counts as a suspension: the two clocks are read one after the other, so they may differ by
+// a little without one.
+const minSuspension = 50 * time.Millisecond
 
-// DetectSuspension looks for how long the machine was suspended since the last look, and counts it from now on.
+// DetectSuspension returns how long the machine was suspended since the last call, 0 if it wasn't, and includes that in Now from then on.
 func (Real) DetectSuspension() time.Duration {
-	total := stoodStill() - atStart
+	total := totalSuspension() - suspensionAtStart
 	before := time.Duration(suspended.Load())
-	if total-before < leastSuspension {
+	if total-before < minSuspension {
 		return 0
 	}
 	suspended.Store(int64(total))
 	return total - before
 }
 
-// SuspensionDetector is a Clock whose steady part may stand still while the machine is suspended.
+// SuspensionDetector is a Clock whose monotonic time stops while the machine is suspended.
 type SuspensionDetector interface {
-	// DetectSuspension returns for how long that was since the last look, and has the clock count it from now on.
+	// DetectSuspension returns how long the machine was suspended since the last call, and includes that in Now from then on.
 	DetectSuspension() time.Duration
 }
 
-// DetectSuspension looks for a suspension if the clock knows of any.
+// DetectSuspension calls the clock's DetectSuspension, or returns 0 if it has none.
 func DetectSuspension(c Clock) time.Duration {
 	if s, ok := c.(SuspensionDetector); ok {
 		return s.DetectSuspension()
@@ -57,61 +59,63 @@
 	return 0
 }
 
-// Deadlines are the time limits of work in progress; its zero value has none. Timers stand still with the steady clock.
+// Deadlines holds the deadlines of work in flight, so that they can be enforced after a suspension, during which timers stop with the
+// monotonic clock. Its zero value is empty.
 type Deadlines struct {
 	mu   sync.Mutex
-	ends map[*limit]struct{}
+	open map[*deadline]struct{}
 }
 
-// limit is one of them.
-type limit struct {
+// deadline is the deadline of one context.
+type deadline struct {
 	at     time.Time
 	cancel context.CancelFunc
 }
 
-// Context returns a context that ends at a time of the clock.
+// Context returns a context that is canceled at the time at of the clock c; calling the CancelFunc removes its deadline.
 func (l *Deadlines) Context(ctx context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, at.Sub(c.Now()))
-	x := &limit{at: at, cancel: cancel}
+	x := &deadline{at: at, cancel: cancel}
 	l.mu.Lock()
-	if l.ends == nil {
-		l.ends = make(map[*limit]struct{})
+	if l.open == nil {
+		l.open = make(map[*deadline]struct{})
 	}
-	l.ends[x] = struct{}{}
+	l.open[x] = struct{}{}
 	l.mu.Unlock()
 	return ctx, func() {
 		l.mu.Lock()
-		delete(l.ends, x)
+		delete(l.open, x)
 		l.mu.Unlock()
 		cancel()
 	}
 }
 
-// CancelExpired ends what should have ended by now, after a suspension; it returns how many there were.
+// CancelExpired cancels the contexts whose deadlines have passed, as they may after a suspension, and returns how many there were.
 func (l *Deadlines) CancelExpired(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for x := range l.ends {
+	for x := range l.open {
 		if !now.Before(x.at) {
 			x.cancel()
-			delete(l.ends, x)
+			delete(l.open, x)
 			n++
 		}
 	}
 	return n
 }
 
-// Boot returns the time since the machine was started, its suspensions included, noticed or not.
+// BootNow returns the time since the machine was booted, including all suspensions, detected or not, as a time after the zero time.
 func (Real) BootNow() time.Time { return time.Time{}.Add(readClock(unix.CLOCK_BOOTTIME)) }
 
-// BootClock is a Clock that knows the time since the machine was started.
+// BootClock is a Clock that knows the time since the machine was booted.
 type BootClock interface {
-	// BootNow returns it as a time, for spans only.
+	// BootNow returns that as a time after the zero time, for measuring durations only.
 	BootNow() time.Time
 }
 
-// BootNow returns a time for spans that go on while the machine is suspended, also before anybody has noticed that it was.
+// BootNow returns a time for measuring durations that include suspensions of the machine, even ones not yet detected. A clock without a
+// boot clock gives its Now.
 func BootNow(c Clock) time.Time {
 	if b, ok := c.(BootClock); ok {
 		return b.BootNow()
--- a/pkg/clock/suspended_test.go
+++ b/pkg/clock/suspended_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What should have ended by the clock is ended, and nothing else; what is over isn't kept.
-func TestLimitsLapse(t *testing.T) {
+// CancelExpired must cancel exactly the contexts whose deadlines have passed, and deadlines of finished work must not be retained.
+func TestCancelExpiredDeadlines(t *testing.T) {
 	c := qt.New(t)
 	k := NewManual(time.Unix(1000, 0))
 	var l Deadlines
@@ -21,11 +21,11 @@
 	c.Assert(first.Err(), qt.IsNotNil)
 	c.Assert(second.Err(), qt.IsNil)
 	endFirst()
-	c.Assert(l.ends, qt.HasLen, 1)
+	c.Assert(l.open, qt.HasLen, 1)
 }
 
-// The machine's clocks show no suspension while it runs.
-func TestARunningMachineIsNotSuspended(t *testing.T) {
+// No suspension must be detected while the machine runs, nor from a clock that can't be read.
+func TestRunningMachineShowsNoSuspension(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(DetectSuspension(Real{}), qt.Equals, time.Duration(0))
 	c.Assert(DetectSuspension(NewManual(time.Time{})), qt.Equals, time.Duration(0))
@@ -40,7 +40,7 @@
 	}
 }
 
-func BenchmarkLimit(b *testing.B) {
+func BenchmarkDeadlines(b *testing.B) {
 	var l Deadlines
 	for b.Loop() {
 		_, cancel := l.Context(context.Background(), Real{}, Real{}.Now().Add(time.Minute))
@@ -48,7 +48,7 @@
 	}
 }
 
-func BenchmarkDeadline(b *testing.B) {
+func BenchmarkContextWithDeadline(b *testing.B) {
 	for b.Loop() {
 		_, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Minute))
 		cancel()
