--- a/pkg/docpage/doc.go
+++ b/pkg/docpage/doc.go
@@ -1,3 +1,3 @@
-// Package docpage reads the tables of the pages under docs, for tests that
-// hold them against the code.
+// Package docpage reads the tables of the Markdown pages under docs, for tests
+// that compare them with the code.
 package docpage
--- a/pkg/docpage/docpage_test.go
+++ b/pkg/docpage/docpage_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestRowsAreThoseOfNames(t *testing.T) {
+func TestRowsReturnsRowsOfIdentifiers(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "PAGE.md")
 	text := "# Page\n\n| name | help |\n| --- | --- |\n| `a` | first |\ntext with `b`\n| `c` | last |"
--- a/pkg/docpage/table_rows.go
+++ b/pkg/docpage/table_rows.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// rowStart begins a row whose first cell is a name of the code; heads of tables don't begin so.
-const rowStart = "| `"
+// rowPrefix starts a row whose first cell is an identifier in backquotes; header rows don't start with it.
+const rowPrefix = "| `"
 
-// Rows returns the rows of a page's tables that begin with a name of the code.
+// Rows returns the lines of a page that are table rows whose first cell is an identifier in backquotes, in the page's order.
 func Rows(path string) ([]string, error) {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -16,7 +16,7 @@
 	}
 	var rows []string
 	for line := range strings.SplitSeq(string(page), "\n") {
-		if strings.HasPrefix(line, rowStart) {
+		if strings.HasPrefix(line, rowPrefix) {
 			rows = append(rows, line)
 		}
 	}
