--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -39,7 +39,7 @@
 		plan, err := Compile(&Document{Version: 1, Objects: readExample(c, name)})
 		c.Assert(err, qt.IsNil)
 		for m, class := range classes {
-			tr, _ := plan.TreatRequest(m)
+			tr, _ := plan.RequestTreatment(m)
 			c.Assert(tr, qt.IsNotNil, qt.Commentf("%v", m))
 			c.Assert(tr.Class, qt.Equals, class, qt.Commentf("%v", m))
 			c.Assert(tr.Retries, qt.Equals, 2)
--- a/pkg/config/plan.go
+++ b/pkg/config/plan.go
@@ -89,8 +89,8 @@
 	Path   string
 }
 
-// TreatRequest returns the treatment of a caller's request and the name of its route, or nil if no route matches.
-func (p *Plan) TreatRequest(m Match) (*Treatment, string) {
+// RequestTreatment returns the treatment of a caller's request and the name of its route, or nil if no route matches.
+func (p *Plan) RequestTreatment(m Match) (*Treatment, string) {
 	for _, r := range p.routes {
 		if r.spec.Host != "" && r.spec.Host != m.Host {
 			continue
@@ -102,8 +102,8 @@
 	return nil, ""
 }
 
-// TreatCall returns the treatment of a call to a service from another service, or nil if the service doesn't exist.
-func (p *Plan) TreatCall(service string, m Match) *Treatment {
+// CallTreatment returns the treatment of a call to a service from another service, or nil if the service doesn't exist.
+func (p *Plan) CallTreatment(service string, m Match) *Treatment {
 	s, ok := p.services[service]
 	if !ok {
 		return nil
--- a/pkg/lab/capacity_slopes.go
+++ b/pkg/lab/capacity_slopes.go
@@ -143,7 +143,7 @@
 			for _, v := range r.VMs() {
 				list = append(list, routing.Candidate{VM: v, Labels: v.AllLabels(nil)})
 			}
-			routing.Choice{Zone: "zone-1"}.Groups(&pool, plan.TreatCall("svc1", config.Match{}), list)
+			routing.Choice{Zone: "zone-1"}.Groups(&pool, plan.CallTreatment("svc1", config.Match{}), list)
 		}
 		s.add(float64(n), float64(time.Since(begin).Microseconds())/times)
 	}
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -165,7 +165,7 @@
 func (n *Node) closeFor(call wire.Call, q *request) time.Duration {
 	longest := call.Remain()
 	if plan := n.snapshot.Load().plan; plan != nil {
-		if t := plan.TreatCall(call.Service, q.match()); t != nil {
+		if t := plan.CallTreatment(call.Service, q.match()); t != nil {
 			longest = max(longest, t.Timeout)
 		}
 	}
@@ -178,7 +178,7 @@
 	if plan == nil {
 		return refusal(wire.ReasonNoServer, 0)
 	}
-	t := plan.TreatCall(n.cfg.Service, q.match())
+	t := plan.CallTreatment(n.cfg.Service, q.match())
 	a := refusal(wire.ReasonLeaving, 0)
 	if n.snapshot.Load().selfTarget[t] {
 		a = n.runLocal(ctx, in, q)
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -91,7 +91,7 @@
 	if plan == nil {
 		return refusal(wire.ReasonNoServer, time.Second)
 	}
-	t, _ := plan.TreatRequest(q.match())
+	t, _ := plan.RequestTreatment(q.match())
 	if t == nil {
 		return refusal(wire.ReasonNoRoute, 0)
 	}
@@ -230,7 +230,7 @@
 		http.Error(w, fmt.Sprintf("there is no service %q; give one as ?service=NAME", service), http.StatusNotFound)
 		return
 	}
-	t := plan.TreatCall(service, config.Match{Method: http.MethodPost})
+	t := plan.CallTreatment(service, config.Match{Method: http.MethodPost})
 	token, ok := n.newToken(t, priority.Max)
 	if !ok {
 		w.Header().Set(headerRetryAfter, "1")
--- a/pkg/node/config_change.go
+++ b/pkg/node/config_change.go
@@ -51,7 +51,7 @@
 const changeTries = 4
 
 // Change makes an operator's change: accepted means committed in the platform's table. The error is a
-// *config.InvalidError, *config.NoObjectError, *RaceError, *InDoubtError or *store.RefusedError.
+// *config.InvalidError, *config.ObjectNotFoundError, *RaceError, *InDoubtError or *store.RefusedError.
 func (n *Node) Change(ctx context.Context, ch config.Change) (*config.Document, error) {
 	base, err := n.newest(ctx)
 	if err != nil {
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -154,7 +154,7 @@
 	if snap.plan == nil {
 		return Explanation{}, &NoRouteError{m}
 	}
-	t, route := snap.plan.TreatRequest(m)
+	t, route := snap.plan.RequestTreatment(m)
 	if t == nil {
 		return Explanation{}, &NoRouteError{m}
 	}
--- a/pkg/node/outbound_server.go
+++ b/pkg/node/outbound_server.go
@@ -34,7 +34,7 @@
 		n.toCaller(w, refusal(wire.ReasonNoServer, time.Second))
 		return
 	}
-	t := plan.TreatCall(q.host, q.match())
+	t := plan.CallTreatment(q.host, q.match())
 	if t == nil {
 		n.toCaller(w, refusal(wire.ReasonNoRoute, 0))
 		return
