--- a/pkg/clock/suspended.go
+++ b/pkg/clock/suspended.go
@@ -73,32 +73,32 @@
 }
 
 // Context returns a context that is canceled at the time at of the clock c; calling the CancelFunc removes its deadline.
-func (l *Deadlines) Context(ctx context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
+func (d *Deadlines) Context(ctx context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, at.Sub(c.Now()))
 	x := &deadline{at: at, cancel: cancel}
-	l.mu.Lock()
-	if l.open == nil {
-		l.open = make(map[*deadline]struct{})
+	d.mu.Lock()
+	if d.open == nil {
+		d.open = make(map[*deadline]struct{})
 	}
-	l.open[x] = struct{}{}
-	l.mu.Unlock()
+	d.open[x] = struct{}{}
+	d.mu.Unlock()
 	return ctx, func() {
-		l.mu.Lock()
-		delete(l.open, x)
-		l.mu.Unlock()
+		d.mu.Lock()
+		delete(d.open, x)
+		d.mu.Unlock()
 		cancel()
 	}
 }
 
 // CancelExpired cancels the contexts whose deadlines have passed, as they may after a suspension, and returns how many there were.
-func (l *Deadlines) CancelExpired(now time.Time) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (d *Deadlines) CancelExpired(now time.Time) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	n := 0
-	for x := range l.open {
+	for x := range d.open {
 		if !now.Before(x.at) {
 			x.cancel()
-			delete(l.open, x)
+			delete(d.open, x)
 			n++
 		}
 	}
--- a/pkg/mesh/suspension_test.go
+++ b/pkg/mesh/suspension_test.go
@@ -25,7 +25,9 @@
 func (k *suspendableClock) Now() time.Time { return time.Now().Add(time.Duration(k.noted.Load())) }
 
 // BootNow returns the time including suspensions.
-func (k *suspendableClock) BootNow() time.Time { return time.Now().Add(time.Duration(k.suspended.Load())) }
+func (k *suspendableClock) BootNow() time.Time {
+	return time.Now().Add(time.Duration(k.suspended.Load()))
+}
 
 // NewTicker returns a ticker made of function timers. The race detector crashes on channel timers in a synctest bubble: when several
 // goroutines look at channel timers that are due at the same instant, the runtime runs them concurrently in one detector context.
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -157,7 +157,7 @@
 	}}
 	plan, err := config.Compile(doc)
 	c.Assert(err, qt.IsNil)
-	tr := plan.TreatCall("s", config.Match{})
+	tr := plan.CallTreatment("s", config.Match{})
 	vm := func(name, dc string, leaving bool) Candidate {
 		v := member.VM{Name: name, Service: "s", Zone: "z"}
 		return Candidate{VM: v, Labels: v.AllLabels(map[string]string{"dc": dc}), Leaving: leaving}
