--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -28,7 +28,7 @@
 
 // slotHoldTime returns the average slot hold time of a run of the route over all servers, or 0 if it isn't known.
 func (n *Node) slotHoldTime(route string) time.Duration {
-	if p := n.plan.Load(); p != nil && !n.off[settings.KindHolds] {
+	if p := n.plan.Load(); p != nil && !n.off[settings.KindHoldTimes] {
 		return p.slotHoldTimes[route]
 	}
 	return 0
@@ -53,7 +53,7 @@
 		plan.runsPerRequest[route] = c.Runs
 	}
 	roots, capacity := n.rootDemand(now, reports, plan, costs), n.capacity()
-	options := overload.Options{NoMinimumShare: n.off[settings.LeastPart], EqualShares: n.off[settings.CostWeight]}
+	options := overload.Options{NoMinimumShare: n.off[settings.MinShare], EqualShares: n.off[settings.CostWeight]}
 	plan.shares = options.PlanShares(roots, capacity)
 	plan.bottlenecks = overload.BottleneckServices(roots, plan.shares, capacity)
 	missing := kindsWithoutCost(roots)
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -129,7 +129,7 @@
 		kind, span = followStateCall, followCallTimeout
 		read = func(ctx context.Context) ([]byte, Cursor, error) { return n.store.FollowState(ctx, *next) }
 	}
-	sent, own := clock.Boot(n.clock), n.stateVersion()
+	sent, own := clock.BootNow(n.clock), n.stateVersion()
 	err := n.callStore(ctx, t, kind, span, func(ctx context.Context) (err error) {
 		data, after, err = read(ctx)
 		return err
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -61,7 +61,7 @@
 	retryBudgetMu      sync.Mutex
 	retryBudget        overload.RetryBudget
 	poison             poison.Table
-	timeLimits         clock.Limits       // of requests in flight
+	timeLimits         clock.Deadlines    // of requests in flight
 	peerRequests       awaited.InProgress // requests of other nodes in flight here
 	serverNotListening atomic.Bool        // the local backend server has crashed and hasn't been seen since
 	clients            clientconns.Connections
@@ -94,7 +94,7 @@
 	}
 	n := &Node{
 		cfg: o.Settings, names: o.Names, store: o.Store, decode: o.Decode, clock: o.Clock, network: o.Network,
-		off: o.Settings.Mesh.OffSet(), ip: host, epoch: o.Clock.Now().UnixMilli(),
+		off: o.Settings.Mesh.DisabledMechanisms(), ip: host, epoch: o.Clock.Now().UnixMilli(),
 		callLog: o.Logger("call"), controlLog: o.Logger("control"),
 		peers:  make(map[string]*peer),
 		events: make(chan func(), eventQueueSize),
@@ -111,7 +111,7 @@
 	n.stats.learner.NoLateCalls = n.off[settings.LateCalls]
 	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
-	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
+	n.poison.Policy = o.Settings.Mesh.Quarantine.Policy()
 	n.watch.peersQueried = make(chan struct{})
 	n.watch.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
@@ -134,7 +134,7 @@
 	context.AfterFunc(ctx, func() { close(n.done) })
 	n.started = n.clock.Now()
 	if n.cfg.Mesh.FirstStart {
-		n.quotas.owner.FillOnceAt = clock.Boot(n.clock).Add(quota.SettleTime)
+		n.quotas.owner.FillOnceAt = clock.BootNow(n.clock).Add(quota.SettleTime)
 	}
 	for _, s := range n.servers {
 		if err := n.listen(s); err != nil {
--- a/pkg/mesh/report_local_load.go
+++ b/pkg/mesh/report_local_load.go
@@ -61,7 +61,7 @@
 
 // usableFraction returns the fraction of the local backend server's slots, 0 to 1, that the plan may count on.
 func (n *Node) usableFraction() float64 {
-	if n.off[settings.RoomControl] {
+	if n.off[settings.UsableSlots] {
 		return 1
 	}
 	return n.control.usableFraction.UsableFraction()
--- a/pkg/mesh/store_epoch.go
+++ b/pkg/mesh/store_epoch.go
@@ -76,7 +76,7 @@
 	if epoch <= n.storeEpoch.current() {
 		return // the usual case: each message contains the epoch
 	}
-	settledAt := clock.Boot(n.clock).Add(time.Duration(epochSettleFraction * float64(n.cfg.Mesh.Revoke)))
+	settledAt := clock.BootNow(n.clock).Add(time.Duration(epochSettleFraction * float64(n.cfg.Mesh.Revoke)))
 	if before := n.storeEpoch.advance(epoch, settledAt); before != 0 {
 		n.storeRestored(from, before, epoch)
 	}
