--- a/pkg/admission/admission_level.go
+++ b/pkg/admission/admission_level.go
@@ -11,7 +11,7 @@
 const (
 	bucketBits = 17
 	buckets    = int(priority.Max>>bucketBits) + 1
-	perTier    = priority.Span >> bucketBits
+	perTier    = priority.TierSpan >> bucketBits
 	step       = priority.Priority(1) << bucketBits
 )
 
@@ -27,8 +27,8 @@
 	damping = 0.8
 	// probeFirst and probeMost are the first and the largest step down into ranks or tiers of unknown
 	// demand; the first is for an idle server, and less the busier it is.
-	probeFirst = priority.Span / 8
-	probeMost  = priority.Span / 2
+	probeFirst = priority.TierSpan / 8
+	probeMost  = priority.TierSpan / 2
 	// leastSample is the count of remembered arrivals that tells how dense a tier is.
 	leastSample = 3
 	// leastDone is the count of remembered completions that tells the capacity of an overloaded server.
@@ -117,7 +117,7 @@
 		v.probeDown(spare / room)
 		return
 	}
-	fall := priority.Priority(min(damping*spare/density, float64(priority.Span)))
+	fall := priority.Priority(min(damping*spare/density, float64(priority.TierSpan)))
 	if v.value-floor <= fall {
 		v.value = floor
 		return
@@ -135,7 +135,7 @@
 // density returns the arrivals a second for each unit of priority, as seen between the level and the end
 // of its tier, or 0 if too few were seen.
 func (v *level) density(now time.Time) float64 {
-	top := priority.Floor(v.value.Tier()) + priority.Span
+	top := priority.Floor(v.value.Tier()) + priority.TierSpan
 	seen := 0.0
 	for b := bucketOf(v.value); b < bucketOf(v.value)/perTier*perTier+perTier && b < buckets; b++ {
 		seen += v.arrivals[b]
--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -9,8 +9,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// Verdict is what the Gate decides about a ticket.
-type Verdict struct {
+// Decision is what the Gate decides about a ticket.
+type Decision struct {
 	Start  bool        // the call may start now
 	Queued bool        // the call waits; Notify tells how it ends
 	Reason wire.Reason // why it was refused
@@ -18,9 +18,9 @@
 
 // Defaults of Settings.
 const (
-	DefaultTarget     = 5 * time.Millisecond
-	DefaultMaxSojourn = 60 * time.Millisecond
-	DefaultInterval   = 50 * time.Millisecond
+	DefaultTargetDelay   = 5 * time.Millisecond
+	DefaultMaxSojourn    = 60 * time.Millisecond
+	DefaultLevelInterval = 50 * time.Millisecond
 )
 
 // headroomShare is the share of the limit that each tier leaves free for the tiers above it.
@@ -28,17 +28,17 @@
 
 // Settings fixes a Gate's bounds; zero durations take the defaults.
 type Settings struct {
-	Slots      int           // calls that the backend server can run at once
-	Floor      int           // least limit; 0 means a tenth of the slots
-	QueueLen   int           // most queued calls; 0 means as many as slots
-	Target     time.Duration // queue delay above which the server counts as overloaded
-	MaxSojourn time.Duration // longest wait in the queue
-	Interval   time.Duration // time between level changes
-	Ramp       time.Duration // cold start: the time in which the limit grows to the slots
+	Slots         int           // calls that the backend server can run at once
+	MinLimit      int           // least limit; 0 means a tenth of the slots
+	MaxQueued     int           // most queued calls; 0 means as many as slots
+	TargetDelay   time.Duration // queue delay above which the server counts as overloaded
+	MaxSojourn    time.Duration // longest wait in the queue
+	LevelInterval time.Duration // time between level changes
+	RampTime      time.Duration // cold start: the time in which the limit grows to the slots
 }
 
-// Reading is a Gate's state for dumps and answers.
-type Reading struct {
+// Snapshot is a Gate's state for dumps and answers.
+type Snapshot struct {
 	Limit   int               `json:"limit"`
 	Running int               `json:"running"`
 	Queued  int               `json:"queued"`
@@ -70,19 +70,19 @@
 // NewGate returns a Gate with the given settings that starts cold at now.
 func NewGate(cfg Settings, now time.Time) *Gate {
 	cfg.Slots = max(cfg.Slots, 1)
-	floorSet := cfg.Floor > 0
-	if cfg.Floor == 0 {
-		cfg.Floor = max(cfg.Slots/10, 1)
+	floorSet := cfg.MinLimit > 0
+	if cfg.MinLimit == 0 {
+		cfg.MinLimit = max(cfg.Slots/10, 1)
 	}
-	if cfg.QueueLen == 0 {
-		cfg.QueueLen = cfg.Slots
+	if cfg.MaxQueued == 0 {
+		cfg.MaxQueued = cfg.Slots
 	}
-	cfg.Target = cmp.Or(cfg.Target, DefaultTarget)
+	cfg.TargetDelay = cmp.Or(cfg.TargetDelay, DefaultTargetDelay)
 	cfg.MaxSojourn = cmp.Or(cfg.MaxSojourn, DefaultMaxSojourn)
-	cfg.Interval = cmp.Or(cfg.Interval, DefaultInterval)
+	cfg.LevelInterval = cmp.Or(cfg.LevelInterval, DefaultLevelInterval)
 	return &Gate{
 		cfg:        cfg,
-		limit:      newLimit(cfg.Slots, cfg.Floor, cfg.Ramp, now),
+		limit:      newLimit(cfg.Slots, cfg.MinLimit, cfg.RampTime, now),
 		raiseStart: now,
 		lowerStart: now,
 		floorSet:   floorSet,
@@ -90,30 +90,30 @@
 }
 
 // Arrive decides about a new call. A refused call never starts.
-func (g *Gate) Arrive(now time.Time, t *Ticket) Verdict {
+func (g *Gate) Arrive(now time.Time, t *Ticket) Decision {
 	g.level.arrive(t.Priority)
 	if t.Priority < g.level.value {
-		return Verdict{Reason: wire.ReasonLevel}
+		return Decision{Reason: wire.ReasonBelowLevel}
 	}
 	if !now.Before(t.Deadline) {
-		return Verdict{Reason: wire.ReasonDeadline}
+		return Decision{Reason: wire.ReasonDeadline}
 	}
 	t.arrived = now
 	if g.first(t) && g.fits(now, t.Priority) {
 		g.start(now, t)
-		return Verdict{Start: true}
+		return Decision{Start: true}
 	}
-	if len(g.queue) >= g.cfg.QueueLen {
+	if len(g.queue) >= g.cfg.MaxQueued {
 		low := g.queue.lowest()
 		g.refused++
 		if low.Priority >= t.Priority {
-			return Verdict{Reason: wire.ReasonQueue}
+			return Decision{Reason: wire.ReasonQueue}
 		}
 		g.queue.remove(low)
-		low.Notify(Verdict{Reason: wire.ReasonQueue})
+		low.Notify(Decision{Reason: wire.ReasonQueue})
 	}
 	heap.Push(&g.queue, t)
-	return Verdict{Queued: true}
+	return Decision{Queued: true}
 }
 
 // first tells whether no queued call goes before t.
@@ -171,7 +171,7 @@
 // interval is the time between looks at whether the server is overloaded: as long as a call holds its slot, so that a queue that
 // stands for so long is more than a burst.
 func (g *Gate) interval() time.Duration {
-	return max(g.cfg.Interval, min(g.hold, maxInterval))
+	return max(g.cfg.LevelInterval, min(g.hold, maxInterval))
 }
 
 // maxSojourn is the longest wait in the queue: no shorter than the time in which the slots turn over once.
@@ -200,12 +200,12 @@
 // lowerInterval is the time between falls of the level: long enough for callers to hear of one fall and
 // for their calls to come in before the next.
 func (g *Gate) lowerInterval() time.Duration {
-	return max(2*g.cfg.Interval, min(g.hold/4, maxInterval/2))
+	return max(2*g.cfg.LevelInterval, min(g.hold/4, maxInterval/2))
 }
 
 // raiseLevel looks whether a queue stood for the whole interval, or calls had to be refused.
 func (g *Gate) raiseLevel(now time.Time) {
-	standing := g.sojournSeen && g.minSojourn > g.cfg.Target
+	standing := g.sojournSeen && g.minSojourn > g.cfg.TargetDelay
 	if standing || g.refused > 0 {
 		g.level.raiseFor(now, g.capacity(now))
 		g.raised = now
@@ -224,7 +224,7 @@
 			return
 		}
 		g.queue.remove(low)
-		low.Notify(Verdict{Reason: wire.ReasonLevel})
+		low.Notify(Decision{Reason: wire.ReasonBelowLevel})
 	}
 }
 
@@ -263,7 +263,7 @@
 		if late {
 			reason = wire.ReasonDeadline
 		}
-		t.Notify(Verdict{Reason: reason})
+		t.Notify(Decision{Reason: reason})
 		i = 0
 	}
 }
@@ -273,20 +273,20 @@
 	for len(g.queue) > 0 && g.fits(now, g.queue[0].Priority) {
 		t := heap.Pop(&g.queue).(*Ticket)
 		if !now.Before(t.Deadline) {
-			t.Notify(Verdict{Reason: wire.ReasonDeadline})
+			t.Notify(Decision{Reason: wire.ReasonDeadline})
 			continue
 		}
 		g.start(now, t)
-		t.Notify(Verdict{Start: true})
+		t.Notify(Decision{Start: true})
 	}
 }
 
 // Level returns the priority below which calls are refused.
 func (g *Gate) Level() priority.Priority { return g.level.value }
 
-// Read returns the Gate's state at now.
-func (g *Gate) Read(now time.Time) Reading {
-	return Reading{
+// Snapshot returns the Gate's state at now.
+func (g *Gate) Snapshot(now time.Time) Snapshot {
+	return Snapshot{
 		Limit: g.limit.current(now), Running: g.running, Queued: len(g.queue),
 		Level: g.level.value, OwnTime: g.limit.lastOwn,
 	}
@@ -299,7 +299,7 @@
 		return
 	}
 	g.cfg.Slots = slots
-	g.cfg.QueueLen = slots
+	g.cfg.MaxQueued = slots
 	g.limit.slots = slots
 	if !g.floorSet {
 		g.limit.floor = max(slots/10, 1)
--- a/pkg/admission/gate_test.go
+++ b/pkg/admission/gate_test.go
@@ -60,7 +60,7 @@
 }
 
 func (b *bench) arrive(tier priority.Tier) {
-	count := func(v Verdict) {
+	count := func(v Decision) {
 		switch {
 		case v.Start:
 			b.started[tier]++
@@ -69,7 +69,7 @@
 			b.refused[tier]++
 		}
 	}
-	p := priority.Floor(tier) + priority.Priority(b.rnd.Uint32N(priority.Span))
+	p := priority.Floor(tier) + priority.Priority(b.rnd.Uint32N(priority.TierSpan))
 	count(b.gate.Arrive(b.now, &Ticket{Priority: p, Deadline: b.now.Add(time.Second), Notify: count}))
 }
 
@@ -141,33 +141,33 @@
 	b.run(3*time.Second, 600, 1)
 	b.takes = 200 * time.Millisecond // slower at any load: a lower limit would only lose throughput
 	b.run(6*time.Second, 600, 1)
-	c.Assert(b.gate.Read(b.now).Limit >= 16, qt.IsTrue, qt.Commentf("limit %d", b.gate.Read(b.now).Limit))
+	c.Assert(b.gate.Snapshot(b.now).Limit >= 16, qt.IsTrue, qt.Commentf("limit %d", b.gate.Snapshot(b.now).Limit))
 }
 
 func TestColdStartRamps(t *testing.T) {
 	c := qt.New(t)
-	g := NewGate(Settings{Slots: 100, Ramp: 2 * time.Second}, begin)
-	cold := g.Read(begin).Limit
-	half := g.Read(begin.Add(time.Second)).Limit
-	warm := g.Read(begin.Add(2 * time.Second)).Limit
+	g := NewGate(Settings{Slots: 100, RampTime: 2 * time.Second}, begin)
+	cold := g.Snapshot(begin).Limit
+	half := g.Snapshot(begin.Add(time.Second)).Limit
+	warm := g.Snapshot(begin.Add(2 * time.Second)).Limit
 	c.Assert(cold < half && half < warm, qt.IsTrue, qt.Commentf("%d %d %d", cold, half, warm))
 	c.Assert(warm, qt.Equals, 100)
 }
 
 func TestExpiredAndCancelledCallsNeverStart(t *testing.T) {
 	c := qt.New(t)
-	g := NewGate(Settings{Slots: 1, QueueLen: 4}, begin)
+	g := NewGate(Settings{Slots: 1, MaxQueued: 4}, begin)
 	first := &Ticket{Priority: 1, Deadline: begin.Add(time.Second)}
 	c.Assert(g.Arrive(begin, first).Start, qt.IsTrue)
-	var got []Verdict
-	note := func(v Verdict) { got = append(got, v) }
+	var got []Decision
+	note := func(v Decision) { got = append(got, v) }
 	late := &Ticket{Priority: 1, Deadline: begin.Add(10 * time.Millisecond), Notify: note}
 	gone := &Ticket{Priority: 1, Deadline: begin.Add(time.Second), Notify: note}
 	c.Assert(g.Arrive(begin, late).Queued, qt.IsTrue)
 	c.Assert(g.Arrive(begin, gone).Queued, qt.IsTrue)
 	c.Assert(g.Cancel(gone), qt.IsTrue)
 	g.Done(begin.Add(20*time.Millisecond), time.Millisecond, time.Millisecond, true)
-	c.Assert(got, qt.DeepEquals, []Verdict{{Reason: wire.ReasonDeadline}})
+	c.Assert(got, qt.DeepEquals, []Decision{{Reason: wire.ReasonDeadline}})
 	c.Assert(g.Arrive(begin, &Ticket{Priority: 1, Deadline: begin}).Reason, qt.Equals, wire.ReasonDeadline)
 }
 
@@ -176,7 +176,7 @@
 func TestNoInversion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
-		g := NewGate(Settings{Slots: slots, QueueLen: rapid.IntRange(1, 4).Draw(t, "queue")}, begin)
+		g := NewGate(Settings{Slots: slots, MaxQueued: rapid.IntRange(1, 4).Draw(t, "queue")}, begin)
 		now := begin
 		queued := map[*Ticket]bool{}
 		running := 0
@@ -191,7 +191,7 @@
 				Priority: priority.Floor(priority.Tier(rapid.IntRange(0, 3).Draw(t, "tier"))),
 				Deadline: now.Add(time.Minute),
 			}
-			tk.Notify = func(v Verdict) {
+			tk.Notify = func(v Decision) {
 				delete(queued, tk)
 				if v.Start {
 					running++
--- a/pkg/admission/ticket_queue.go
+++ b/pkg/admission/ticket_queue.go
@@ -12,7 +12,7 @@
 	Priority priority.Priority
 	Deadline time.Time
 	// Notify is called once when a queued ticket starts or is refused; it must not block or call the Gate.
-	Notify func(Verdict)
+	Notify func(Decision)
 
 	arrived time.Time
 	index   int
--- a/pkg/clientconns/connections.go
+++ b/pkg/clientconns/connections.go
@@ -11,8 +11,8 @@
 
 // Connections are the open connections of clients. Its zero value has none and no bound.
 type Connections struct {
-	// Closed is told how many were closed to make room, if set; it must not be changed once connections come.
-	Closed func(n int)
+	// OnEvicted is told how many were closed to make room, if set; it must not be changed once connections come.
+	OnEvicted func(n int)
 
 	mu      sync.Mutex
 	most    int                        // 0: no bound
@@ -29,22 +29,22 @@
 	return int(l.Cur)
 }
 
-// SetMost bounds how many may be open; 0: no bound.
-func (c *Connections) SetMost(n int) {
+// SetLimit bounds how many may be open; 0: no bound.
+func (c *Connections) SetLimit(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.most = n
 }
 
-// Open returns how many are open.
-func (c *Connections) Open() int {
+// OpenCount returns how many are open.
+func (c *Connections) OpenCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// Follow takes how a connection stands, as http.Server.ConnState tells it.
-func (c *Connections) Follow(conn net.Conn, s http.ConnState) {
+// TrackState takes how a connection stands, as http.Server.ConnState tells it.
+func (c *Connections) TrackState(conn net.Conn, s http.ConnState) {
 	for _, old := range c.note(conn, s) {
 		_ = old.Close() // it carries nothing
 	}
@@ -80,8 +80,8 @@
 		delete(c.open, conn)
 		out = append(out, conn)
 	}
-	if len(out) > 0 && c.Closed != nil {
-		c.Closed(len(out))
+	if len(out) > 0 && c.OnEvicted != nil {
+		c.OnEvicted(len(out))
 	}
 	return out
 }
--- a/pkg/headerpack/headerpack_test.go
+++ b/pkg/headerpack/headerpack_test.go
@@ -13,7 +13,7 @@
 
 func TestWhatIsPackedComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, u := Packer{Once: map[string]bool{"A": true}}, Unpacker{}
+		p, u := Packer{NeverIndexed: map[string]bool{"A": true}}, Unpacker{}
 		name := rapid.SampledFrom([]string{"A", "B", "Content-Type", "X-Long-Name", "User-Agent"})
 		for range rapid.IntRange(1, 20).Draw(t, "headers") {
 			h := http.Header{}
@@ -37,7 +37,7 @@
 
 func TestWhatTheConnectionHasCarriedIsShort(t *testing.T) {
 	c := qt.New(t)
-	p := Packer{Once: map[string]bool{"Rockspoke-Id": true}}
+	p := Packer{NeverIndexed: map[string]bool{"Rockspoke-Id": true}}
 	first := len(p.Pack(usual(1)))
 	for i := 2; i < 100; i++ {
 		c.Assert(len(p.Pack(usual(i))) < min(first/2, 60), qt.IsTrue, qt.Commentf("%d of %d", len(p.Pack(usual(i))), first))
@@ -68,7 +68,7 @@
 }
 
 func BenchmarkPackAndUnpack(b *testing.B) {
-	p, u := Packer{Once: map[string]bool{"Rockspoke-Id": true}}, Unpacker{}
+	p, u := Packer{NeverIndexed: map[string]bool{"Rockspoke-Id": true}}, Unpacker{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if _, err := u.Unpack(p.Pack(usual(i))); err != nil {
--- a/pkg/headerpack/packer.go
+++ b/pkg/headerpack/packer.go
@@ -8,8 +8,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Header is the header of HTTP/1.1 that carries the packed ones.
-const Header = "Rs-H"
+// HeaderName is the header of HTTP/1.1 that carries the packed ones.
+const HeaderName = "Rs-H"
 
 // coding is the text form of packed headers.
 var coding = base64.RawURLEncoding
@@ -18,8 +18,8 @@
 type Packer struct {
 	buf bytes.Buffer
 	enc *hpack.Encoder
-	// Once lists the names whose values hardly come twice: the other side doesn't remember them.
-	Once map[string]bool
+	// NeverIndexed lists the names whose values hardly come twice: the other side doesn't remember them.
+	NeverIndexed map[string]bool
 }
 
 // Pack returns the header as text.
@@ -31,7 +31,7 @@
 	for name, values := range h {
 		for _, v := range values {
 			// A bytes.Buffer never fails to be written to.
-			_ = p.enc.WriteField(hpack.HeaderField{Name: name, Value: v, Sensitive: p.Once[name]})
+			_ = p.enc.WriteField(hpack.HeaderField{Name: name, Value: v, Sensitive: p.NeverIndexed[name]})
 		}
 	}
 	return coding.EncodeToString(p.buf.Bytes())
--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -16,33 +16,33 @@
 // Request is one request to be sent. Body is sent whole before an answer is awaited; Stream, of StreamLen
 // bytes or chunked if that is below 0, is sent while the answer may already come.
 type Request struct {
-	Method    string
-	URI       string // path and query, as they came
-	Host      string
-	Header    http.Header
-	Packed    bool // the header is sent packed, to a daemon that unpacks it and packs that of its answer
-	Body      []byte
-	Stream    io.Reader
-	StreamLen int64
-	// HeardSince has the request sent on a connection on which an answer came later than that, or a new one; zero: on any.
-	HeardSince time.Time
-	// Patience is the time in which its answer can be expected. Where nothing comes for that long, the connections that rest may have gone silent
+	Method       string
+	URI          string // path and query, as they came
+	Host         string
+	Header       http.Header
+	PackHeader   bool // the header is sent packed, to a daemon that unpacks it and packs that of its answer
+	Body         []byte
+	Stream       io.Reader
+	StreamLength int64
+	// ReceivedSince has the request sent on a connection on which an answer came later than that, or a new one; zero: on any.
+	ReceivedSince time.Time
+	// ExpectedResponseTime is the time in which its answer can be expected. Where nothing comes for that long, the connections that rest may have gone silent
 	// with its own: the next request goes on a new one, and they are closed. 0: nothing is made of it.
-	Patience time.Duration
+	ExpectedResponseTime time.Duration
 }
 
 // Response is an answer whose header was read. Its Body must be closed.
 type Response struct {
-	Status int
-	Header http.Header
-	Length int64 // -1: not known
-	Body   io.ReadCloser
+	Status        int
+	Header        http.Header
+	ContentLength int64 // -1: not known
+	Body          io.ReadCloser
 }
 
 // Do sends a request on a kept or new connection and reads the header of its answer. The connection goes
 // back when the body has been read to its end. When ctx ends the connection is closed. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Response, error) {
-	c, err := p.get(ctx, latest(req.HeardSince, p.sending(req.Patience)))
+	c, err := p.get(ctx, latest(req.ReceivedSince, p.sending(req.ExpectedResponseTime)))
 	if err != nil {
 		return nil, err
 	}
@@ -79,20 +79,20 @@
 	res, err := x.readHeader(req.Method)
 	if err != nil {
 		if !isTransport(err) {
-			x.kind = Broken
+			x.kind = BrokenAnswer
 		}
 		return nil, err
 	}
 	if err := x.unpack(res.Header); err != nil {
-		x.kind = Broken
+		x.kind = BrokenAnswer
 		return nil, err
 	}
 	// An answer that comes before a streamed body is sent leaves the rest of that body on the connection.
 	x.reuse = x.stream == nil && !res.Close && res.ProtoAtLeast(1, 1)
 	x.conn.keep = keepAlive(res.Header)
-	x.kind = Broken
+	x.kind = BrokenAnswer
 	return &Response{
-		Status: res.StatusCode, Header: res.Header, Length: res.ContentLength,
+		Status: res.StatusCode, Header: res.Header, ContentLength: res.ContentLength,
 		Body: &body{ReadCloser: res.Body, x: x},
 	}, nil
 }
@@ -109,7 +109,7 @@
 
 // unpack adds the packed headers of an answer to the others.
 func (x *exchange) unpack(h http.Header) error {
-	text := h.Get(headerpack.Header)
+	text := h.Get(headerpack.HeaderName)
 	if text == "" {
 		return nil
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	delete(h, headerpack.Header)
+	delete(h, headerpack.HeaderName)
 	maps.Copy(h, packed)
 	return nil
 }
--- a/pkg/httpconn/exchange_error.go
+++ b/pkg/httpconn/exchange_error.go
@@ -9,7 +9,7 @@
 const (
 	NotConnected ErrorKind = iota + 1 // no connection was made: nothing was sent
 	NoAnswer                          // the request was sent, in whole or part, and no answer came
-	Broken                            // what came is no answer, or only part of one
+	BrokenAnswer                      // what came is no answer, or only part of one
 	Canceled                          // the context ended after the request was sent
 )
 
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -92,7 +92,7 @@
 		c.Assert(body, qt.Equals, "ok")
 	}
 	c.Assert(conns.Load(), qt.Equals, int64(1))
-	c.Assert(p.Open(), qt.Equals, 1)
+	c.Assert(p.OpenCount(), qt.Equals, 1)
 }
 
 // A second answer that comes late lies where the next one is due.
@@ -158,8 +158,8 @@
 		})
 		_, err := get(p, context.Background())
 		k := kindOf(err)
-		c.Assert(k == Broken || k == NoAnswer, qt.IsTrue, qt.Commentf("%s: %v", name, err))
-		c.Assert(p.Open(), qt.Equals, 0, qt.Commentf("%s", name))
+		c.Assert(k == BrokenAnswer || k == NoAnswer, qt.IsTrue, qt.Commentf("%s: %v", name, err))
+		c.Assert(p.OpenCount(), qt.Equals, 0, qt.Commentf("%s", name))
 	}
 }
 
@@ -180,7 +180,7 @@
 		return false
 	})
 	_, err = get(p, context.Background())
-	c.Assert(kindOf(err), qt.Equals, Broken, qt.Commentf("%v", err))
+	c.Assert(kindOf(err), qt.Equals, BrokenAnswer, qt.Commentf("%v", err))
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
@@ -203,7 +203,7 @@
 	p := &Pool{Clock: clock.Real{}, Dial: func(context.Context) (net.Conn, error) { return nil, net.ErrClosed }}
 	_, err := get(p, context.Background())
 	c.Assert(kindOf(err), qt.Equals, NotConnected)
-	c.Assert(p.Open(), qt.Equals, 0)
+	c.Assert(p.OpenCount(), qt.Equals, 0)
 }
 
 // An answer may come before a streamed body is sent; that connection isn't used again.
@@ -233,12 +233,12 @@
 		return d.DialContext(ctx, "tcp", ln.Addr().String())
 	}}
 	body := io.MultiReader(strings.NewReader(strings.Repeat("x", 1000)), blockedReader{make(chan struct{})})
-	res, err := p.Do(context.Background(), &Request{Method: "POST", URI: "/", Host: "h", Header: http.Header{}, Stream: body, StreamLen: 1 << 20})
+	res, err := p.Do(context.Background(), &Request{Method: "POST", URI: "/", Host: "h", Header: http.Header{}, Stream: body, StreamLength: 1 << 20})
 	c.Assert(err, qt.IsNil)
 	b, err := io.ReadAll(res.Body)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(b), qt.Equals, "ok")
-	c.Assert(p.Open(), qt.Equals, 0)
+	c.Assert(p.OpenCount(), qt.Equals, 0)
 }
 
 type blockedReader struct{ c chan struct{} }
@@ -259,8 +259,8 @@
 	}
 	c.Assert(conns.Load(), qt.Equals, int64(2))
 	clk.Advance(time.Hour)
-	p.Sweep()
-	c.Assert(p.Open(), qt.Equals, 0)
+	p.CloseExpired()
+	c.Assert(p.OpenCount(), qt.Equals, 0)
 }
 
 func FuzzAnswers(f *testing.F) {
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -14,20 +14,20 @@
 // bufferBytes is the size of a connection's read and write buffers: most headers and small bodies fit.
 const bufferBytes = 4 << 10
 
-// DefaultIdle is how long a connection rests before it isn't used again. Servers close idle connections
+// DefaultIdleTimeout is how long a connection rests before it isn't used again. Servers close idle connections
 // after some seconds, and a request that crosses the close is lost.
-const DefaultIdle = 4 * time.Second
+const DefaultIdleTimeout = 4 * time.Second
 
 // Pool keeps connections to one address. The zero value of every field but Dial and Clock works.
 type Pool struct {
 	Dial  func(ctx context.Context) (net.Conn, error)
 	Clock clock.Clock
-	// Idle is how long a connection may rest; 0 means DefaultIdle.
-	Idle time.Duration
-	// Once lists the headers of packed requests whose values hardly come twice.
-	Once map[string]bool
-	// SilentSends is how many requests in a row have to be without an answer for their patience to count; 0 means 1.
-	SilentSends int
+	// IdleTimeout is how long a connection may rest; 0 means DefaultIdle.
+	IdleTimeout time.Duration
+	// NeverIndexed lists the headers of packed requests whose values hardly come twice.
+	NeverIndexed map[string]bool
+	// MinUnansweredSends is how many requests in a row have to be without an answer for their patience to count; 0 means 1.
+	MinUnansweredSends int
 
 	mu      sync.Mutex
 	idle    []*conn // the last one was used last
@@ -63,7 +63,7 @@
 	return &conn{
 		pool: p, raw: raw,
 		br: bufio.NewReaderSize(raw, bufferBytes),
-		bw: bufio.NewWriterSize(raw, bufferBytes), packer: headerpack.Packer{Once: p.Once},
+		bw: bufio.NewWriterSize(raw, bufferBytes), packer: headerpack.Packer{NeverIndexed: p.NeverIndexed},
 	}, nil
 }
 
@@ -90,9 +90,9 @@
 
 // restLimit is how long the connection may rest: half of what the server said, to leave time for the way.
 func (c *conn) restLimit() time.Duration {
-	limit := c.pool.Idle
+	limit := c.pool.IdleTimeout
 	if limit == 0 {
-		limit = DefaultIdle
+		limit = DefaultIdleTimeout
 	}
 	if c.keep > 0 {
 		limit = min(limit, c.keep/2)
@@ -118,21 +118,21 @@
 	p.mu.Unlock()
 }
 
-// Open returns how many connections there are, in use and idle.
-func (p *Pool) Open() int {
+// OpenCount returns how many connections there are, in use and idle.
+func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Sweep closes connections that have rested too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that have rested too long.
+func (p *Pool) CloseExpired() {
 	now := p.Clock.Now()
 	p.drop(func(c *conn) bool { return now.Sub(c.rested) >= c.restLimit() })
 }
 
-// DropRested closes the idle connections on which nothing came since a time: they may have gone silent. With the zero time it does nothing.
-func (p *Pool) DropRested(since time.Time) {
+// CloseIdleBefore closes the idle connections on which nothing came since a time: they may have gone silent. With the zero time it does nothing.
+func (p *Pool) CloseIdleBefore(since time.Time) {
 	if since.IsZero() {
 		return
 	}
@@ -145,9 +145,9 @@
 		return time.Time{}
 	}
 	p.mu.Lock()
-	since = p.silence.sending(p.Clock.Now(), patience, max(p.SilentSends, 1))
+	since = p.silence.sending(p.Clock.Now(), patience, max(p.MinUnansweredSends, 1))
 	p.mu.Unlock()
-	p.DropRested(since)
+	p.CloseIdleBefore(since)
 	return since
 }
 
@@ -158,8 +158,8 @@
 	p.silence = silence{}
 }
 
-// DropIdle closes the idle connections, whose other sides may be gone.
-func (p *Pool) DropIdle() {
+// CloseIdle closes the idle connections, whose other sides may be gone.
+func (p *Pool) CloseIdle() {
 	p.drop(func(*conn) bool { return true })
 }
 
@@ -188,7 +188,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.DropIdle()
+	p.CloseIdle()
 }
 
 // Close closes the connection for good; the other side learns by it that an exchange was given up.
--- a/pkg/httpconn/send_request.go
+++ b/pkg/httpconn/send_request.go
@@ -26,8 +26,8 @@
 		_, _ = w.WriteString("\r\n") // as above
 		_, _ = w.Write(req.Body)     // as above
 		return w.Flush()
-	case req.StreamLen >= 0:
-		_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(req.StreamLen, 10) + "\r\n\r\n") // as above
+	case req.StreamLength >= 0:
+		_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(req.StreamLength, 10) + "\r\n\r\n") // as above
 	default:
 		_, _ = w.WriteString("Transfer-Encoding: chunked\r\n\r\n") // as above
 	}
@@ -41,10 +41,10 @@
 
 // writeHeader writes the headers, packed if that is wanted.
 func (x *exchange) writeHeader(w *bufio.Writer, req *Request) error {
-	if !req.Packed {
+	if !req.PackHeader {
 		return req.Header.Write(w)
 	}
-	for _, s := range [...]string{headerpack.Header, ": ", x.conn.packer.Pack(req.Header), "\r\n"} {
+	for _, s := range [...]string{headerpack.HeaderName, ": ", x.conn.packer.Pack(req.Header), "\r\n"} {
 		_, _ = w.WriteString(s) // Flush tells the error
 	}
 	return nil
@@ -66,8 +66,8 @@
 func (x *exchange) sendStream(req *Request) {
 	var err error
 	w := x.conn.bw
-	if req.StreamLen >= 0 {
-		_, err = io.CopyN(w, req.Stream, req.StreamLen)
+	if req.StreamLength >= 0 {
+		_, err = io.CopyN(w, req.Stream, req.StreamLength)
 	} else {
 		err = copyChunks(w, req.Stream)
 	}
--- a/pkg/httpconn/silence_test.go
+++ b/pkg/httpconn/silence_test.go
@@ -40,7 +40,7 @@
 	defer close(hold)
 	const patience = 20 * time.Millisecond
 	send := func(ctx context.Context, patience time.Duration) error {
-		res, err := p.Do(ctx, &Request{Method: "GET", URI: "/", Host: "h", Patience: patience})
+		res, err := p.Do(ctx, &Request{Method: "GET", URI: "/", Host: "h", ExpectedResponseTime: patience})
 		if err == nil {
 			defer res.Body.Close()
 			_, err = io.ReadAll(res.Body)
@@ -58,12 +58,12 @@
 		_, err = io.ReadAll(res.Body)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(p.Open(), qt.Equals, 2)
+	c.Assert(p.OpenCount(), qt.Equals, 2)
 	silent.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	c.Assert(send(ctx, patience), qt.IsNotNil)
 	c.Assert(send(context.Background(), patience), qt.IsNil)
 	c.Assert(conns.Load(), qt.Equals, int64(3))
-	c.Assert(p.Open(), qt.Equals, 1)
+	c.Assert(p.OpenCount(), qt.Equals, 1)
 }
--- a/pkg/lab/capacity_slopes.go
+++ b/pkg/lab/capacity_slopes.go
@@ -143,7 +143,7 @@
 			for _, v := range r.VMs() {
 				list = append(list, routing.Candidate{VM: v, Labels: v.AllLabels(nil)})
 			}
-			routing.Choice{Zone: "zone-1"}.Groups(&pool, plan.Call("svc1", config.Match{}), list)
+			routing.Grouper{Zone: "zone-1"}.Groups(&pool, plan.Call("svc1", config.Match{}), list)
 		}
 		s.add(float64(n), float64(time.Since(begin).Microseconds())/times)
 	}
--- a/pkg/lab/cluster_test.go
+++ b/pkg/lab/cluster_test.go
@@ -54,7 +54,7 @@
 	}
 	h.Set(headerLabRequest, key)
 	if key != "" {
-		h.Set(wire.HeaderKey, key)
+		h.Set(wire.HeaderIdempotencyKey, key)
 	}
 	return c.entry()(context.Background(), entry, outgoing{service: cl.Root, method: cl.method(), path: cl.path(), header: h})
 }
@@ -144,7 +144,7 @@
 	c := qt.New(t)
 	cl := startSmall(t, Options{})
 	forged := http.Header{}
-	wire.EncodeCall(forged, wire.Call{Root: "r", Service: "back", Tokens: 99, Delegated: true})
+	wire.EncodeCall(forged, wire.Call{RootID: "r", Service: "back", RetryTokens: 99, Delegated: true})
 	forged.Set(wire.HeaderRequest, "x")
 	rep := cl.ask(0, "reads", "r1", forged)
 	c.Assert(rep.status, qt.Equals, http.StatusOK)
@@ -354,7 +354,7 @@
 	defer cancel()
 	h := http.Header{}
 	h.Set(headerLabRequest, "gone")
-	h.Set(wire.HeaderKey, "gone")
+	h.Set(wire.HeaderIdempotencyKey, "gone")
 	cl.entry()(ctx, 0, outgoing{service: "front", method: http.MethodPost, path: "/billing", header: h})
 	calls := 0
 	for _, v := range cl.serversOf("front") {
@@ -384,8 +384,8 @@
 	for _, x := range []struct {
 		header, value string
 	}{
-		{wire.HeaderKey, strings.Repeat("k", wire.MaxKey+1)},
-		{wire.HeaderKey, "no\tcontrol characters"},
+		{wire.HeaderIdempotencyKey, strings.Repeat("k", wire.MaxKeyBytes+1)},
+		{wire.HeaderIdempotencyKey, "no\tcontrol characters"},
 		{wire.HeaderTimeout, "soon"},
 		{wire.HeaderTimeout, "-1"},
 	} {
--- a/pkg/lab/experiment_leave.go
+++ b/pkg/lab/experiment_leave.go
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, a := range attempts {
-		if !a.Served && (a.Status == 0 || (a.Outcome == wire.Unknown && a.Reason != wire.ReasonRetries)) {
+		if !a.Served && (a.Status == 0 || (a.Outcome == wire.Unknown && a.Reason != wire.ReasonRetryBudget)) {
 			n++
 		}
 	}
--- a/pkg/lab/fake_caller.go
+++ b/pkg/lab/fake_caller.go
@@ -173,7 +173,7 @@
 	defer cancel()
 	h := http.Header{}
 	h.Set(headerLabRequest, d.id)
-	h.Set(wire.HeaderKey, key)
+	h.Set(wire.HeaderIdempotencyKey, key)
 	a := Attempt{Request: d.id, Class: d.class.Name, Entry: c.Entries[entry].Info.Name, Start: time.Now()}
 	rep := enter(ctx, entry, outgoing{service: d.class.Root, method: d.class.method(), path: d.class.path(), header: h})
 	a.End = time.Now()
--- a/pkg/lab/report_promises.go
+++ b/pkg/lab/report_promises.go
@@ -199,7 +199,7 @@
 	}
 	n := 0
 	for _, a := range attempts {
-		if a.Outcome != wire.NotRun || a.Reason != wire.ReasonLevel {
+		if a.Outcome != wire.NotRun || a.Reason != wire.ReasonBelowLevel {
 			continue
 		}
 		c := g.class(a.Class)
--- a/pkg/level/level_view.go
+++ b/pkg/level/level_view.go
@@ -15,7 +15,7 @@
 	staleAfter = 150 * time.Millisecond
 	fadeTime   = time.Second
 	// least is the level under which a fall goes on to zero.
-	least = priority.Span / 256
+	least = priority.TierSpan / 256
 )
 
 // Route names calls of one class to one service.
--- a/pkg/mesh/answer.go
+++ b/pkg/mesh/answer.go
@@ -51,7 +51,7 @@
 // bufferBody reads a short body into memory, so that a truncated one is detected before any of it is passed on. Of a
 // long body it reads the first part and keeps the rest as a stream. The error is an *httpconn.Error.
 func (a *answer) bufferBody(res *httpconn.Response) error {
-	a.length = res.Length
+	a.length = res.ContentLength
 	head, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBody+1))
 	if err != nil {
 		return err
--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -18,9 +18,9 @@
 
 var (
 	// unknownKey: the newest desired state has no such key.
-	unknownKey = &keyRefusal{wire.ReasonNoKey, http.StatusUnauthorized}
+	unknownKey = &keyRefusal{wire.ReasonNoTeamKey, http.StatusUnauthorized}
 	// unverifiableKey: a newer desired state that this node doesn't have may have added or removed the key.
-	unverifiableKey = &keyRefusal{wire.ReasonOldState, http.StatusServiceUnavailable}
+	unverifiableKey = &keyRefusal{wire.ReasonStaleState, http.StatusServiceUnavailable}
 )
 
 // needsKeys reports whether requests need a key, except on public routes. With strict revocation they need one even
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -27,7 +27,7 @@
 // newBackend returns the backend of a node.
 func newBackend(n *Node) *backend {
 	return &backend{n: n, pool: &httpconn.Pool{
-		Dial: n.network.dialFunc(n.ip, n.cfg.Backend.Address, backendDialTimeout), Clock: n.clock, SilentSends: minUnansweredSends,
+		Dial: n.network.dialFunc(n.ip, n.cfg.Backend.Address, backendDialTimeout), Clock: n.clock, MinUnansweredSends: minUnansweredSends,
 	}}
 }
 
@@ -159,7 +159,7 @@
 	h.Set(b.n.names.TimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
 	res, err := b.pool.Do(ctx, &httpconn.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Header: h,
-		Body: q.body, Stream: q.stream, StreamLen: q.streamLength, Patience: b.answerPatience(q),
+		Body: q.body, Stream: q.stream, StreamLength: q.streamLength, ExpectedResponseTime: b.answerPatience(q),
 	})
 	if err != nil {
 		return b.failedAnswer(err)
@@ -169,7 +169,7 @@
 		if notExecuted(res, b.n.names) && res.Header.Get(b.n.names.AttemptID) == "" {
 			return b.shedAnswer(res), gate.Shed
 		}
-		return unknownAnswer(wire.ReasonLost), gate.Failed
+		return unknownAnswer(wire.ReasonAnswerLost), gate.Failed
 	}
 	if notExecuted(res, b.n.names) {
 		_ = drainBody(res) // only the refusal counts; its text isn't used
@@ -200,7 +200,7 @@
 
 // shedAnswer returns the answer for a request that the server refused without running it.
 func (b *backend) shedAnswer(res *httpconn.Response) *answer {
-	reason := wire.ReasonRefused
+	reason := wire.ReasonServerRefused
 	if res.Status == http.StatusMisdirectedRequest {
 		reason = wire.ReasonNoServer
 	}
@@ -221,7 +221,7 @@
 		a.canceled = true
 		return a, gate.Abandoned
 	default:
-		a := unknownAnswer(wire.ReasonLost)
+		a := unknownAnswer(wire.ReasonAnswerLost)
 		a.broken = true
 		return a, gate.Failed
 	}
--- a/pkg/mesh/client_connections_test.go
+++ b/pkg/mesh/client_connections_test.go
@@ -12,7 +12,7 @@
 	c := qt.New(t)
 	s := newThreeServerSite(t)
 	n := s.nodes[0]
-	n.clients.SetMost(20)
+	n.clients.SetLimit(20)
 	for range 60 {
 		kept := &http.Client{Transport: &http.Transport{}}
 		defer kept.CloseIdleConnections()
@@ -22,5 +22,5 @@
 		s.clients = all
 		c.Assert(status, qt.Equals, http.StatusOK)
 	}
-	c.Assert(n.clients.Open() <= 20, qt.IsTrue, qt.Commentf("%d open", n.clients.Open()))
+	c.Assert(n.clients.OpenCount() <= 20, qt.IsTrue, qt.Commentf("%d open", n.clients.OpenCount()))
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -119,7 +119,7 @@
 	n.sendCleared(now)
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
-		n.forEachPool((*httpconn.Pool).Sweep)
+		n.forEachPool((*httpconn.Pool).CloseExpired)
 		n.poison.RemoveExpired(now)
 	}
 	if !now.Before(n.control.nextStatsUpdate) {
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -91,7 +91,7 @@
 	if a.outcome != wire.NotRun && d.q.Once {
 		return false
 	}
-	if a.reason == wire.ReasonHeldBack || a.reason == wire.ReasonSuspect {
+	if a.reason == wire.ReasonQuarantined || a.reason == wire.ReasonSuspect {
 		return false // no other server may be put at risk
 	}
 	if d.q.Stages.Suspected() && a.reason == wire.ReasonQueue {
@@ -139,8 +139,8 @@
 	h.Set(headerCall, d.q.encode())
 	h.Set(d.n.names.TimeLeft, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	res, err := d.roundTrip(ctx, p, usual, &httpconn.Request{
-		Method: d.q.method, URI: d.q.uri, Host: d.q.host, Header: h, Packed: !p.sameZone.Load() && !d.n.off[settings.PackedHeaders],
-		Body: d.q.body, Stream: d.q.stream, StreamLen: d.q.streamLength, HeardSince: d.receivedSince, Patience: d.n.expectedResponseTime(usual),
+		Method: d.q.method, URI: d.q.uri, Host: d.q.host, Header: h, PackHeader: !p.sameZone.Load() && !d.n.off[settings.PackedHeaders],
+		Body: d.q.body, Stream: d.q.stream, StreamLength: d.q.streamLength, ReceivedSince: d.receivedSince, ExpectedResponseTime: d.n.expectedResponseTime(usual),
 	})
 	if err != nil {
 		return d.handlePeerError(p, err)
@@ -149,7 +149,7 @@
 	if err != nil {
 		_ = res.Body.Close() // the response isn't a node's answer
 		d.n.callLog.Warn("invalid peer answer", "request", d.q.id, "peer", p.host, "err", err)
-		return unknownAnswer(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonAnswerLost)
 	}
 	p.receivedReply(d.n.clock.Now(), r)
 	if r.NotListening {
@@ -182,7 +182,7 @@
 // unless the caller canceled.
 func (d *delivery) handlePeerError(p *peer, err error) *answer {
 	if errors.Is(err, errRequestMissing) {
-		return unknownAnswer(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonAnswerLost)
 	}
 	if isCanceled(err) {
 		a := unknownAnswer(wire.ReasonDeadline)
@@ -196,7 +196,7 @@
 	if isUnsent(err) {
 		return notRunAnswer(wire.ReasonNoServer)
 	}
-	return unknownAnswer(wire.ReasonLost)
+	return unknownAnswer(wire.ReasonAnswerLost)
 }
 
 // minRetryDelay is the base delay after which a refused client is told to retry.
--- a/pkg/mesh/harmless_kinds_test.go
+++ b/pkg/mesh/harmless_kinds_test.go
@@ -62,7 +62,7 @@
 		if sent.After(k.refusedSince) {
 			k.refusedSince = time.Time{}
 		}
-	case reason == wire.ReasonSuspect || reason == wire.ReasonHeldBack:
+	case reason == wire.ReasonSuspect || reason == wire.ReasonQuarantined:
 		k.refused++
 		if k.refusedSince.IsZero() {
 			k.refusedSince = sent
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -37,9 +37,9 @@
 // clientServer returns the HTTP server for clients and the local backend server.
 func (n *Node) clientServer(addr string) *http.Server {
 	s := n.newServer(addr, n.outboundHandler())
-	n.clients.SetMost(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
-	n.clients.Closed = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
-	s.ConnState = n.clients.Follow
+	n.clients.SetLimit(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
+	n.clients.OnEvicted = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
+	s.ConnState = n.clients.TrackState
 	return s
 }
 
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -86,7 +86,7 @@
 	for _, r := range p.awaited.FinishQuery(n.clock.Now(), overdue, a.Missing) {
 		n.metrics.count("requests_lost_total")
 		n.callLog.Warn("request lost on an unresponsive connection", "peer", p.host, "request", r.ID, "waited_ms", n.clock.Now().Sub(r.Sent).Milliseconds())
-		p.pool.DropRested(r.Sent)
+		p.pool.CloseIdleBefore(r.Sent)
 	}
 }
 
--- a/pkg/mesh/network_test.go
+++ b/pkg/mesh/network_test.go
@@ -70,7 +70,7 @@
 	c := qt.New(t)
 	l := serveDropping(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	dial := Network{}.dialFunc("127.0.0.1", l.Addr().String(), time.Second)
-	p := &httpconn.Pool{Dial: dial, Clock: clock.Real{}, Idle: time.Minute}
+	p := &httpconn.Pool{Dial: dial, Clock: clock.Real{}, IdleTimeout: time.Minute}
 	t.Cleanup(p.Close)
 	get := func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -86,7 +86,7 @@
 		return n.quarantineRefusal(q, j)
 	}
 	if !n.admit(q, q.deadline.Sub(n.clock.Now())) {
-		a := notRunAnswer(wire.ReasonLevel)
+		a := notRunAnswer(wire.ReasonBelowLevel)
 		a.overloaded = true
 		return a
 	}
@@ -142,7 +142,7 @@
 
 // retryDelayFor returns the mean delay after which a client should retry a refusal for the reason.
 func retryDelayFor(reason wire.Reason) time.Duration {
-	if reason == wire.ReasonOldState {
+	if reason == wire.ReasonStaleState {
 		return oldStateRetryDelay
 	}
 	return minRetryDelay
--- a/pkg/mesh/packed_headers.go
+++ b/pkg/mesh/packed_headers.go
@@ -33,7 +33,7 @@
 // headers of the answers.
 func (n *Node) withPackedHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		text := r.Header.Get(headerpack.Header)
+		text := r.Header.Get(headerpack.HeaderName)
 		c, ok := r.Context().Value(peerConnKey{}).(*peerConnHeaders)
 		if text == "" || !ok {
 			next.ServeHTTP(w, r)
@@ -46,7 +46,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		delete(r.Header, headerpack.Header)
+		delete(r.Header, headerpack.HeaderName)
 		maps.Copy(r.Header, h)
 		next.ServeHTTP(&packingWriter{ResponseWriter: w, conn: c}, r)
 	})
@@ -88,7 +88,7 @@
 		}
 	}
 	h["Date"], h["Content-Type"] = nil, nil // net/http would add its own
-	h.Set(headerpack.Header, w.conn.packer.Pack(rest))
+	h.Set(headerpack.HeaderName, w.conn.packer.Pack(rest))
 }
 
 // Write sends the headers first if they haven't been sent.
--- a/pkg/mesh/packed_headers_test.go
+++ b/pkg/mesh/packed_headers_test.go
@@ -41,12 +41,12 @@
 		c.Assert(h.Get(testNames.AttemptID), qt.Equals, id)
 		c.Assert(h["X-Many"], qt.DeepEquals, []string{"one", "two"})
 		c.Assert(h.Get("Date"), qt.Equals, "Mon, 02 Jan 2006 15:04:05 GMT")
-		c.Assert(h.Get(headerpack.Header), qt.Equals, "")
+		c.Assert(h.Get(headerpack.HeaderName), qt.Equals, "")
 		mu.Lock()
 		c.Assert(got.Get(testNames.AttemptID), qt.Equals, id)
 		c.Assert(got.Get(testNames.Caller), qt.Equals, "front")
 		c.Assert(got.Get("User-Agent"), qt.Equals, "Go-http-client/1.1")
-		c.Assert(got.Get(headerpack.Header), qt.Equals, "")
+		c.Assert(got.Get(headerpack.HeaderName), qt.Equals, "")
 		mu.Unlock()
 	}
 }
@@ -58,7 +58,7 @@
 	n, _ := s.add("back", "z2", 10)
 	req, err := http.NewRequest(http.MethodGet, "http://"+n.cfg.Listen.Peers+"/read/x", nil)
 	c.Assert(err, qt.IsNil)
-	req.Header.Set(headerpack.Header, "no such thing!")
+	req.Header.Set(headerpack.HeaderName, "no such thing!")
 	res, err := s.clients.Do(req)
 	c.Assert(err, qt.IsNil)
 	defer res.Body.Close()
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -83,8 +83,8 @@
 		p = &peer{
 			host: host, local: host == n.ip,
 			pool: &httpconn.Pool{
-				Dial: n.network.dialFunc(n.ip, addr, dialTimeout), Clock: n.clock, Idle: peerIdleTimeout,
-				Once: map[string]bool{n.names.AttemptID: true, n.names.TimeLeft: true},
+				Dial: n.network.dialFunc(n.ip, addr, dialTimeout), Clock: n.clock, IdleTimeout: peerIdleTimeout,
+				NeverIndexed: map[string]bool{n.names.AttemptID: true, n.names.TimeLeft: true},
 			},
 		}
 		n.peers[host] = p
--- a/pkg/mesh/query_node.go
+++ b/pkg/mesh/query_node.go
@@ -58,14 +58,14 @@
 	return unpack(data, resBody)
 }
 
-// expectedMessageTime is the time within which the response to a message is expected (httpconn.Request.Patience): nodes answer without waiting for
+// expectedMessageTime is the time within which the response to a message is expected (httpconn.Request.ExpectedResponseTime): nodes answer without waiting for
 // anything. Without it messages on unresponsive connections would fail one after the other.
 const expectedMessageTime = 100 * time.Millisecond
 
 // post sends a message to the peer on a connection that has received data since the given time, or on a new one.
 func (p *peer) post(ctx context.Context, since time.Time, path string, body []byte) (*httpconn.Response, error) {
 	return p.pool.Do(ctx, &httpconn.Request{
-		Method: http.MethodPost, URI: path, Host: p.host, Header: http.Header{}, Body: body, HeardSince: since, Patience: expectedMessageTime,
+		Method: http.MethodPost, URI: path, Host: p.host, Header: http.Header{}, Body: body, ReceivedSince: since, ExpectedResponseTime: expectedMessageTime,
 	})
 }
 
--- a/pkg/mesh/suspects.go
+++ b/pkg/mesh/suspects.go
@@ -51,7 +51,7 @@
 	n.metrics.count("held_back_total", "route", q.Route)
 	n.callLog.Info("request quarantined", "request", q.id, "route", q.Route, "service", q.Service, "fingerprint", q.identity().Widest(),
 		"stages", j.Stages, "sound", j.RecentlySuccessful, "for", j.Remaining, "ended", loggedLifetimes(j.Crashed))
-	a := notRunAnswer(wire.ReasonHeldBack)
+	a := notRunAnswer(wire.ReasonQuarantined)
 	a.retryAfter = j.Remaining
 	return a
 }
--- a/pkg/mesh/suspension.go
+++ b/pkg/mesh/suspension.go
@@ -18,7 +18,7 @@
 	n.watch.with(func(w *follow.Tracker) { w.NoteRunning(now) })
 	expired := n.timeLimits.Lapse(now)
 	if d >= deadConnDetectTime {
-		n.forEachPool((*httpconn.Pool).DropIdle)
+		n.forEachPool((*httpconn.Pool).CloseIdle)
 	}
 	n.metrics.count("suspensions_total")
 	n.controlLog.Warn("this VM was suspended", "for", d, "requests_lapsed", expired)
--- a/pkg/mesh/suspension_test.go
+++ b/pkg/mesh/suspension_test.go
@@ -142,9 +142,9 @@
 		s, k := newSuspendableSite(t)
 		status, _, _ := s.request(0, http.MethodGet, "/read/x", "q", time.Second)
 		c.Assert(status, qt.Equals, http.StatusOK)
-		c.Assert(s.nodes[0].backend.pool.Open(), qt.Equals, 1)
+		c.Assert(s.nodes[0].backend.pool.OpenCount(), qt.Equals, 1)
 		k.suspended.Add(int64(2 * time.Second))
 		time.Sleep(2 * tickPeriod)
-		c.Assert(s.nodes[0].backend.pool.Open(), qt.Equals, 0)
+		c.Assert(s.nodes[0].backend.pool.OpenCount(), qt.Equals, 0)
 	})
 }
--- a/pkg/mesh/unresponsive_peer.go
+++ b/pkg/mesh/unresponsive_peer.go
@@ -52,7 +52,7 @@
 	return time.Duration(float64(usual) * max(slowdown, 1))
 }
 
-// expectedResponseTime returns the time within which a request with the given expected slot hold time should be answered (httpconn.Request.Patience);
+// expectedResponseTime returns the time within which a request with the given expected slot hold time should be answered (httpconn.Request.ExpectedResponseTime);
 // 0 if the detection is switched off.
 func (n *Node) expectedResponseTime(holdTime time.Duration) time.Duration {
 	if n.off[settings.Silence] {
@@ -94,7 +94,7 @@
 		if !p.local && p.becameUnresponsive(now) && p.backOff(now) {
 			n.metrics.count("peers_aside_total")
 			n.controlLog.Warn("peer is unresponsive", "peer", p.host, "in_progress", p.inflight.Load())
-			p.pool.DropIdle()
+			p.pool.CloseIdle()
 		}
 	}
 }
--- a/pkg/node/backend_client.go
+++ b/pkg/node/backend_client.go
@@ -61,7 +61,7 @@
 	wire.StripInternal(req.Header)
 	req.Header.Set(wire.HeaderRequest, in.id)
 	if in.call.Key != "" {
-		req.Header.Set(wire.HeaderKey, in.call.Key)
+		req.Header.Set(wire.HeaderIdempotencyKey, in.call.Key)
 	}
 	req.Host = q.host
 	resp, err := n.backend.RoundTrip(req)
@@ -72,10 +72,10 @@
 	if resp.Header.Get(headerDrain) == "true" {
 		n.Leave("backend server drains")
 	}
-	wire.StripHop(a.header)
+	wire.StripHopByHop(a.header)
 	wire.StripInternal(a.header)
 	if err := a.readBody(resp.Body); err != nil {
-		return uncertain(wire.ReasonLost)
+		return uncertain(wire.ReasonAnswerLost)
 	}
 	return a
 }
@@ -84,9 +84,9 @@
 func backendFailure(err error) *answer {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return refusal(wire.ReasonRefused, 0)
+		return refusal(wire.ReasonServerRefused, 0)
 	}
-	return uncertain(wire.ReasonLost)
+	return uncertain(wire.ReasonAnswerLost)
 }
 
 // refusedByServer tells whether the answer is the backend server's own documented refusal: that it is
--- a/pkg/node/call_answer.go
+++ b/pkg/node/call_answer.go
@@ -26,7 +26,7 @@
 }
 
 func refusal(reason wire.Reason, after time.Duration) *answer {
-	return &answer{meta: wire.Answer{Outcome: wire.NotRun, Reason: reason, AfterMS: after.Milliseconds()}}
+	return &answer{meta: wire.Answer{Outcome: wire.NotRun, Reason: reason, RetryAfterMS: after.Milliseconds()}}
 }
 
 func uncertain(reason wire.Reason) *answer {
@@ -84,9 +84,9 @@
 		return http.StatusNotFound
 	case a.meta.Reason == wire.ReasonBadRequest:
 		return http.StatusBadRequest
-	case a.meta.Reason == wire.ReasonMismatch:
+	case a.meta.Reason == wire.ReasonKeyMismatch:
 		return http.StatusUnprocessableEntity
-	case a.meta.Reason == wire.ReasonRetries:
+	case a.meta.Reason == wire.ReasonRetryBudget:
 		return http.StatusTooManyRequests
 	case a.meta.Outcome == wire.NotRun:
 		return http.StatusServiceUnavailable
@@ -132,7 +132,7 @@
 		h.Set(wire.HeaderReason, string(a.meta.Reason))
 	}
 	if a.status == 0 && a.meta.Reason != wire.ReasonBadRequest && a.meta.Reason != wire.ReasonNoRoute {
-		after := time.Duration(a.meta.AfterMS) * time.Millisecond
+		after := time.Duration(a.meta.RetryAfterMS) * time.Millisecond
 		if after == 0 {
 			after = n.jitter(defaultRetryAfter)
 		}
--- a/pkg/node/call_gate.go
+++ b/pkg/node/call_gate.go
@@ -20,8 +20,8 @@
 
 // enter waits until the call may start; it returns the reason if it may not.
 func (k *gatekeeper) enter(ctx context.Context, now time.Time, p priority.Priority, deadline time.Time) wire.Reason {
-	verdicts := make(chan admission.Verdict, 1)
-	t := &admission.Ticket{Priority: p, Deadline: deadline, Notify: func(v admission.Verdict) { verdicts <- v }}
+	verdicts := make(chan admission.Decision, 1)
+	t := &admission.Ticket{Priority: p, Deadline: deadline, Notify: func(v admission.Decision) { verdicts <- v }}
 	k.mu.Lock()
 	v := k.gate.Arrive(now, t)
 	k.mu.Unlock()
@@ -40,7 +40,7 @@
 }
 
 // withdraw takes a ticket back whose caller has left; one that just started is let go on, and the call's context ends it.
-func (k *gatekeeper) withdraw(t *admission.Ticket, verdicts <-chan admission.Verdict) wire.Reason {
+func (k *gatekeeper) withdraw(t *admission.Ticket, verdicts <-chan admission.Decision) wire.Reason {
 	k.mu.Lock()
 	queued := k.gate.Cancel(t)
 	k.mu.Unlock()
@@ -62,10 +62,10 @@
 	k.gate.Tick(now)
 }
 
-func (k *gatekeeper) read(now time.Time) admission.Reading {
+func (k *gatekeeper) read(now time.Time) admission.Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.gate.Read(now)
+	return k.gate.Snapshot(now)
 }
 
 // setSlots follows a change of the service's slots.
--- a/pkg/node/call_gate_test.go
+++ b/pkg/node/call_gate_test.go
@@ -18,7 +18,7 @@
 func TestGatekeeperWithManyGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		k := newGatekeeper(admission.NewGate(admission.Settings{Slots: 2, QueueLen: 10, MaxSojourn: time.Second}, time.Now()))
+		k := newGatekeeper(admission.NewGate(admission.Settings{Slots: 2, MaxQueued: 10, MaxSojourn: time.Second}, time.Now()))
 		done := make(chan wire.Reason, 10)
 		for range 6 {
 			go func() {
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -57,11 +57,11 @@
 	case t.VM != n.cfg.VM || t.Service != n.cfg.Service:
 		w.refuse = refusal(wire.ReasonNotOwner, 0)
 	case t.Incarnation != n.incarnation:
-		w.refuse = uncertain(wire.ReasonQuiet)
+		w.refuse = uncertain(wire.ReasonHistoryLost)
 	default:
 		w.provenNew = t.Fresh(now, n.cfg.OnceOnly.TokenLife)
 		if !w.provenNew && !n.remembers(w.hash) {
-			w.refuse = uncertain(wire.ReasonLost)
+			w.refuse = uncertain(wire.ReasonAnswerLost)
 		}
 	}
 	return w
@@ -108,7 +108,7 @@
 		if d.Outcome == wire.Unknown {
 			n.metrics.Inc("once_unknown")
 		}
-		return &answer{meta: wire.Answer{Outcome: d.Outcome, Reason: d.Reason, AfterMS: d.After.Milliseconds()}}
+		return &answer{meta: wire.Answer{Outcome: d.Outcome, Reason: d.Reason, RetryAfterMS: d.After.Milliseconds()}}
 	}
 }
 
@@ -119,12 +119,12 @@
 		case onceonly.Finished:
 			return replayed(rec.Answer)
 		case onceonly.Closed:
-			return refusal(wire.ReasonClosed, 0)
+			return refusal(wire.ReasonKeyClosed, 0)
 		default:
-			return uncertain(wire.ReasonLost)
+			return uncertain(wire.ReasonAnswerLost)
 		}
 	case <-ctx.Done():
-		return uncertain(wire.ReasonRunning)
+		return uncertain(wire.ReasonInProgress)
 	}
 }
 
@@ -157,13 +157,13 @@
 			<-result
 			n.endInbound(in)
 		}()
-		return uncertain(wire.ReasonRunning)
+		return uncertain(wire.ReasonInProgress)
 	}
 }
 
 // closeFor returns how long a refused key stays closed: as long as any attempt may still be under way.
 func (n *Node) closeFor(call wire.Call, q *request) time.Duration {
-	longest := call.Remain()
+	longest := call.Remaining()
 	if plan := n.snapshot.Load().plan; plan != nil {
 		if t := plan.Call(call.Service, q.match()); t != nil {
 			longest = max(longest, t.Timeout)
@@ -183,7 +183,7 @@
 	if n.snapshot.Load().selfTarget[t] {
 		a = n.runLocal(ctx, in, q)
 	}
-	if a.meta.Outcome != wire.NotRun || !a.meta.Reason.Elsewhere() {
+	if a.meta.Outcome != wire.NotRun || !a.meta.Reason.OtherServerMayAccept() {
 		return a
 	}
 	return n.delegate(ctx, in, q, t, a)
@@ -206,7 +206,7 @@
 		call := in.call
 		call.Delegated = true
 		lent := in.ledger.Lend()
-		call.Tokens = lent
+		call.RetryTokens = lent
 		a = n.attempt(ctx, s, call, in.deadline, q)
 		n.settleLoan(in.ledger, lent, a)
 		if a.meta.Outcome != wire.NotRun {
--- a/pkg/node/call_inbound.go
+++ b/pkg/node/call_inbound.go
@@ -35,7 +35,7 @@
 func (n *Node) newInbound(ctx context.Context, call wire.Call, deadline time.Time) *inbound {
 	in := &inbound{
 		id:  strconv.FormatUint(n.nextID.Add(1), 36) + "-" + n.incarnation[len(n.incarnation)-8:],
-		ctx: ctx, call: call, deadline: deadline, ledger: ledger.New(call.Tokens),
+		ctx: ctx, call: call, deadline: deadline, ledger: ledger.New(call.RetryTokens),
 	}
 	n.inbounds.Store(in.id, in)
 	return in
@@ -66,7 +66,7 @@
 	if in.open == 0 {
 		in.waited += now.Sub(in.openSince)
 	}
-	in.level = max(in.level, a.Below)
+	in.level = max(in.level, a.LevelBelow)
 	in.onceBelow = in.onceBelow || a.OnceOnly
 	if a.Outcome == wire.Ran {
 		if in.places == nil {
--- a/pkg/node/call_request.go
+++ b/pkg/node/call_request.go
@@ -48,7 +48,7 @@
 		host = h
 	}
 	h := r.Header.Clone()
-	wire.StripHop(h)
+	wire.StripHopByHop(h)
 	return &request{method: r.Method, host: host, uri: r.URL.RequestURI(), path: r.URL.Path, header: h, body: body}, nil
 }
 
@@ -60,7 +60,7 @@
 // signature tells calls of the same content to the same service apart from others.
 func (q *request) signature(service string) uint64 {
 	d := xxhash.New()
-	for _, s := range []string{q.method, service, q.uri, q.header.Get(wire.HeaderKey)} {
+	for _, s := range []string{q.method, service, q.uri, q.header.Get(wire.HeaderIdempotencyKey)} {
 		_, _ = d.WriteString(s) // never fails
 		_, _ = d.Write([]byte{0})
 	}
@@ -70,11 +70,11 @@
 
 // checkKey checks a caller's idempotency key; the error is a *RequestError.
 func checkKey(key string) error {
-	if len(key) > wire.MaxKey {
-		return &RequestError{http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes", wire.HeaderKey, wire.MaxKey)}
+	if len(key) > wire.MaxKeyBytes {
+		return &RequestError{http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes", wire.HeaderIdempotencyKey, wire.MaxKeyBytes)}
 	}
 	if strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c > '~' }) {
-		return &RequestError{http.StatusBadRequest, wire.HeaderKey + " must be printable ASCII"}
+		return &RequestError{http.StatusBadRequest, wire.HeaderIdempotencyKey + " must be printable ASCII"}
 	}
 	return nil
 }
--- a/pkg/node/call_runner.go
+++ b/pkg/node/call_runner.go
@@ -22,7 +22,7 @@
 		n.metrics.Inc("refused_deadline")
 		return refusal(wire.ReasonDeadline, 0)
 	}
-	reason := n.gate.enter(ctx, arrived, in.call.Priority.Favor(in.call.Depth), in.deadline)
+	reason := n.gate.enter(ctx, arrived, in.call.Priority.AtDepth(in.call.Depth), in.deadline)
 	if reason != wire.ReasonNone {
 		n.countRefusal(reason)
 		return refusal(reason, 0)
@@ -53,7 +53,7 @@
 func (n *Node) judge(in *inbound, a *answer, route string, started time.Time) *answer {
 	now := n.clock.Now()
 	r := in.read(now)
-	a.meta.Below = max(a.meta.Below, r.level)
+	a.meta.LevelBelow = max(a.meta.LevelBelow, r.level)
 	a.meta.OnceOnly = a.meta.OnceOnly || r.onceBelow
 	if a.meta.Outcome != wire.Ran {
 		if a.meta.Outcome == wire.NotRun {
@@ -64,7 +64,7 @@
 	if refusedByServer(a) && r.outbound == 0 {
 		n.metrics.Inc("refused_server")
 		a.finish()
-		return refusal(wire.ReasonRefused, 0)
+		return refusal(wire.ReasonServerRefused, 0)
 	}
 	if a.status < 500 {
 		n.needs.observe(now, route, now.Sub(started))
@@ -74,7 +74,7 @@
 
 func (n *Node) countRefusal(reason wire.Reason) {
 	switch reason {
-	case wire.ReasonLevel:
+	case wire.ReasonBelowLevel:
 		n.metrics.Inc("refused_level")
 	case wire.ReasonDeadline:
 		n.metrics.Inc("refused_deadline")
@@ -102,10 +102,10 @@
 // stamp adds what this node shows of itself to an answer on its way back.
 func (n *Node) stamp(a *answer, tokens int) {
 	r := n.gate.read(n.clock.Now())
-	a.meta.Own = r.Level
-	a.meta.Calls = r.Running + r.Queued
+	a.meta.OwnLevel = r.Level
+	a.meta.CallsAtServer = r.Running + r.Queued
 	a.meta.Limit = r.Limit
-	a.meta.Tokens = tokens
+	a.meta.ReturnedTokens = tokens
 	a.meta.Leaving = n.leaving.Load()
-	a.meta.Version = n.snapshot.Load().version()
+	a.meta.ConfigVersion = n.snapshot.Load().version()
 }
--- a/pkg/node/call_sender.go
+++ b/pkg/node/call_sender.go
@@ -41,10 +41,10 @@
 		n.metrics.Inc("refused_deadline")
 		return n.refuse(ctx, s, wire.ReasonDeadline)
 	}
-	if lvl := n.routeLevel(now, s); s.call.Priority.Favor(s.call.Depth+1) < lvl {
+	if lvl := n.routeLevel(now, s); s.call.Priority.AtDepth(s.call.Depth+1) < lvl {
 		n.metrics.Inc("refused_local")
-		a := n.refuse(ctx, s, wire.ReasonLevel)
-		a.meta.Below = lvl
+		a := n.refuse(ctx, s, wire.ReasonBelowLevel)
+		a.meta.LevelBelow = lvl
 		return a
 	}
 	var a *answer
@@ -56,7 +56,7 @@
 	}
 	end := n.clock.Now()
 	// What this very call met goes up, not what other calls met some time ago.
-	a.meta.Below = max(a.meta.Below, n.lowestLevel(end, s.treatment))
+	a.meta.LevelBelow = max(a.meta.LevelBelow, n.lowestLevel(end, s.treatment))
 	if a.meta.Outcome == wire.Ran && a.status < 500 {
 		n.needs.observe(end, route, end.Sub(now))
 	}
@@ -82,15 +82,15 @@
 	}()
 	for first := true; ; first = false {
 		now := n.clock.Now()
-		srv, found := n.pick(now, s.treatment, s.call.Priority.Favor(s.call.Depth+1), tried)
+		srv, found := n.pick(now, s.treatment, s.call.Priority.AtDepth(s.call.Depth+1), tried)
 		if found != routing.Picked {
-			if first && found == routing.AtLevel {
-				a = refusal(wire.ReasonLevel, 0)
+			if first && found == routing.BelowLevel {
+				a = refusal(wire.ReasonBelowLevel, 0)
 			}
 			return a
 		}
 		if first {
-			srv.Fresh(s.treatment.RetryShare)
+			srv.EarnRetry(s.treatment.RetryShare)
 		} else if !n.payRetry(s, srv) {
 			return a
 		}
@@ -121,7 +121,7 @@
 	}
 	switch a.meta.Outcome {
 	case wire.NotRun:
-		return a.meta.Reason.Elsewhere()
+		return a.meta.Reason.OtherServerMayAccept()
 	case wire.Unknown:
 		return !a.meta.OnceOnly
 	default:
@@ -136,9 +136,9 @@
 	}
 	call := s.call
 	call.Depth++
-	call.Tokens = s.ledger.Lend()
+	call.RetryTokens = s.ledger.Lend()
 	a := n.attempt(ctx, srv, call, s.deadline, s.req)
-	n.settleLoan(s.ledger, call.Tokens, a)
+	n.settleLoan(s.ledger, call.RetryTokens, a)
 	n.observeLevel(s, a)
 	return a
 }
@@ -146,7 +146,7 @@
 func (n *Node) settleLoan(l *ledger.Ledger, lent int, a *answer) {
 	switch {
 	case a.heard:
-		l.Return(lent, a.meta.Tokens)
+		l.Return(lent, a.meta.ReturnedTokens)
 	case a.meta.Outcome == wire.NotRun:
 		l.Return(lent, lent)
 	default:
@@ -159,7 +159,7 @@
 	if !a.heard {
 		return
 	}
-	n.levels.Observe(n.clock.Now(), s.route(), a.meta.Below)
+	n.levels.Observe(n.clock.Now(), s.route(), a.meta.LevelBelow)
 }
 
 func (n *Node) pick(now time.Time, t *config.Treatment, p priority.Priority, tried []*routing.Server) (s *routing.Server, o routing.Outcome) {
@@ -176,7 +176,7 @@
 		if g.Weight == 0 {
 			continue
 		}
-		for _, list := range [][]*routing.Server{g.Near, g.Far} {
+		for _, list := range [][]*routing.Server{g.SameZone, g.OtherZones} {
 			for _, s := range list {
 				any = true
 				low = min(low, s.Level(now))
@@ -192,8 +192,8 @@
 // attempt sends the call to one server's daemon and takes in what the answer shows of it.
 func (n *Node) attempt(ctx context.Context, srv *routing.Server, call wire.Call, deadline time.Time, q *request) *answer {
 	now := n.clock.Now()
-	call.RemainMS = deadline.Sub(now).Milliseconds()
-	if call.RemainMS <= 0 {
+	call.RemainingMS = deadline.Sub(now).Milliseconds()
+	if call.RemainingMS <= 0 {
 		return refusal(wire.ReasonDeadline, 0)
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline.Sub(now))
@@ -213,15 +213,15 @@
 	now := n.clock.Now()
 	switch {
 	case a.heard:
-		srv.Answered(now, a.meta)
-		if a.meta.Version > n.snapshot.Load().version() {
+		srv.ObserveAnswer(now, a.meta)
+		if a.meta.ConfigVersion > n.snapshot.Load().version() {
 			n.wantFrom(srv.VM)
 		}
 	case a.meta.Reason == wire.ReasonNoServer:
-		srv.Failed(now, true)
+		srv.ObserveFailure(now, true)
 	case a.meta.Outcome == wire.Unknown && context.Cause(ctx) != context.Canceled:
 		n.metrics.Inc("lost_answers")
-		srv.Failed(now, false)
+		srv.ObserveFailure(now, false)
 	}
 }
 
--- a/pkg/node/call_sender_once.go
+++ b/pkg/node/call_sender_once.go
@@ -58,7 +58,7 @@
 }
 
 // lostOnTheWay tells whether the home's own word never came, so that asking it again may bring it.
-func lostOnTheWay(a *answer) bool { return !a.heard && a.meta.Reason == wire.ReasonLost }
+func lostOnTheWay(a *answer) bool { return !a.heard && a.meta.Reason == wire.ReasonAnswerLost }
 
 // certain turns a refusal that speaks of one attempt only into "unknown" where other attempts under
 // the key may exist; a home's own refusal speaks of the key.
@@ -66,7 +66,7 @@
 	if a.meta.Outcome != wire.NotRun || !s.otherAttempts {
 		return a
 	}
-	if !a.heard || a.meta.Reason == wire.ReasonNotOwner || a.meta.Reason == wire.ReasonBadRequest || a.meta.Reason == wire.ReasonMemory {
+	if !a.heard || a.meta.Reason == wire.ReasonNotOwner || a.meta.Reason == wire.ReasonBadRequest || a.meta.Reason == wire.ReasonKeyMemoryFull {
 		a.meta.Outcome = wire.Unknown
 	}
 	return a
--- a/pkg/node/caller_repeat_notes.go
+++ b/pkg/node/caller_repeat_notes.go
@@ -17,18 +17,18 @@
 
 // repeatNotes is the message with which an entry tells others of requests that failed there.
 type repeatNotes struct {
-	Notes []repeat.Note `json:"notes"`
+	Notes []repeat.RetryNotice `json:"notes"`
 }
 
 // noteRepeat tells the other entries of a request that failed after it was sent on, since its caller may
 // repeat it through any of them.
-func (n *Node) noteRepeat(key string, e *repeat.Entry) {
-	left, sent := n.guard.Left(e)
+func (n *Node) noteRepeat(key string, e *repeat.Record) {
+	left, sent := n.guard.TokensLeft(e)
 	if !sent {
 		return
 	}
 	select {
-	case n.notes <- repeat.Note{Key: key, Left: left}:
+	case n.notes <- repeat.RetryNotice{Key: key, Left: left}:
 	default:
 		n.log.call.Warn("notes of repeats are dropped")
 	}
@@ -37,7 +37,7 @@
 // sendNotes gathers notes and sends them to every other entry VM.
 func (n *Node) sendNotes() {
 	for {
-		var batch []repeat.Note
+		var batch []repeat.RetryNotice
 		select {
 		case note := <-n.notes:
 			batch = append(batch, note)
@@ -78,7 +78,7 @@
 func (n *Node) takeNotes(msg repeatNotes) (struct{}, error) {
 	now := n.clock.Now()
 	for _, note := range msg.Notes {
-		n.guard.Learn(now, note)
+		n.guard.ApplyNotice(now, note)
 	}
 	return struct{}{}, nil
 }
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -76,7 +76,7 @@
 // entry makes a root request out of a caller's request and sends it on.
 func (n *Node) entry(r *http.Request) *answer {
 	timeout, err := callerTimeout(r.Header)
-	key := r.Header.Get(wire.HeaderKey)
+	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	if err == nil {
 		err = checkKey(key)
 	}
@@ -107,18 +107,18 @@
 	now := n.clock.Now()
 	deadline := now.Add(timeout)
 	v, e, flight := n.guard.Begin(now, repeat.Attempt{
-		Key: key, Customer: customer, OnceOnly: t.OnceOnly, Retries: t.Retries, Share: t.RepeatShare,
+		Key: key, Customer: customer, OnceOnly: t.OnceOnly, RetryTokens: t.Retries, RetryShare: t.RepeatShare,
 	})
-	if v != repeat.Fresh {
+	if v != repeat.FirstAttempt {
 		n.metrics.Inc("entry_repeats")
 	}
 	switch v {
 	case repeat.Join:
 		return n.join(ctx, flight, deadline)
-	case repeat.OverShare, repeat.Spent:
+	case repeat.OverRetryShare, repeat.BudgetSpent:
 		n.metrics.Inc("entry_repeats_refused")
-		a := refusal(wire.ReasonRetries, n.jitter(2*defaultRetryAfter))
-		if t.OnceOnly || v == repeat.Spent {
+		a := refusal(wire.ReasonRetryBudget, n.jitter(2*defaultRetryAfter))
+		if t.OnceOnly || v == repeat.BudgetSpent {
 			// What became of the attempts before isn't looked up for one that comes too often.
 			a.meta.Outcome = wire.Unknown
 		}
@@ -132,9 +132,9 @@
 	}
 	s := &sending{
 		treatment: t, deadline: deadline, req: q, ledger: e.Ledger,
-		sent: func() { n.guard.Sent(e) },
+		sent: func() { n.guard.MarkSent(e) },
 		call: wire.Call{
-			Root: root, Service: t.Service, Class: t.Class,
+			RootID: root, Service: t.Service, Class: t.Class,
 			Priority: priority.New(t.Tier, root, now),
 		},
 	}
@@ -169,7 +169,7 @@
 }
 
 // join waits for a running attempt of the same request and shares its answer.
-func (n *Node) join(ctx context.Context, f *repeat.Flight, deadline time.Time) *answer {
+func (n *Node) join(ctx context.Context, f *repeat.InFlight, deadline time.Time) *answer {
 	t := time.NewTimer(deadline.Sub(n.clock.Now()))
 	defer t.Stop()
 	select {
@@ -179,11 +179,11 @@
 			shared.header = a.header.Clone()
 			return &shared
 		}
-		return uncertain(wire.ReasonRunning)
+		return uncertain(wire.ReasonInProgress)
 	case <-ctx.Done():
 	case <-t.C:
 	}
-	return uncertain(wire.ReasonRunning)
+	return uncertain(wire.ReasonInProgress)
 }
 
 func badRequest(err error) *answer {
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -182,7 +182,7 @@
 		return false
 	}
 	if known && old.Incarnation != info.Incarnation {
-		s.n.pool.Renew(info.VM)
+		s.n.pool.Forget(info.VM)
 	}
 	s.recent[info.VM] = now
 	s.dirty = true
@@ -216,7 +216,7 @@
 	}
 	snap.neighbors = n.neighbors(snap)
 	n.markSelf(snap)
-	n.pool.Keep(func(vm string) bool { _, ok := snap.vms[vm]; return ok })
+	n.pool.Retain(func(vm string) bool { _, ok := snap.vms[vm]; return ok })
 	for _, srv := range n.pool.All() {
 		srv.SetLeaving(s.roster.Leaving(srv.VM))
 	}
@@ -235,9 +235,9 @@
 		}
 	}
 	choice := n.choice()
-	choice.Subset = n.cfg.Control.Neighbors
+	choice.MaxSubset = n.cfg.Control.Neighbors
 	var list []member.VM
-	for _, c := range choice.Bounded(others) {
+	for _, c := range choice.Subset(others) {
 		list = append(list, c.VM)
 	}
 	return list
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -48,7 +48,7 @@
 	gate     *gatekeeper
 	home     *homeKeeper
 	guard    repeat.Guard
-	notes    chan repeat.Note
+	notes    chan repeat.RetryNotice
 	inbounds sync.Map // id to *inbound
 	nextID   atomic.Uint64
 	running  atomic.Int64 // calls and runs in progress; a stop waits for none to be left
@@ -97,7 +97,7 @@
 			leave: logger("leave"), once: logger("once-only"),
 		},
 		control: make(chan func(*controlState), 256),
-		notes:   make(chan repeat.Note, maxNotes),
+		notes:   make(chan repeat.RetryNotice, maxNotes),
 		rnd:     rand.New(rand.NewPCG(seed, 1)),
 		stopped: make(chan struct{}),
 	}
@@ -122,8 +122,8 @@
 func (n *Node) Start(ctx context.Context) error {
 	n.ctx, n.stop = context.WithCancel(context.WithoutCancel(ctx))
 	n.gate = newGatekeeper(admission.NewGate(admission.Settings{
-		Slots: 1, Floor: n.cfg.Admission.Floor, Target: n.cfg.Admission.Target,
-		MaxSojourn: n.cfg.Admission.MaxSojourn, Ramp: n.cfg.Backend.Ramp,
+		Slots: 1, MinLimit: n.cfg.Admission.Floor, TargetDelay: n.cfg.Admission.Target,
+		MaxSojourn: n.cfg.Admission.MaxSojourn, RampTime: n.cfg.Backend.Ramp,
 	}, n.clock.Now()))
 	n.backend = n.newBackendTransport()
 	if err := n.startPeers(); err != nil {
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -17,15 +17,15 @@
 
 // Status is a short account of a daemon.
 type Status struct {
-	VM          string            `json:"vm"`
-	Zone        string            `json:"zone"`
-	Service     string            `json:"service,omitempty"`
-	Incarnation string            `json:"incarnation"`
-	Version     int64             `json:"version"`
-	Leaving     bool              `json:"leaving"`
-	Gate        admission.Reading `json:"gate"`
-	KeyRanges   int               `json:"key_ranges"`
-	VMs         int               `json:"vms"`
+	VM          string             `json:"vm"`
+	Zone        string             `json:"zone"`
+	Service     string             `json:"service,omitempty"`
+	Incarnation string             `json:"incarnation"`
+	Version     int64              `json:"version"`
+	Leaving     bool               `json:"leaving"`
+	Gate        admission.Snapshot `json:"gate"`
+	KeyRanges   int                `json:"key_ranges"`
+	VMs         int                `json:"vms"`
 }
 
 // Status returns a short account of the daemon.
@@ -45,7 +45,7 @@
 	At        time.Time                    `json:"at"`
 	Levels    map[string]priority.Priority `json:"levels"` // learned from answers, by route
 	Needs     map[string]time.Duration     `json:"needs_ns"`
-	Servers   []routing.Reading            `json:"servers"`
+	Servers   []routing.Snapshot           `json:"servers"`
 	Calls     []CallReading                `json:"calls"` // in progress, at most maxDumpCalls
 	Keys      onceonly.Counts              `json:"keys"`
 	Ranges    []int                        `json:"ranges"`
@@ -76,10 +76,10 @@
 	snap := n.snapshot.Load()
 	d := Dump{
 		Status: n.Status(), At: now, Levels: n.levels.All(now), Needs: n.needs.all(),
-		RangeRows: map[string]int64{}, Nodes: snap.nodes, PeerConns: n.peers.count(), Repeats: n.guard.Len(),
+		RangeRows: map[string]int64{}, Nodes: snap.nodes, PeerConns: n.peers.count(), Repeats: n.guard.KeyCount(),
 	}
 	for _, s := range n.pool.All() {
-		d.Servers = append(d.Servers, s.Read(now))
+		d.Servers = append(d.Servers, s.Snapshot(now))
 	}
 	n.inbounds.Range(func(_, x any) bool {
 		d.Calls = append(d.Calls, x.(*inbound).reading(now))
@@ -101,7 +101,7 @@
 func (in *inbound) reading(now time.Time) CallReading {
 	r := in.read(now)
 	return CallReading{
-		ID: in.id, Root: in.call.Root, Class: in.call.Class, Priority: in.call.Priority,
+		ID: in.id, Root: in.call.RootID, Class: in.call.Class, Priority: in.call.Priority,
 		Tokens: in.ledger.Balance(), LeftMS: in.deadline.Sub(now).Milliseconds(), Outbound: r.outbound,
 	}
 }
--- a/pkg/node/outbound_server.go
+++ b/pkg/node/outbound_server.go
@@ -23,7 +23,7 @@
 	wire.StripInternal(r.Header)
 	q, err := readRequest(r, n.cfg.Limits.RequestBytes)
 	if err == nil {
-		err = checkKey(q.header.Get(wire.HeaderKey))
+		err = checkKey(q.header.Get(wire.HeaderIdempotencyKey))
 	}
 	if err != nil {
 		n.toCaller(w, badRequest(err))
@@ -54,7 +54,7 @@
 	signature := q.signature(t.Service)
 	if !in.ledger.Begin(signature) {
 		n.metrics.Inc("retries_denied")
-		return refusal(wire.ReasonRetries, 0)
+		return refusal(wire.ReasonRetryBudget, 0)
 	}
 	in.begin(n.clock.Now())
 	// The call ends when the backend server gives it up, and when the inbound call itself ends.
@@ -84,14 +84,14 @@
 	if !s.treatment.OnceOnly {
 		return true
 	}
-	if own := s.req.header.Get(wire.HeaderKey); own != "" && own != in.call.Key {
+	if own := s.req.header.Get(wire.HeaderIdempotencyKey); own != "" && own != in.call.Key {
 		s.call.Key = own
 		s.otherAttempts = true
 		return true
 	}
 	place := in.place(signature)
 	if in.call.Key == "" {
-		s.call.Key = onceonly.DeriveKey(in.call.Root, "", signature, place)
+		s.call.Key = onceonly.DeriveKey(in.call.RootID, "", signature, place)
 		s.otherAttempts = true
 		return true
 	}
@@ -105,12 +105,12 @@
 // outboundRoot sends a call that belongs to no inbound one, such as a backend server's own job.
 func (n *Node) outboundRoot(ctx context.Context, t *config.Treatment, q *request) *answer {
 	now := n.clock.Now()
-	key := q.header.Get(wire.HeaderKey)
+	key := q.header.Get(wire.HeaderIdempotencyKey)
 	root := uuid.NewString()
 	s := &sending{
 		treatment: t, deadline: now.Add(t.Timeout), req: q, ledger: ledger.New(t.Retries),
 		call: wire.Call{
-			Root: root, Service: t.Service, Class: t.Class,
+			RootID: root, Service: t.Service, Class: t.Class,
 			Priority: priority.New(t.Tier, root, now),
 		},
 	}
--- a/pkg/node/peer_client.go
+++ b/pkg/node/peer_client.go
@@ -184,12 +184,12 @@
 	wire.EncodeCall(req.Header, call)
 	resp, err := c.client.RoundTrip(req)
 	if err != nil {
-		return uncertain(wire.ReasonLost)
+		return uncertain(wire.ReasonAnswerLost)
 	}
 	meta, err := wire.DecodeAnswer(resp.Header)
 	if err != nil {
 		_ = resp.Body.Close() // not an answer of a daemon
-		return uncertain(wire.ReasonLost)
+		return uncertain(wire.ReasonAnswerLost)
 	}
 	a := &answer{meta: meta, header: resp.Header, heard: true}
 	if meta.Outcome == wire.Ran {
@@ -197,7 +197,7 @@
 	}
 	wire.StripInternal(a.header)
 	if err := a.readBody(resp.Body); err != nil {
-		return uncertain(wire.ReasonLost)
+		return uncertain(wire.ReasonAnswerLost)
 	}
 	return a
 }
--- a/pkg/node/peer_server.go
+++ b/pkg/node/peer_server.go
@@ -108,17 +108,17 @@
 	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
 		n.log.peer.Warn("call header refused", "err", err)
-		n.answerPeer(w, refusal(wire.ReasonBadRequest, 0), call.Tokens)
+		n.answerPeer(w, refusal(wire.ReasonBadRequest, 0), call.RetryTokens)
 		return
 	}
 	q, err := readRequest(r, n.cfg.Limits.RequestBytes)
 	if err != nil {
-		n.answerPeer(w, refusal(wire.ReasonBadRequest, 0), call.Tokens)
+		n.answerPeer(w, refusal(wire.ReasonBadRequest, 0), call.RetryTokens)
 		return
 	}
 	n.running.Add(1)
 	defer n.running.Add(-1)
-	deadline := arrived.Add(call.Remain())
+	deadline := arrived.Add(call.Remaining())
 	ctx, cancel := context.WithTimeout(r.Context(), deadline.Sub(n.clock.Now()))
 	defer cancel()
 	in := n.newInbound(ctx, call, deadline)
--- a/pkg/node/snapshot.go
+++ b/pkg/node/snapshot.go
@@ -31,7 +31,7 @@
 }
 
 // groupsOf returns the servers that the treatment's targets pick, worked out at first use.
-func (s *snapshot) groupsOf(choice routing.Choice, pool *routing.Pool, t *config.Treatment) []routing.Group {
+func (s *snapshot) groupsOf(choice routing.Grouper, pool *routing.Pool, t *config.Treatment) []routing.Group {
 	if g, ok := s.groups.Load(t); ok {
 		return g.([]routing.Group)
 	}
@@ -39,8 +39,8 @@
 	return g.([]routing.Group)
 }
 
-func (n *Node) choice() routing.Choice {
-	return routing.Choice{Self: n.cfg.VM, Zone: n.cfg.Zone, Subset: n.cfg.Control.Subset}
+func (n *Node) choice() routing.Grouper {
+	return routing.Grouper{Self: n.cfg.VM, Zone: n.cfg.Zone, MaxSubset: n.cfg.Control.Subset}
 }
 
 func (n *Node) groups(t *config.Treatment) []routing.Group {
--- a/pkg/onceonly/home_test.go
+++ b/pkg/onceonly/home_test.go
@@ -28,7 +28,7 @@
 	d := m.Begin(begin, k, 1, false)
 	c.Assert(d.Action, qt.Equals, Replay)
 	c.Assert(string(d.Answer.Body), qt.Equals, "done")
-	c.Assert(m.Begin(begin, k, 2, false).Reason, qt.Equals, wire.ReasonMismatch)
+	c.Assert(m.Begin(begin, k, 2, false).Reason, qt.Equals, wire.ReasonKeyMismatch)
 }
 
 func TestRefusedKeyStaysClosedUntilAttemptsAreOver(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 	d := m.Begin(begin, HashKey(service, "new"), 1, false)
 	c.Assert(d.Outcome, qt.Equals, wire.NotRun)
-	c.Assert(d.Reason, qt.Equals, wire.ReasonMemory)
+	c.Assert(d.Reason, qt.Equals, wire.ReasonKeyMemoryFull)
 	c.Assert(m.Begin(begin, HashKey(service, "0"), 1, false).Action, qt.Equals, Replay)
 	later := begin.Add(2 * time.Minute)
 	c.Assert(m.Begin(later, HashKey(service, "new"), 1, false).Action, qt.Equals, Run,
--- a/pkg/onceonly/key_forget.go
+++ b/pkg/onceonly/key_forget.go
@@ -67,7 +67,7 @@
 	if st == Finished {
 		return Decision{Action: Replay, Outcome: wire.Ran, Answer: &Recorded{}}
 	}
-	return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
+	return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonAnswerLost}
 }
 
 // Knows tells whether the key was met and not forgotten.
--- a/pkg/onceonly/key_memory.go
+++ b/pkg/onceonly/key_memory.go
@@ -126,12 +126,12 @@
 	}
 	if !token && m.Quiet(now, key.Range()) {
 		return Decision{
-			Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet,
+			Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonHistoryLost,
 			After: m.quietUntil[key.Range()].Sub(now),
 		}
 	}
 	if !m.makeRoom() {
-		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonMemory, After: time.Second}
+		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonKeyMemoryFull, After: time.Second}
 	}
 	m.put(key, &Record{State: Running, Fingerprint: fingerprint, Pinned: token})
 	return Decision{Action: Run}
@@ -139,10 +139,10 @@
 
 func (m *Memory) known(now time.Time, rec *Record, fingerprint uint64) Decision {
 	if rec.State == Closed {
-		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, After: rec.Until.Sub(now)}
+		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonKeyClosed, After: rec.Until.Sub(now)}
 	}
 	if rec.Fingerprint != fingerprint {
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonMismatch}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonKeyMismatch}
 	}
 	switch rec.State {
 	case Running:
@@ -150,7 +150,7 @@
 	case Finished:
 		return Decision{Action: Replay, Outcome: wire.Ran, Answer: rec.Answer}
 	default:
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonAnswerLost}
 	}
 }
 
@@ -217,23 +217,23 @@
 		case Finished:
 			return Decision{Action: Replay, Outcome: wire.Ran, Answer: rec.Answer}
 		case Running:
-			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonRunning}
+			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonInProgress}
 		default:
-			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
+			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonAnswerLost}
 		}
 	}
 	if st, ok := m.inPast(key); ok {
 		return pastDecision(st)
 	}
 	if !token && m.Quiet(now, key.Range()) {
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonHistoryLost}
 	}
 	if !m.makeRoom() {
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonMemory}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonKeyMemoryFull}
 	}
 	m.put(key, &Record{State: Closed, Until: closedUntil, Pinned: token})
 	m.order = append(m.order, expiry{closedUntil, key})
-	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, After: closedUntil.Sub(now)}
+	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonKeyClosed, After: closedUntil.Sub(now)}
 }
 
 func (m *Memory) put(key Hash, rec *Record) {
--- a/pkg/priority/priority.go
+++ b/pkg/priority/priority.go
@@ -16,8 +16,8 @@
 // rankBits is the width of the rank below the tier.
 const rankBits = 24
 
-// Span is the number of priorities within one tier.
-const Span = 1 << rankBits
+// TierSpan is the number of priorities within one tier.
+const TierSpan = 1 << rankBits
 
 // Max is the highest priority; a level above it admits nothing.
 const Max = Priority(uint32(MaxTier+1)<<rankBits - 1)
@@ -47,15 +47,15 @@
 
 // String shows the priority as tier and rank share, as in "3:0.250".
 func (p Priority) String() string {
-	return fmt.Sprintf("%d:%.3f", p.Tier(), float64(p&(Span-1))/Span)
+	return fmt.Sprintf("%d:%.3f", p.Tier(), float64(p&(TierSpan-1))/TierSpan)
 }
 
 // favorPerHop is the part of a tier by which a call gains at each hop from the entry.
-const favorPerHop = Span / 64
+const favorPerHop = TierSpan / 64
 
-// Favor returns the priority that counts at a backend server depth hops from the entry. A request in
+// AtDepth returns the priority that counts at a backend server depth hops from the entry. A request in
 // progress gains a little over new ones, since work was spent on it, and never leaves its tier.
-func (p Priority) Favor(depth int) Priority {
-	top := Floor(p.Tier()) + Span - 1
+func (p Priority) AtDepth(depth int) Priority {
+	top := Floor(p.Tier()) + TierSpan - 1
 	return p + min(Priority(max(depth, 0))*favorPerHop, top-p)
 }
--- a/pkg/priority/priority_test.go
+++ b/pkg/priority/priority_test.go
@@ -15,7 +15,7 @@
 	c.Assert(New(2, "id", at), qt.Equals, New(2, "id", at.Add(EpochLength/2)))
 	low, high := 0, 0
 	for i := range 1000 {
-		if New(0, "id", at.Add(time.Duration(i)*EpochLength)) < Span/2 {
+		if New(0, "id", at.Add(time.Duration(i)*EpochLength)) < TierSpan/2 {
 			low++
 		} else {
 			high++
@@ -29,7 +29,7 @@
 	var tenth [10]int
 	for i := range 10_000 {
 		p := New(0, fmt.Sprint(i), time.Unix(0, 0))
-		tenth[int(p)*10/Span]++
+		tenth[int(p)*10/TierSpan]++
 	}
 	for _, n := range tenth {
 		c.Assert(n > 800 && n < 1200, qt.IsTrue, qt.Commentf("%v", tenth))
@@ -39,7 +39,7 @@
 func TestFavorNeverLeavesTheTier(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Priority(rapid.Uint32Max(uint32(Max)).Draw(t, "p"))
-		f := p.Favor(rapid.IntRange(-1, 100).Draw(t, "depth"))
+		f := p.AtDepth(rapid.IntRange(-1, 100).Draw(t, "depth"))
 		if f < p || f.Tier() != p.Tier() {
 			t.Fatalf("%v became %v", p, f)
 		}
--- a/pkg/repeat/repeat_guard.go
+++ b/pkg/repeat/repeat_guard.go
@@ -17,37 +17,37 @@
 
 // Attempt describes one request as it comes in.
 type Attempt struct {
-	Key      string // empty if the caller sent none
-	Customer string
-	OnceOnly bool
-	Retries  int     // tokens of a fresh request
-	Share    float64 // repeats per fresh request
+	Key         string // empty if the caller sent none
+	Customer    string
+	OnceOnly    bool
+	RetryTokens int     // tokens of a fresh request
+	RetryShare  float64 // repeats per fresh request
 }
 
-// Verdict says how an attempt goes on.
-type Verdict uint8
+// Decision says how an attempt goes on.
+type Decision uint8
 
 // The verdicts.
 const (
-	Fresh     Verdict = iota + 1 // first attempt that is sent on
-	Repeat                       // a repeat that may be sent on, and is paid for
-	Join                         // wait for the one that runs
-	OverShare                    // the customer repeats too much
-	Spent                        // the request's retry budget is spent
+	FirstAttempt   Decision = iota + 1 // first attempt that is sent on
+	Retry                              // a repeat that may be sent on, and is paid for
+	Join                               // wait for the one that runs
+	OverRetryShare                     // the customer repeats too much
+	BudgetSpent                        // the request's retry budget is spent
 )
 
-// Entry is what a Guard holds of one key.
-type Entry struct {
+// Record is what a Guard holds of one key.
+type Record struct {
 	Ledger *ledger.Ledger
 
 	running int
 	sent    bool
 	ended   time.Time
-	flight  *Flight
+	flight  *InFlight
 }
 
-// Flight is a running attempt that repeats may join.
-type Flight struct {
+// InFlight is a running attempt that repeats may join.
+type InFlight struct {
 	Done   chan struct{} // closed at the end
 	Result any           // set before Done is closed; nil if it can't be shared
 }
@@ -60,76 +60,76 @@
 // Guard is one entry daemon's memory of callers' repeats; its zero value is ready and safe for concurrent use.
 type Guard struct {
 	mu        sync.Mutex
-	keys      map[string]*Entry
+	keys      map[string]*Record
 	customers map[string]*customer
 	swept     time.Time
 }
 
 // Begin decides about an attempt. Fresh and Repeat must be followed by End; Join gives the flight to wait for.
-func (g *Guard) Begin(now time.Time, a Attempt) (Verdict, *Entry, *Flight) {
+func (g *Guard) Begin(now time.Time, a Attempt) (Decision, *Record, *InFlight) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
 	c := g.customer(now, a.Customer)
 	if a.Key == "" {
-		c.level = min(c.level+a.Share, burst)
-		return Fresh, &Entry{Ledger: ledger.New(a.Retries), running: 1}, nil
+		c.level = min(c.level+a.RetryShare, burst)
+		return FirstAttempt, &Record{Ledger: ledger.New(a.RetryTokens), running: 1}, nil
 	}
 	e, met := g.keys[a.Key]
 	if !met {
-		e = &Entry{Ledger: ledger.New(a.Retries)}
+		e = &Record{Ledger: ledger.New(a.RetryTokens)}
 		if len(g.keys) < maxKeys {
 			g.keys[a.Key] = e
 		}
-		c.level = min(c.level+a.Share, burst)
+		c.level = min(c.level+a.RetryShare, burst)
 		g.start(e)
-		return Fresh, e, nil
+		return FirstAttempt, e, nil
 	}
 	if e.flight != nil && !a.OnceOnly {
 		return Join, e, e.flight
 	}
 	if c.level < 1 {
-		return OverShare, e, nil
+		return OverRetryShare, e, nil
 	}
 	// Once-only work is met by its home, which never runs it again; other work is paid for
 	// when an attempt was sent on before.
 	if !a.OnceOnly && e.sent && !e.Ledger.Spend() {
-		return Spent, e, nil
+		return BudgetSpent, e, nil
 	}
 	c.level--
 	g.start(e)
-	return Repeat, e, nil
+	return Retry, e, nil
 }
 
-func (g *Guard) start(e *Entry) {
+func (g *Guard) start(e *Record) {
 	e.running++
 	if e.flight == nil {
-		e.flight = &Flight{Done: make(chan struct{})}
+		e.flight = &InFlight{Done: make(chan struct{})}
 	}
 }
 
-// Left tells whether the request was sent on, and how many tokens it has left.
-func (g *Guard) Left(e *Entry) (left int, sent bool) {
+// TokensLeft tells whether the request was sent on, and how many tokens it has left.
+func (g *Guard) TokensLeft(e *Record) (left int, sent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return e.Ledger.Balance(), e.sent
 }
 
-// Sent notes that the attempt has left the entry, so that a repeat of it counts as a retry.
-func (g *Guard) Sent(e *Entry) {
+// MarkSent notes that the attempt has left the entry, so that a repeat of it counts as a retry.
+func (g *Guard) MarkSent(e *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e.sent = true
 }
 
-// Note tells another entry of a request whose caller is likely to repeat it.
-type Note struct {
+// RetryNotice tells another entry of a request whose caller is likely to repeat it.
+type RetryNotice struct {
 	Key  string `json:"k"`
 	Left int    `json:"l"` // retry tokens left
 }
 
-// Learn takes a note of another entry: the request was sent on there, and no more tokens are left than it says.
-func (g *Guard) Learn(now time.Time, n Note) {
+// ApplyNotice takes a note of another entry: the request was sent on there, and no more tokens are left than it says.
+func (g *Guard) ApplyNotice(now time.Time, n RetryNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.customer(now, "")
@@ -138,7 +138,7 @@
 		if len(g.keys) >= maxKeys {
 			return
 		}
-		e = &Entry{Ledger: ledger.New(n.Left), ended: now}
+		e = &Record{Ledger: ledger.New(n.Left), ended: now}
 		g.keys[n.Key] = e
 	}
 	e.sent = true
@@ -146,7 +146,7 @@
 }
 
 // End notes that an attempt has ended, with a result that those who joined may share.
-func (g *Guard) End(now time.Time, e *Entry, result any) {
+func (g *Guard) End(now time.Time, e *Record, result any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e.running--
@@ -161,7 +161,7 @@
 func (g *Guard) customer(now time.Time, name string) *customer {
 	if g.customers == nil {
 		g.customers = map[string]*customer{}
-		g.keys = map[string]*Entry{}
+		g.keys = map[string]*Record{}
 	}
 	c, ok := g.customers[name]
 	if !ok {
@@ -192,8 +192,8 @@
 	}
 }
 
-// Len returns how many keys are held.
-func (g *Guard) Len() int {
+// KeyCount returns how many keys are held.
+func (g *Guard) KeyCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.keys)
--- a/pkg/repeat/repeat_guard_test.go
+++ b/pkg/repeat/repeat_guard_test.go
@@ -10,23 +10,23 @@
 var begin = time.Unix(1_000_000, 0)
 
 func attempt(key string) Attempt {
-	return Attempt{Key: key, Customer: "c", Retries: 2, Share: 0.2}
+	return Attempt{Key: key, Customer: "c", RetryTokens: 2, RetryShare: 0.2}
 }
 
 func TestRepeatsShareOneBudget(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	v, e, _ := g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Fresh)
+	c.Assert(v, qt.Equals, FirstAttempt)
 	for range 2 {
-		g.Sent(e)
+		g.MarkSent(e)
 		g.End(begin, e, nil)
 		v, e, _ = g.Begin(begin, attempt("k"))
-		c.Assert(v, qt.Equals, Repeat)
+		c.Assert(v, qt.Equals, Retry)
 	}
 	g.End(begin, e, nil)
 	v, _, _ = g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Spent)
+	c.Assert(v, qt.Equals, BudgetSpent)
 }
 
 func TestRepeatOfARequestThatNeverLeftIsFree(t *testing.T) {
@@ -57,7 +57,7 @@
 		key := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		_, e, _ := g.Begin(begin, attempt(key))
 		g.End(begin, e, nil)
-		if v, e, _ := g.Begin(begin, attempt(key)); v == Repeat {
+		if v, e, _ := g.Begin(begin, attempt(key)); v == Retry {
 			taken++
 			g.End(begin, e, nil)
 		}
@@ -70,14 +70,14 @@
 func TestNoteOfAnotherEntryCounts(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
-	g.Learn(begin, Note{Key: "k", Left: 1})
+	g.ApplyNotice(begin, RetryNotice{Key: "k", Left: 1})
 	v, e, _ := g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Repeat)
+	c.Assert(v, qt.Equals, Retry)
 	c.Assert(e.Ledger.Balance(), qt.Equals, 0)
-	g.Sent(e)
+	g.MarkSent(e)
 	g.End(begin, e, nil)
 	v, _, _ = g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Spent)
+	c.Assert(v, qt.Equals, BudgetSpent)
 }
 
 func TestOldKeysAreForgotten(t *testing.T) {
@@ -86,5 +86,5 @@
 	_, e, _ := g.Begin(begin, attempt("k"))
 	g.End(begin, e, nil)
 	g.Begin(begin.Add(keepKey+2*time.Second), attempt("other"))
-	c.Assert(g.Len(), qt.Equals, 1)
+	c.Assert(g.KeyCount(), qt.Equals, 1)
 }
--- a/pkg/routing/retry_bucket.go
+++ b/pkg/routing/retry_bucket.go
@@ -12,8 +12,8 @@
 	level  float64
 }
 
-// Fresh notes a first attempt, which earns share of a retry.
-func (s *Server) Fresh(share float64) {
+// EarnRetry notes a first attempt, which earns share of a retry.
+func (s *Server) EarnRetry(share float64) {
 	s.tokens.mu.Lock()
 	defer s.tokens.mu.Unlock()
 	s.tokens.fill()
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -19,7 +19,7 @@
 func newRnd() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
 func answered(s *Server, calls, limit int, lvl priority.Priority) {
-	s.Answered(begin, wire.Answer{Outcome: wire.Ran, Calls: calls, Limit: limit, Own: lvl})
+	s.ObserveAnswer(begin, wire.Answer{Outcome: wire.Ran, CallsAtServer: calls, Limit: limit, OwnLevel: lvl})
 }
 
 func TestNearServersFirstAndSpillWhenFull(t *testing.T) {
@@ -27,7 +27,7 @@
 	near, far := &Server{VM: "near"}, &Server{VM: "far"}
 	answered(near, 1, 10, 0)
 	answered(far, 1, 10, 0)
-	g := []Group{{Weight: 1, Near: []*Server{near}, Far: []*Server{far}}}
+	g := []Group{{Weight: 1, SameZone: []*Server{near}, OtherZones: []*Server{far}}}
 	got, _ := Pick(begin, newRnd(), g, priority.Max, nil)
 	c.Assert(got, qt.Equals, near)
 	answered(near, 10, 10, 0)
@@ -41,7 +41,7 @@
 	c := qt.New(t)
 	warm, cold := &Server{VM: "warm"}, &Server{VM: "cold"}
 	answered(warm, 4, 10, 0)
-	g := []Group{{Weight: 1, Near: []*Server{warm, cold}}}
+	g := []Group{{Weight: 1, SameZone: []*Server{warm, cold}}}
 	first, _ := Pick(begin, newRnd(), g, priority.Max, nil)
 	c.Assert(first, qt.Equals, warm)
 	answered(warm, 9, 10, 0)
@@ -56,13 +56,13 @@
 	c := qt.New(t)
 	a, b := &Server{VM: "a"}, &Server{VM: "b"}
 	answered(a, 0, 10, priority.Floor(2))
-	g := []Group{{Weight: 1, Near: []*Server{a, b}}}
+	g := []Group{{Weight: 1, SameZone: []*Server{a, b}}}
 	for range 20 {
 		got, _ := Pick(begin, newRnd(), g, priority.Floor(1), nil)
 		c.Assert(got, qt.Equals, b)
 	}
 	_, o := Pick(begin, newRnd(), g, priority.Floor(1), []*Server{b})
-	c.Assert(o, qt.Equals, AtLevel)
+	c.Assert(o, qt.Equals, BelowLevel)
 	_, o = Pick(begin, newRnd(), g, priority.Floor(3), []*Server{a, b})
 	c.Assert(o, qt.Equals, NoServer)
 }
@@ -71,19 +71,19 @@
 	c := qt.New(t)
 	s := &Server{VM: "a"}
 	for range asideFailures {
-		c.Assert(s.Usable(begin), qt.IsTrue)
-		s.Failed(begin, false)
+		c.Assert(s.AllowCall(begin), qt.IsTrue)
+		s.ObserveFailure(begin, false)
 	}
-	c.Assert(s.Usable(begin), qt.IsFalse)
+	c.Assert(s.AllowCall(begin), qt.IsFalse)
 	later := begin.Add(asideFirst)
-	c.Assert(s.Usable(later), qt.IsTrue, qt.Commentf("one call on trial"))
-	c.Assert(s.Usable(later), qt.IsFalse)
-	s.Failed(later, false)
-	c.Assert(s.Usable(later.Add(asideFirst)), qt.IsFalse, qt.Commentf("the time aside grows"))
-	c.Assert(s.Usable(later.Add(2*asideFirst)), qt.IsTrue)
-	s.Answered(later, wire.Answer{Outcome: wire.Ran})
-	c.Assert(s.Usable(later), qt.IsTrue)
-	c.Assert(s.Usable(later), qt.IsTrue)
+	c.Assert(s.AllowCall(later), qt.IsTrue, qt.Commentf("one call on trial"))
+	c.Assert(s.AllowCall(later), qt.IsFalse)
+	s.ObserveFailure(later, false)
+	c.Assert(s.AllowCall(later.Add(asideFirst)), qt.IsFalse, qt.Commentf("the time aside grows"))
+	c.Assert(s.AllowCall(later.Add(2*asideFirst)), qt.IsTrue)
+	s.ObserveAnswer(later, wire.Answer{Outcome: wire.Ran})
+	c.Assert(s.AllowCall(later), qt.IsTrue)
+	c.Assert(s.AllowCall(later), qt.IsTrue)
 }
 
 func TestWeightsShareTheCalls(t *testing.T) {
@@ -91,7 +91,7 @@
 	old, fresh := &Server{VM: "old"}, &Server{VM: "new"}
 	answered(old, 0, 10, 0)
 	answered(fresh, 0, 10, 0)
-	g := []Group{{Weight: 9, Near: []*Server{old}}, {Weight: 1, Near: []*Server{fresh}}}
+	g := []Group{{Weight: 9, SameZone: []*Server{old}}, {Weight: 1, SameZone: []*Server{fresh}}}
 	rnd := newRnd()
 	n := 0
 	for range 10_000 {
@@ -114,7 +114,7 @@
 	}
 	c.Assert(n, qt.Equals, retryBurst)
 	for range 100 {
-		s.Fresh(0.1)
+		s.EarnRetry(0.1)
 	}
 	n = 0
 	for s.TakeRetry() {
@@ -129,8 +129,8 @@
 	for i := range 30 {
 		vms = append(vms, Candidate{VM: member.VM{Name: fmt.Sprint("v", i), Service: "s", Zone: fmt.Sprint("z", i%3)}})
 	}
-	choice := Choice{Self: "me", Zone: "z1", Subset: 9}
-	got := choice.Bounded(vms)
+	choice := Grouper{Self: "me", Zone: "z1", MaxSubset: 9}
+	got := choice.Subset(vms)
 	c.Assert(got, qt.HasLen, 9)
 	zones := map[string]int{}
 	for _, v := range got {
@@ -138,7 +138,7 @@
 	}
 	c.Assert(zones, qt.DeepEquals, map[string]int{"z0": 3, "z1": 3, "z2": 3})
 	kept := 0
-	after := choice.Bounded(vms[1:])
+	after := choice.Subset(vms[1:])
 	for _, a := range after {
 		for _, b := range got {
 			if a.VM.Name == b.VM.Name {
@@ -163,10 +163,10 @@
 		return Candidate{VM: v, Labels: v.AllLabels(map[string]string{"dc": dc}), Leaving: leaving}
 	}
 	var pool Pool
-	groups := Choice{Zone: "z"}.Groups(&pool, tr, []Candidate{vm("a", "old", false), vm("b", "new", false), vm("c", "new", true)})
+	groups := Grouper{Zone: "z"}.Groups(&pool, tr, []Candidate{vm("a", "old", false), vm("b", "new", false), vm("c", "new", true)})
 	c.Assert(groups, qt.HasLen, 1)
-	c.Assert(groups[0].Near, qt.HasLen, 1)
-	c.Assert(groups[0].Near[0].VM, qt.Equals, "b")
+	c.Assert(groups[0].SameZone, qt.HasLen, 1)
+	c.Assert(groups[0].SameZone[0].VM, qt.Equals, "b")
 }
 
 func BenchmarkPick(b *testing.B) {
@@ -174,7 +174,7 @@
 	for i := range 12 {
 		s := &Server{VM: fmt.Sprint(i)}
 		answered(s, i, 100, 0)
-		g.Near = append(g.Near, s)
+		g.SameZone = append(g.SameZone, s)
 	}
 	groups := []Group{g}
 	rnd := newRnd()
--- a/pkg/routing/server_pick.go
+++ b/pkg/routing/server_pick.go
@@ -9,9 +9,9 @@
 
 // Group is the servers that one target of a policy picks, the caller's zone first.
 type Group struct {
-	Weight int
-	Near   []*Server
-	Far    []*Server
+	Weight     int
+	SameZone   []*Server
+	OtherZones []*Server
 }
 
 // Outcome says what Pick found.
@@ -19,9 +19,9 @@
 
 // The outcomes of Pick.
 const (
-	Picked   Outcome = iota + 1
-	AtLevel          // there are servers, and all of them refuse this priority
-	NoServer         // there is none to send to
+	Picked     Outcome = iota + 1
+	BelowLevel         // there are servers, and all of them refuse this priority
+	NoServer           // there is none to send to
 )
 
 // Pick chooses a server for a call of priority p, other than those already tried.
@@ -37,8 +37,8 @@
 		if o == Picked {
 			return s, Picked
 		}
-		if o == AtLevel {
-			found = AtLevel
+		if o == BelowLevel {
+			found = BelowLevel
 		}
 	}
 	return nil, found
@@ -63,11 +63,11 @@
 }
 
 func (g *Group) pick(now time.Time, rnd *rand.Rand, p priority.Priority, tried []*Server) (*Server, Outcome) {
-	near, no := pickFrom(now, rnd, g.Near, p, tried)
+	near, no := pickFrom(now, rnd, g.SameZone, p, tried)
 	if no == Picked && !near.crowded(now) {
 		return near, Picked
 	}
-	far, fo := pickFrom(now, rnd, g.Far, p, tried)
+	far, fo := pickFrom(now, rnd, g.OtherZones, p, tried)
 	switch {
 	case no == Picked && fo == Picked:
 		if far.busy(now) < near.busy(now) {
@@ -78,8 +78,8 @@
 		return near, Picked
 	case fo == Picked:
 		return far, Picked
-	case no == AtLevel || fo == AtLevel:
-		return nil, AtLevel
+	case no == BelowLevel || fo == BelowLevel:
+		return nil, BelowLevel
 	default:
 		return nil, NoServer
 	}
@@ -108,8 +108,8 @@
 		switch admits(now, s, p, tried) {
 		case Picked:
 			return s, Picked
-		case AtLevel:
-			found = AtLevel
+		case BelowLevel:
+			found = BelowLevel
 		}
 	}
 	return nil, found
@@ -122,9 +122,9 @@
 		}
 	}
 	if s.Level(now) > p {
-		return AtLevel
+		return BelowLevel
 	}
-	if !s.Usable(now) {
+	if !s.AllowCall(now) {
 		return NoServer
 	}
 	return Picked
--- a/pkg/routing/server_pool.go
+++ b/pkg/routing/server_pool.go
@@ -12,8 +12,8 @@
 	"github.com/rockspoke/rockspoke/pkg/member"
 )
 
-// DefaultSubset is the most servers of one service that a daemon talks to.
-const DefaultSubset = 12
+// DefaultMaxSubset is the most servers of one service that a daemon talks to.
+const DefaultMaxSubset = 12
 
 // Pool holds the Servers by VM over changes of members; its zero value is empty.
 type Pool struct {
@@ -36,15 +36,15 @@
 	return s
 }
 
-// Renew forgets what was seen of the VM, whose node has started anew.
-func (p *Pool) Renew(vm string) {
+// Forget forgets what was seen of the VM, whose node has started anew.
+func (p *Pool) Forget(vm string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.servers, vm)
 }
 
-// Keep drops the Servers of VMs that aren't listed.
-func (p *Pool) Keep(listed func(vm string) bool) {
+// Retain drops the Servers of VMs that aren't listed.
+func (p *Pool) Retain(listed func(vm string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name := range p.servers {
@@ -73,15 +73,15 @@
 	Leaving bool
 }
 
-// Choice says whose servers are grouped, and for whom.
-type Choice struct {
-	Self   string // name of the daemon's own VM
-	Zone   string // its availability zone
-	Subset int    // most servers in a group; 0 means DefaultSubset
+// Grouper says whose servers are grouped, and for whom.
+type Grouper struct {
+	Self      string // name of the daemon's own VM
+	Zone      string // its availability zone
+	MaxSubset int    // most servers in a group; 0 means DefaultSubset
 }
 
 // Groups sorts a service's VMs into the targets of its treatment. Without targets all VMs are one group.
-func (c Choice) Groups(pool *Pool, t *config.Treatment, vms []Candidate) []Group {
+func (c Grouper) Groups(pool *Pool, t *config.Treatment, vms []Candidate) []Group {
 	targets := t.Targets
 	if len(targets) == 0 {
 		targets = []config.CompiledTarget{{Selector: labels.Everything(), Weight: 1}}
@@ -94,12 +94,12 @@
 				in = append(in, v)
 			}
 		}
-		groups = append(groups, c.group(pool, target.Weight, c.Bounded(in)))
+		groups = append(groups, c.group(pool, target.Weight, c.Subset(in)))
 	}
 	return groups
 }
 
-func (c Choice) group(pool *Pool, weight int, in []Candidate) Group {
+func (c Grouper) group(pool *Pool, weight int, in []Candidate) Group {
 	g := Group{Weight: weight}
 	if len(in) == 0 {
 		g.Weight = 0
@@ -107,17 +107,17 @@
 	for _, v := range in {
 		s := pool.Get(v.VM)
 		if v.VM.Zone == c.Zone {
-			g.Near = append(g.Near, s)
+			g.SameZone = append(g.SameZone, s)
 		} else {
-			g.Far = append(g.Far, s)
+			g.OtherZones = append(g.OtherZones, s)
 		}
 	}
 	return g
 }
 
-// Bounded keeps a bounded number of VMs: the same ones as long as they are there, and some of every zone.
-func (c Choice) Bounded(in []Candidate) []Candidate {
-	most := cmp.Or(c.Subset, DefaultSubset)
+// Subset keeps a bounded number of VMs: the same ones as long as they are there, and some of every zone.
+func (c Grouper) Subset(in []Candidate) []Candidate {
+	most := cmp.Or(c.MaxSubset, DefaultMaxSubset)
 	if len(in) <= most {
 		return in
 	}
@@ -145,7 +145,7 @@
 	return out
 }
 
-func (c Choice) score(v Candidate) uint64 { return xxhash.Sum64String(c.Self + "\x00" + v.VM.Name) }
+func (c Grouper) score(v Candidate) uint64 { return xxhash.Sum64String(c.Self + "\x00" + v.VM.Name) }
 
 func boolInt(b bool) int {
 	if b {
--- a/pkg/routing/server_state.go
+++ b/pkg/routing/server_state.go
@@ -47,12 +47,12 @@
 // End notes that a call to the server has ended.
 func (s *Server) End() { s.running.Add(-1) }
 
-// Answered takes in what an answer showed of the server.
-func (s *Server) Answered(now time.Time, a wire.Answer) {
+// ObserveAnswer takes in what an answer showed of the server.
+func (s *Server) ObserveAnswer(now time.Time, a wire.Answer) {
 	// The call that was answered has ended by now, and isn't among the server's any more.
-	s.calls.Store(int64(a.Calls) - max(s.running.Load()-1, 0))
+	s.calls.Store(int64(a.CallsAtServer) - max(s.running.Load()-1, 0))
 	s.limit.Store(int64(a.Limit))
-	s.level.Store(uint32(a.Own))
+	s.level.Store(uint32(a.OwnLevel))
 	s.seen.Store(now.UnixNano())
 	if a.Leaving {
 		s.leaving.Store(true)
@@ -72,8 +72,8 @@
 	return s.failures > 0 || s.asideFor > 0
 }
 
-// Failed notes a call whose answer was lost; refused says that it certainly never arrived.
-func (s *Server) Failed(now time.Time, refused bool) {
+// ObserveFailure notes a call whose answer was lost; refused says that it certainly never arrived.
+func (s *Server) ObserveFailure(now time.Time, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures++
@@ -85,9 +85,9 @@
 	s.asideUntil = now.Add(s.asideFor)
 }
 
-// Usable tells whether calls may be sent: not leaving and not set aside. After its time aside a
-// server gets a single call on trial; Usable itself hands out that one chance.
-func (s *Server) Usable(now time.Time) bool {
+// AllowCall tells whether calls may be sent: not leaving and not set aside. After its time aside a
+// server gets a single call on trial; AllowCall itself hands out that one chance.
+func (s *Server) AllowCall(now time.Time) bool {
 	if s.leaving.Load() {
 		return false
 	}
@@ -141,8 +141,8 @@
 	return s.Level(now) > 0 || s.busy(now) > crowdedShare
 }
 
-// Reading is a Server's state for dumps.
-type Reading struct {
+// Snapshot is a Server's state for dumps.
+type Snapshot struct {
 	VM      string            `json:"vm"`
 	Zone    string            `json:"zone"`
 	Running int64             `json:"running"`
@@ -152,12 +152,12 @@
 	Aside   bool              `json:"aside"`
 }
 
-// Read returns the server's state.
-func (s *Server) Read(now time.Time) Reading {
+// Snapshot returns the server's state.
+func (s *Server) Snapshot(now time.Time) Snapshot {
 	s.mu.Lock()
 	aside := s.asideFor > 0
 	s.mu.Unlock()
-	return Reading{
+	return Snapshot{
 		VM: s.VM, Zone: s.Zone, Running: s.running.Load(), Load: s.busy(now),
 		Level: s.Level(now), Leaving: s.leaving.Load(), Aside: aside,
 	}
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -114,7 +114,7 @@
 	fill(&s.Platform.Timeout, DefaultPlatformTimeout)
 	fill(&s.Backend.Ramp, DefaultRamp)
 	fill(&s.Backend.StopWait, DefaultStopWait)
-	fill(&s.Admission.Target, admission.DefaultTarget)
+	fill(&s.Admission.Target, admission.DefaultTargetDelay)
 	fill(&s.Admission.MaxSojourn, admission.DefaultMaxSojourn)
 	fill(&s.OnceOnly.Window, onceonly.DefaultWindow)
 	fill(&s.OnceOnly.TokenLife, onceonly.DefaultTokenLife)
--- a/pkg/wire/header.go
+++ b/pkg/wire/header.go
@@ -22,8 +22,8 @@
 	HeaderOutcome = "Rockspoke-Outcome"
 	// HeaderReason tells a caller the Reason of a refusal.
 	HeaderReason = "Rockspoke-Reason"
-	// HeaderKey is the key under which a once-only request runs at most once.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey is the key under which a once-only request runs at most once.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderTimeout is the caller's own time limit in milliseconds.
 	HeaderTimeout = "Rockspoke-Timeout-Ms"
 	// prefix marks every header that belongs to the daemons.
@@ -33,35 +33,35 @@
 // maxHeader bounds a call or answer header in bytes.
 const maxHeader = 2048
 
-// MaxKey bounds an idempotency key in bytes.
-const MaxKey = 256
+// MaxKeyBytes bounds an idempotency key in bytes.
+const MaxKeyBytes = 256
 
 // Call is what a daemon tells the next one about a call.
 type Call struct {
-	Root      string            `json:"r"`           // identity of the root request
-	Priority  priority.Priority `json:"p"`           // set once, at the entry
-	RemainMS  int64             `json:"d"`           // time left, in milliseconds
-	Tokens    int               `json:"t"`           // retry tokens lent with the call
-	Service   string            `json:"s"`           // the service that is called
-	Class     string            `json:"c,omitempty"` // request class at this hop
-	Key       string            `json:"k,omitempty"` // key of once-only work
-	Depth     int               `json:"n"`           // hops from the entry
-	Delegated bool              `json:"g,omitempty"` // the key's home answers for this run
+	RootID      string            `json:"r"`           // identity of the root request
+	Priority    priority.Priority `json:"p"`           // set once, at the entry
+	RemainingMS int64             `json:"d"`           // time left, in milliseconds
+	RetryTokens int               `json:"t"`           // retry tokens lent with the call
+	Service     string            `json:"s"`           // the service that is called
+	Class       string            `json:"c,omitempty"` // request class at this hop
+	Key         string            `json:"k,omitempty"` // key of once-only work
+	Depth       int               `json:"n"`           // hops from the entry
+	Delegated   bool              `json:"g,omitempty"` // the key's home answers for this run
 }
 
 // Answer is what a daemon tells the one that called it.
 type Answer struct {
-	Outcome  Outcome           `json:"o"`
-	Reason   Reason            `json:"w,omitempty"`
-	Own      priority.Priority `json:"m,omitempty"` // admission level of this backend server alone
-	Below    priority.Priority `json:"l,omitempty"` // highest level among the services that the call reached below it
-	Tokens   int               `json:"t,omitempty"` // retry tokens that come back
-	Calls    int               `json:"u,omitempty"` // calls running and queued at this backend server
-	Limit    int               `json:"n,omitempty"` // calls that it may run at once now
-	AfterMS  int64             `json:"a,omitempty"` // when to come back, in milliseconds
-	Version  int64             `json:"v,omitempty"` // configuration version in force
-	Leaving  bool              `json:"x,omitempty"` // this backend server takes no new work
-	OnceOnly bool              `json:"y,omitempty"` // once-only work was reached in the subtree
+	Outcome        Outcome           `json:"o"`
+	Reason         Reason            `json:"w,omitempty"`
+	OwnLevel       priority.Priority `json:"m,omitempty"` // admission level of this backend server alone
+	LevelBelow     priority.Priority `json:"l,omitempty"` // highest level among the services that the call reached below it
+	ReturnedTokens int               `json:"t,omitempty"` // retry tokens that come back
+	CallsAtServer  int               `json:"u,omitempty"` // calls running and queued at this backend server
+	Limit          int               `json:"n,omitempty"` // calls that it may run at once now
+	RetryAfterMS   int64             `json:"a,omitempty"` // when to come back, in milliseconds
+	ConfigVersion  int64             `json:"v,omitempty"` // configuration version in force
+	Leaving        bool              `json:"x,omitempty"` // this backend server takes no new work
+	OnceOnly       bool              `json:"y,omitempty"` // once-only work was reached in the subtree
 }
 
 // HeaderError reports a malformed or oversized internal header.
@@ -94,13 +94,13 @@
 		return Call{}, err
 	}
 	switch {
-	case c.Root == "" || c.Service == "":
+	case c.RootID == "" || c.Service == "":
 		return Call{}, &HeaderError{HeaderCall, "root and service must be set"}
 	case c.Priority > priority.Max:
 		return Call{}, &HeaderError{HeaderCall, "priority out of range"}
-	case c.Tokens < 0 || c.RemainMS < 0 || c.Depth < 0:
+	case c.RetryTokens < 0 || c.RemainingMS < 0 || c.Depth < 0:
 		return Call{}, &HeaderError{HeaderCall, "negative number"}
-	case len(c.Key) > MaxKey:
+	case len(c.Key) > MaxKeyBytes:
 		return Call{}, &HeaderError{HeaderCall, "key too long"}
 	}
 	return c, nil
@@ -117,7 +117,7 @@
 	default:
 		return Answer{}, &HeaderError{HeaderAnswer, "no such outcome"}
 	}
-	if a.Tokens < 0 {
+	if a.ReturnedTokens < 0 {
 		return Answer{}, &HeaderError{HeaderAnswer, "negative number"}
 	}
 	return a, nil
@@ -143,8 +143,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// StripHop removes the headers that belong to one connection.
-func StripHop(h http.Header) {
+// StripHopByHop removes the headers that belong to one connection.
+func StripHopByHop(h http.Header) {
 	for _, name := range h.Values("Connection") {
 		for _, f := range strings.Split(name, ",") {
 			h.Del(strings.TrimSpace(f))
@@ -164,8 +164,8 @@
 	}
 }
 
-// Remain returns the time left on the call.
-func (c Call) Remain() time.Duration { return time.Duration(c.RemainMS) * time.Millisecond }
+// Remaining returns the time left on the call.
+func (c Call) Remaining() time.Duration { return time.Duration(c.RemainingMS) * time.Millisecond }
 
 // StripInternalExcept removes every header that only daemons may set, but for the ones named.
 func StripInternalExcept(h http.Header, keep ...string) {
