--- a/pkg/cli/query_dump.go
+++ b/pkg/cli/query_dump.go
@@ -52,7 +52,7 @@
 		switch {
 		case s.Leaving:
 			state = "leaving"
-		case s.Aside:
+		case s.Ejected:
 			state = "set aside"
 		}
 		row(t, s.VM, s.Zone, s.Running, int(100*s.Load), s.Level, state)
--- a/pkg/node/caller_repeat_notes.go
+++ b/pkg/node/caller_repeat_notes.go
@@ -28,7 +28,7 @@
 		return
 	}
 	select {
-	case n.notes <- repeat.RetryNotice{Key: key, Left: left}:
+	case n.notes <- repeat.RetryNotice{Key: key, TokensLeft: left}:
 	default:
 		n.log.call.Warn("notes of repeats are dropped")
 	}
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -132,7 +132,7 @@
 	}
 	s := &sending{
 		treatment: t, deadline: deadline, req: q, ledger: e.Ledger,
-		sent: func() { n.guard.MarkSent(e) },
+		sent: func() { n.guard.MarkForwarded(e) },
 		call: wire.Call{
 			RootID: root, Service: t.Service, Class: t.Class,
 			Priority: priority.New(t.Tier, root, now),
--- a/pkg/repeat/repeat_guard.go
+++ b/pkg/repeat/repeat_guard.go
@@ -115,8 +115,8 @@
 	return e.Ledger.Balance(), e.sent
 }
 
-// MarkSent notes that the attempt has left the entry, so that a repeat of it counts as a retry.
-func (g *Guard) MarkSent(e *Record) {
+// MarkForwarded notes that the attempt has left the entry, so that a repeat of it counts as a retry.
+func (g *Guard) MarkForwarded(e *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e.sent = true
@@ -124,8 +124,8 @@
 
 // RetryNotice tells another entry of a request whose caller is likely to repeat it.
 type RetryNotice struct {
-	Key  string `json:"k"`
-	Left int    `json:"l"` // retry tokens left
+	Key        string `json:"k"`
+	TokensLeft int    `json:"l"` // retry tokens left
 }
 
 // ApplyNotice takes a note of another entry: the request was sent on there, and no more tokens are left than it says.
@@ -138,11 +138,11 @@
 		if len(g.keys) >= maxKeys {
 			return
 		}
-		e = &Record{Ledger: ledger.New(n.Left), ended: now}
+		e = &Record{Ledger: ledger.New(n.TokensLeft), ended: now}
 		g.keys[n.Key] = e
 	}
 	e.sent = true
-	e.Ledger.Cap(n.Left)
+	e.Ledger.Cap(n.TokensLeft)
 }
 
 // End notes that an attempt has ended, with a result that those who joined may share.
--- a/pkg/repeat/repeat_guard_test.go
+++ b/pkg/repeat/repeat_guard_test.go
@@ -19,7 +19,7 @@
 	v, e, _ := g.Begin(begin, attempt("k"))
 	c.Assert(v, qt.Equals, FirstAttempt)
 	for range 2 {
-		g.MarkSent(e)
+		g.MarkForwarded(e)
 		g.End(begin, e, nil)
 		v, e, _ = g.Begin(begin, attempt("k"))
 		c.Assert(v, qt.Equals, Retry)
@@ -70,11 +70,11 @@
 func TestNoteOfAnotherEntryCounts(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
-	g.ApplyNotice(begin, RetryNotice{Key: "k", Left: 1})
+	g.ApplyNotice(begin, RetryNotice{Key: "k", TokensLeft: 1})
 	v, e, _ := g.Begin(begin, attempt("k"))
 	c.Assert(v, qt.Equals, Retry)
 	c.Assert(e.Ledger.Balance(), qt.Equals, 0)
-	g.MarkSent(e)
+	g.MarkForwarded(e)
 	g.End(begin, e, nil)
 	v, _, _ = g.Begin(begin, attempt("k"))
 	c.Assert(v, qt.Equals, BudgetSpent)
--- a/pkg/routing/server_state.go
+++ b/pkg/routing/server_state.go
@@ -149,7 +149,7 @@
 	Load    float64           `json:"load"` // share of its limit in use
 	Level   priority.Priority `json:"level"`
 	Leaving bool              `json:"leaving"`
-	Aside   bool              `json:"aside"`
+	Ejected bool              `json:"aside"`
 }
 
 // Snapshot returns the server's state.
@@ -159,6 +159,6 @@
 	s.mu.Unlock()
 	return Snapshot{
 		VM: s.VM, Zone: s.Zone, Running: s.running.Load(), Load: s.busy(now),
-		Level: s.Level(now), Leaving: s.leaving.Load(), Aside: aside,
+		Level: s.Level(now), Leaving: s.leaving.Load(), Ejected: aside,
 	}
 }
