--- a/pkg/admission/admission_level.go
+++ b/pkg/admission/admission_level.go
@@ -7,103 +7,106 @@
 	"github.com/rockspoke/rockspoke/pkg/priority"
 )
 
-// bucketBits makes 128 buckets of each tier.
+// The arrival histogram has 128 buckets for each tier.
 const (
-	bucketBits = 17
-	buckets    = int(priority.Max>>bucketBits) + 1
-	perTier    = priority.TierSpan >> bucketBits
-	step       = priority.Priority(1) << bucketBits
+	bucketBits     = 17
+	buckets        = int(priority.Max>>bucketBits) + 1
+	bucketsPerTier = priority.TierSpan >> bucketBits
+	bucketWidth    = priority.Priority(1) << bucketBits
 )
 
-// The level's law.
+// Parameters that adjust the level.
 const (
-	// memoryLeast and memoryMost bound the time in which half of the older arrivals and completions are
-	// forgotten; it is twice the time that a call holds its slot.
-	memoryLeast = 150 * time.Millisecond
-	memoryMost  = 400 * time.Millisecond
-	// fill is the share of the capacity that the level lets through.
-	fill = 1.0
-	// damping is the share of the spare capacity that one tick gives back.
+	// minHalfLife and maxHalfLife bound the half-life of the counts of arrivals and completions. The half-life
+	// is twice the slot hold time of a call.
+	minHalfLife = 150 * time.Millisecond
+	maxHalfLife = 400 * time.Millisecond
+	// targetUtilization is the fraction of the capacity up to which calls are admitted.
+	targetUtilization = 1.0
+	// damping is the fraction of the spare capacity that one lowering of the level admits.
 	damping = 0.8
-	// probeFirst and probeMost are the first and the largest step down into ranks or tiers of unknown
-	// demand; the first is for an idle server, and less the busier it is.
-	probeFirst = priority.TierSpan / 8
-	probeMost  = priority.TierSpan / 2
-	// leastSample is the count of remembered arrivals that tells how dense a tier is.
-	leastSample = 3
-	// leastDone is the count of remembered completions that tells the capacity of an overloaded server.
-	leastDone = 4
+	// firstProbeStep and maxProbeStep are the first and the largest step by which the level falls into ranks or tiers
+	// of unknown demand. The first step applies to an idle server; a busier server gets a smaller one.
+	firstProbeStep = priority.TierSpan / 8
+	maxProbeStep   = priority.TierSpan / 2
+	// minArrivals is the smallest decayed count of arrivals from which the arrival density of a tier is estimated.
+	minArrivals = 3
+	// minCompletions is the smallest decayed count of completions from which the capacity of an overloaded server is estimated.
+	minCompletions = 4
 )
 
 // level is the priority below which calls are refused.
 //
-// It goes by rates: of arrivals, in a histogram by priority that fades, and of
-// what the server can complete. While the server is overloaded the level is set
-// so that what arrives above it fits. Otherwise it falls: ranks are spread
-// evenly over a tier, so the arrivals seen above the level tell how many more a
-// lower one would let in; where nothing is seen, it probes with steps that double.
+// It depends on two rates: the arrival rate, from a decaying histogram by
+// priority, and the rate at which the server can complete calls. While the
+// server is overloaded, the level is set so that the arrivals above it fit the
+// capacity. Otherwise it falls: ranks are spread evenly over a tier, so the
+// arrivals above the level show how many more a lower level would admit. Where
+// there were no arrivals, the level falls by probe steps that double.
 type level struct {
-	value    priority.Priority
-	probe    priority.Priority
-	arrivals [buckets]float64
-	done     float64   // completions remembered
-	span     float64   // seconds that the histogram remembered when time last passed
-	passed   time.Time // when that was
+	value        priority.Priority
+	probe        priority.Priority // size of the next probe step
+	arrivals     [buckets]float64
+	completions  float64   // decayed count
+	windowLength float64   // seconds of arrivals in the histogram, decayed, as of the last decay
+	decayedAt    time.Time // time of the last decay
 }
 
-// arrive notes a call by its priority, whether admitted or not.
-func (v *level) arrive(p priority.Priority) {
+// countArrival counts a call with priority p, whether it is admitted or not.
+func (v *level) countArrival(p priority.Priority) {
 	v.arrivals[bucketOf(p)]++
 }
 
+// bucketOf returns the histogram bucket of priority p.
 func bucketOf(p priority.Priority) int { return min(int(p>>bucketBits), buckets-1) }
 
-// seconds returns how much time the histogram remembers at now.
-func (v *level) seconds(now time.Time) float64 {
-	return max(v.span+now.Sub(v.passed).Seconds(), 0.02)
+// windowSeconds returns the length in seconds of the decayed window that the histogram covers at now.
+func (v *level) windowSeconds(now time.Time) float64 {
+	return max(v.windowLength+now.Sub(v.decayedAt).Seconds(), 0.02)
 }
 
-// raiseFor moves the level of an overloaded server up. capacity is what the server could complete a second
-// by its limit and the time that calls hold a slot; 0 if that isn't known yet.
-func (v *level) raiseFor(now time.Time, capacity float64) {
-	v.raise(now, v.believed(now, capacity)*fill)
+// raiseOverloaded raises the level of an overloaded server. capacity is the calls per second that the server could
+// complete by its limit and the slot hold time of calls; 0 if that isn't known yet.
+func (v *level) raiseOverloaded(now time.Time, capacity float64) {
+	v.raiseToFit(now, v.effectiveCapacity(now, capacity)*targetUtilization)
 	v.probe = 0
 }
 
-// believed returns the capacity of an overloaded server. While a queue stands, what was completed is the
-// capacity, whatever the times of past calls say, once enough was completed to tell.
-func (v *level) believed(now time.Time, capacity float64) float64 {
-	real := v.done / v.seconds(now)
+// effectiveCapacity returns the capacity of an overloaded server in calls per second. While a queue persists, the
+// completion rate is the capacity if it is below the given estimate and enough calls have completed. It returns
+// infinity if the given capacity is 0.
+func (v *level) effectiveCapacity(now time.Time, capacity float64) float64 {
+	measured := v.completions / v.windowSeconds(now)
 	switch {
 	case capacity == 0:
 		return math.Inf(1)
-	case v.done >= leastDone && real < capacity:
-		return real
+	case v.completions >= minCompletions && measured < capacity:
+		return measured
 	default:
 		return capacity
 	}
 }
 
-// raise sets the level above which the arrivals fit into room calls a second, at least a step up.
-func (v *level) raise(now time.Time, room float64) {
+// raiseToFit sets the level so that the arrivals above it fit into capacity calls per second; the level rises by at least one bucket.
+func (v *level) raiseToFit(now time.Time, capacity float64) {
 	sum := 0.0
 	found := priority.Priority(0)
 	for b := buckets - 1; b >= 0; b-- {
-		rate := v.arrivals[b] / v.seconds(now)
+		rate := v.arrivals[b] / v.windowSeconds(now)
 		sum += rate
-		if sum > room {
-			// Ranks are even within a bucket, so part of it may still fit.
-			over := (sum - room) / rate
-			found = priority.Priority(b)<<bucketBits + priority.Priority(min(over, 1)*float64(step))
+		if sum > capacity {
+			// Ranks are uniform within a bucket, so part of the bucket may still fit.
+			over := (sum - capacity) / rate
+			found = priority.Priority(b)<<bucketBits + priority.Priority(min(over, 1)*float64(bucketWidth))
 			break
 		}
 	}
-	v.value = min(max(found, v.value+step), priority.Max)
+	v.value = min(max(found, v.value+bucketWidth), priority.Max)
 }
 
-// lower lets in more where the server has room: spare is the calls a second that it could take beyond
-// those that it has, and room all that it can take.
-func (v *level) lower(now time.Time, spare, room float64) {
+// lower reduces the level of a server with spare capacity. spare is the calls per second that the server could
+// take beyond its present load, and capacity all that it can take in calls per second.
+func (v *level) lower(now time.Time, spare, capacity float64) {
 	if v.value == 0 {
 		return
 	}
@@ -112,50 +115,51 @@
 		return
 	}
 	floor := priority.Floor(v.value.Tier())
-	density := v.density(now)
-	if density == 0 || v.value == floor {
-		v.probeDown(spare / room)
+	arrivalDensity := v.arrivalDensity(now)
+	if arrivalDensity == 0 || v.value == floor {
+		v.probeDown(spare / capacity)
 		return
 	}
-	fall := priority.Priority(min(damping*spare/density, float64(priority.TierSpan)))
-	if v.value-floor <= fall {
+	decrease := priority.Priority(min(damping*spare/arrivalDensity, float64(priority.TierSpan)))
+	if v.value-floor <= decrease {
 		v.value = floor
 		return
 	}
-	v.value -= max(fall, step/4)
+	v.value -= max(decrease, bucketWidth/4)
 }
 
-// probeDown takes a step into a part whose demand isn't known, and doubles the next one.
-func (v *level) probeDown(spareShare float64) {
-	v.probe = max(v.probe, priority.Priority(spareShare*probeFirst), step)
+// probeDown lowers the level by one step into priorities of unknown demand, and doubles the next step.
+// spareFraction is the spare fraction of the capacity.
+func (v *level) probeDown(spareFraction float64) {
+	v.probe = max(v.probe, priority.Priority(spareFraction*firstProbeStep), bucketWidth)
 	v.value -= min(v.probe, v.value)
-	v.probe = min(2*v.probe, probeMost)
+	v.probe = min(2*v.probe, maxProbeStep)
 }
 
-// density returns the arrivals a second for each unit of priority, as seen between the level and the end
-// of its tier, or 0 if too few were seen.
-func (v *level) density(now time.Time) float64 {
+// arrivalDensity returns the arrivals per second and unit of priority between the level and the end of its tier, or 0
+// if there were too few to estimate it.
+func (v *level) arrivalDensity(now time.Time) float64 {
 	top := priority.Floor(v.value.Tier()) + priority.TierSpan
-	seen := 0.0
-	for b := bucketOf(v.value); b < bucketOf(v.value)/perTier*perTier+perTier && b < buckets; b++ {
-		seen += v.arrivals[b]
+	arrivals := 0.0
+	for b := bucketOf(v.value); b < bucketOf(v.value)/bucketsPerTier*bucketsPerTier+bucketsPerTier && b < buckets; b++ {
+		arrivals += v.arrivals[b]
 	}
-	if seen < leastSample {
+	if arrivals < minArrivals {
 		return 0
 	}
-	return seen / v.seconds(now) / float64(top-v.value)
+	return arrivals / v.windowSeconds(now) / float64(top-v.value)
 }
 
-// pass notes that time has passed, and forgets a part of what was seen before. hold is the time for which
-// a call holds its slot.
-func (v *level) pass(now time.Time, hold time.Duration) {
-	elapsed := now.Sub(v.passed)
-	memory := min(max(2*hold, memoryLeast), memoryMost)
-	keep := math.Exp2(-float64(elapsed) / float64(memory))
-	v.span = (v.span + elapsed.Seconds()) * keep
-	v.passed = now
-	v.done *= keep
+// decay reduces the counts of arrivals and completions for the time since the last decay. slotHold is the slot hold time
+// of a call, from which the half-life follows.
+func (v *level) decay(now time.Time, slotHold time.Duration) {
+	elapsed := now.Sub(v.decayedAt)
+	halfLife := min(max(2*slotHold, minHalfLife), maxHalfLife)
+	remaining := math.Exp2(-float64(elapsed) / float64(halfLife))
+	v.windowLength = (v.windowLength + elapsed.Seconds()) * remaining
+	v.decayedAt = now
+	v.completions *= remaining
 	for b := range v.arrivals {
-		v.arrivals[b] *= keep
+		v.arrivals[b] *= remaining
 	}
 }
--- a/pkg/admission/gate_test.go
+++ b/pkg/admission/gate_test.go
@@ -14,33 +14,34 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// bench drives a Gate in virtual time with a server that takes a fixed time for each call.
-type bench struct {
-	gate  *Gate
-	now   time.Time
-	takes time.Duration
-	ends  []time.Time
-	rnd   *rand.Rand
-
-	started map[priority.Tier]int
-	refused map[priority.Tier]int
-	owed    float64
-}
-
-func newBench(cfg Settings, takes time.Duration) *bench {
-	return &bench{
-		gate: NewGate(cfg, begin), now: begin, takes: takes, rnd: rand.New(rand.NewPCG(1, 2)),
+// simulation drives a Gate in virtual time with a simulated server whose calls all take the same time.
+type simulation struct {
+	gate     *Gate
+	now      time.Time
+	callTime time.Duration
+	endTimes []time.Time
+	rnd      *rand.Rand
+
+	started         map[priority.Tier]int
+	refused         map[priority.Tier]int
+	pendingArrivals float64
+}
+
+// newSimulation returns a simulation of a Gate before a server that takes the given time for each call.
+func newSimulation(cfg Settings, callTime time.Duration) *simulation {
+	return &simulation{
+		gate: NewGate(cfg, begin), now: begin, callTime: callTime, rnd: rand.New(rand.NewPCG(1, 2)),
 		started: map[priority.Tier]int{}, refused: map[priority.Tier]int{},
 	}
 }
 
-// run offers rate calls a second, spread over the tiers by mix, for d.
-func (b *bench) run(d time.Duration, rate float64, mix ...float64) {
+// run sends rate calls per second to the Gate for d; mix gives each tier's fraction of the calls.
+func (b *simulation) run(d time.Duration, rate float64, mix ...float64) {
 	const tick = time.Millisecond
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(tick) {
 		b.finish()
-		b.owed += rate * tick.Seconds()
-		for ; b.owed >= 1; b.owed-- {
+		b.pendingArrivals += rate * tick.Seconds()
+		for ; b.pendingArrivals >= 1; b.pendingArrivals-- {
 			b.arrive(b.tier(mix))
 		}
 		if b.now.UnixMilli()%10 == 0 {
@@ -49,7 +50,8 @@
 	}
 }
 
-func (b *bench) tier(mix []float64) priority.Tier {
+// tier returns a random tier by the fractions in mix.
+func (b *simulation) tier(mix []float64) priority.Tier {
 	x := b.rnd.Float64()
 	for i, share := range mix {
 		if x -= share; x < 0 {
@@ -59,12 +61,13 @@
 	return priority.Tier(len(mix) - 1)
 }
 
-func (b *bench) arrive(tier priority.Tier) {
+// arrive sends one call of a random rank in the tier to the Gate and counts the decision.
+func (b *simulation) arrive(tier priority.Tier) {
 	count := func(v Decision) {
 		switch {
 		case v.Start:
 			b.started[tier]++
-			b.ends = append(b.ends, b.now.Add(b.takes))
+			b.endTimes = append(b.endTimes, b.now.Add(b.callTime))
 		case !v.Queued:
 			b.refused[tier]++
 		}
@@ -73,29 +76,31 @@
 	count(b.gate.Arrive(b.now, &Ticket{Priority: p, Deadline: b.now.Add(time.Second), Notify: count}))
 }
 
-func (b *bench) finish() {
-	rest := b.ends[:0]
+// finish reports the calls that have ended by now to the Gate.
+func (b *simulation) finish() {
+	rest := b.endTimes[:0]
 	due := 0
-	for _, e := range b.ends {
+	for _, e := range b.endTimes {
 		if e.After(b.now) {
 			rest = append(rest, e)
 		} else {
 			due++
 		}
 	}
-	b.ends = rest
+	b.endTimes = rest
 	for range due {
-		b.gate.Done(b.now, b.takes, b.takes, true)
+		b.gate.Done(b.now, b.callTime, b.callTime, true)
 	}
 }
 
-func (b *bench) reset() {
+// reset clears the counts of started and refused calls.
+func (b *simulation) reset() {
 	b.started, b.refused = map[priority.Tier]int{}, map[priority.Tier]int{}
 }
 
-func TestOverloadKeepsTheServerFullAndTheHighTiersServed(t *testing.T) {
+func TestOverloadKeepsTheServerBusyAndAdmitsTheHighTiers(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(Settings{Slots: 20}, 40*time.Millisecond) // 500 a second
+	b := newSimulation(Settings{Slots: 20}, 40*time.Millisecond) // 500 a second
 	b.run(2*time.Second, 1500, 0.4, 0.3, 0.2, 0.1)
 	b.reset()
 	b.run(4*time.Second, 1500, 0.4, 0.3, 0.2, 0.1)
@@ -109,9 +114,9 @@
 	c.Assert(b.started[0] < b.started[1]/4, qt.IsTrue, qt.Commentf("%v", b.started))
 }
 
-func TestLevelFallsByItselfAfterOverload(t *testing.T) {
+func TestLevelFallsToZeroAfterOverload(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(Settings{Slots: 20}, 40*time.Millisecond)
+	b := newSimulation(Settings{Slots: 20}, 40*time.Millisecond)
 	b.run(3*time.Second, 5000, 0.25, 0.25, 0.25, 0.25)
 	c.Assert(b.gate.Level() > 0, qt.IsTrue)
 	b.run(1500*time.Millisecond, 300, 0.25, 0.25, 0.25, 0.25)
@@ -120,31 +125,31 @@
 
 func TestModerateLoadRefusesNothing(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(Settings{Slots: 8}, 160*time.Millisecond) // 50 a second
+	b := newSimulation(Settings{Slots: 8}, 160*time.Millisecond) // 50 a second
 	b.run(20*time.Second, 35, 0.25, 0.25, 0.25, 0.25)
 	c.Assert(b.refused, qt.HasLen, 0)
 	c.Assert(b.gate.Level(), qt.Equals, priority.Priority(0))
 }
 
-// TestFewCompletionsDontThrowTheLevel is the case in which one interval with hardly a completion
-// once set the level to the top.
-func TestFewCompletionsDontThrowTheLevel(t *testing.T) {
+// TestFewCompletionsDoNotRaiseTheLevelToItsMaximum: an interval with hardly any completion would give a
+// capacity estimate near zero, and so raise the level to its maximum.
+func TestFewCompletionsDoNotRaiseTheLevelToItsMaximum(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(Settings{Slots: 8}, 160*time.Millisecond)
+	b := newSimulation(Settings{Slots: 8}, 160*time.Millisecond)
 	b.run(300*time.Millisecond, 60, 0.25, 0.25, 0.25, 0.25)
 	c.Assert(b.gate.Level() < priority.Floor(1), qt.IsTrue, qt.Commentf("level %v", b.gate.Level()))
 }
 
-func TestSlowServerIsNotStarvedByItsLimit(t *testing.T) {
+func TestLimitIsNotCutForAServerThatIsSlowAtAnyLoad(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(Settings{Slots: 20}, 40*time.Millisecond)
+	b := newSimulation(Settings{Slots: 20}, 40*time.Millisecond)
 	b.run(3*time.Second, 600, 1)
-	b.takes = 200 * time.Millisecond // slower at any load: a lower limit would only lose throughput
+	b.callTime = 200 * time.Millisecond // slower at any load: a lower limit would only reduce throughput
 	b.run(6*time.Second, 600, 1)
 	c.Assert(b.gate.Snapshot(b.now).Limit >= 16, qt.IsTrue, qt.Commentf("limit %d", b.gate.Snapshot(b.now).Limit))
 }
 
-func TestColdStartRamps(t *testing.T) {
+func TestLimitRampsUpAfterAColdStart(t *testing.T) {
 	c := qt.New(t)
 	g := NewGate(Settings{Slots: 100, RampTime: 2 * time.Second}, begin)
 	cold := g.Snapshot(begin).Limit
@@ -160,20 +165,20 @@
 	first := &Ticket{Priority: 1, Deadline: begin.Add(time.Second)}
 	c.Assert(g.Arrive(begin, first).Start, qt.IsTrue)
 	var got []Decision
-	note := func(v Decision) { got = append(got, v) }
-	late := &Ticket{Priority: 1, Deadline: begin.Add(10 * time.Millisecond), Notify: note}
-	gone := &Ticket{Priority: 1, Deadline: begin.Add(time.Second), Notify: note}
-	c.Assert(g.Arrive(begin, late).Queued, qt.IsTrue)
-	c.Assert(g.Arrive(begin, gone).Queued, qt.IsTrue)
-	c.Assert(g.Cancel(gone), qt.IsTrue)
+	record := func(v Decision) { got = append(got, v) }
+	expired := &Ticket{Priority: 1, Deadline: begin.Add(10 * time.Millisecond), Notify: record}
+	cancelled := &Ticket{Priority: 1, Deadline: begin.Add(time.Second), Notify: record}
+	c.Assert(g.Arrive(begin, expired).Queued, qt.IsTrue)
+	c.Assert(g.Arrive(begin, cancelled).Queued, qt.IsTrue)
+	c.Assert(g.Cancel(cancelled), qt.IsTrue)
 	g.Done(begin.Add(20*time.Millisecond), time.Millisecond, time.Millisecond, true)
 	c.Assert(got, qt.DeepEquals, []Decision{{Reason: wire.ReasonDeadline}})
 	c.Assert(g.Arrive(begin, &Ticket{Priority: 1, Deadline: begin}).Reason, qt.Equals, wire.ReasonDeadline)
 }
 
-// TestNoInversion checks for random arrivals and ends that a call is never refused while a lower tier
-// that came later is started instead, or waits in the queue.
-func TestNoInversion(t *testing.T) {
+// TestNoPriorityInversion checks, for random arrivals and completions, that no call starts while one of a higher tier
+// waits, and that none is refused while one of a lower tier waits.
+func TestNoPriorityInversion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
 		g := NewGate(Settings{Slots: slots, MaxQueued: rapid.IntRange(1, 4).Draw(t, "queue")}, begin)
@@ -195,26 +200,27 @@
 				delete(queued, tk)
 				if v.Start {
 					running++
-					checkNoneHigher(t, tk, queued)
+					checkNoHigherTierQueued(t, tk, queued)
 				} else if v.Reason == wire.ReasonQueue && now.Sub(tk.arrived) < g.maxSojourn() {
-					checkNoneLower(t, tk, queued)
+					checkNoLowerTierQueued(t, tk, queued)
 				}
 			}
 			v := g.Arrive(now, tk)
 			switch {
 			case v.Start:
 				running++
-				checkNoneHigher(t, tk, queued)
+				checkNoHigherTierQueued(t, tk, queued)
 			case v.Queued:
 				queued[tk] = true
 			default:
-				checkNoneLower(t, tk, queued)
+				checkNoLowerTierQueued(t, tk, queued)
 			}
 		}
 	})
 }
 
-func checkNoneHigher(t *rapid.T, started *Ticket, queued map[*Ticket]bool) {
+// checkNoHigherTierQueued fails the test if a call of a higher tier than started waits.
+func checkNoHigherTierQueued(t *rapid.T, started *Ticket, queued map[*Ticket]bool) {
 	for q := range queued {
 		if q.Priority.Tier() > started.Priority.Tier() {
 			t.Fatalf("tier %d started while tier %d waits", started.Priority.Tier(), q.Priority.Tier())
@@ -222,7 +228,8 @@
 	}
 }
 
-func checkNoneLower(t *rapid.T, refused *Ticket, queued map[*Ticket]bool) {
+// checkNoLowerTierQueued fails the test if a call of a lower tier than refused waits.
+func checkNoLowerTierQueued(t *rapid.T, refused *Ticket, queued map[*Ticket]bool) {
 	for q := range queued {
 		if q.Priority.Tier() < refused.Priority.Tier() {
 			t.Fatalf("tier %d refused while tier %d waits", refused.Priority.Tier(), q.Priority.Tier())
--- a/pkg/admission/ticket_queue.go
+++ b/pkg/admission/ticket_queue.go
@@ -7,11 +7,11 @@
 	"github.com/rockspoke/rockspoke/pkg/priority"
 )
 
-// Ticket is one call's place at a Gate; the zero value with a Priority and a Deadline is ready to use.
+// Ticket represents one call at a Gate. Priority and Deadline must be set, and Notify if the call may be queued.
 type Ticket struct {
 	Priority priority.Priority
 	Deadline time.Time
-	// Notify is called once when a queued ticket starts or is refused; it must not block or call the Gate.
+	// Notify is called once when a queued ticket starts or is refused, but not after Cancel; it must not block or call the Gate.
 	Notify func(Decision)
 
 	arrived time.Time
@@ -19,11 +19,12 @@
 	queued  bool
 }
 
-// ticketQueue is a heap with the highest priority first, and the earliest among equals.
+// ticketQueue is a heap of tickets with the highest priority first, and the earliest arrival first among equals.
 type ticketQueue []*Ticket
 
 func (q ticketQueue) Len() int { return len(q) }
 
+// Less reports whether ticket i starts before ticket j.
 func (q ticketQueue) Less(i, j int) bool {
 	if q[i].Priority != q[j].Priority {
 		return q[i].Priority > q[j].Priority
@@ -37,7 +38,7 @@
 	q[j].index = j
 }
 
-// Push adds a *Ticket; it is called by container/heap only.
+// Push appends x, a *Ticket; only container/heap calls it.
 func (q *ticketQueue) Push(x any) {
 	t := x.(*Ticket)
 	t.index = len(*q)
@@ -45,7 +46,7 @@
 	*q = append(*q, t)
 }
 
-// Pop removes the last *Ticket; it is called by container/heap only.
+// Pop removes and returns the last *Ticket; only container/heap calls it.
 func (q *ticketQueue) Pop() any {
 	old := *q
 	t := old[len(old)-1]
@@ -55,15 +56,16 @@
 	return t
 }
 
-// lowest returns the queued ticket that is to be evicted first.
+// lowest returns the ticket to evict first: the lowest priority, and the latest arrival among equals. The queue mustn't be empty.
 func (q ticketQueue) lowest() *Ticket {
-	low := q[0]
+	candidate := q[0]
 	for _, t := range q {
-		if t.Priority < low.Priority || (t.Priority == low.Priority && t.arrived.After(low.arrived)) {
-			low = t
+		if t.Priority < candidate.Priority || (t.Priority == candidate.Priority && t.arrived.After(candidate.arrived)) {
+			candidate = t
 		}
 	}
-	return low
+	return candidate
 }
 
+// remove removes a queued ticket.
 func (q *ticketQueue) remove(t *Ticket) { heap.Remove(q, t.index) }
