--- a/pkg/routing/retry_bucket.go
+++ b/pkg/routing/retry_bucket.go
@@ -2,39 +2,40 @@
 
 import "sync"
 
-// retryBurst is how many retries a target takes at once after a quiet time.
+// retryBurst is the capacity of a server's retry bucket: the retries allowed at once after a time without any.
 const retryBurst = 10
 
-// retryBucket caps retries to one target at a share of its fresh calls.
+// retryBucket is a token bucket that limits the retries to one server to a fraction of its first attempts; it starts full.
 type retryBucket struct {
 	mu     sync.Mutex
 	filled bool
-	level  float64
+	tokens float64
 }
 
-// EarnRetry notes a first attempt, which earns share of a retry.
+// EarnRetry records a first attempt, which adds share (a fraction of a token) to the server's retry bucket.
 func (s *Server) EarnRetry(share float64) {
-	s.tokens.mu.Lock()
-	defer s.tokens.mu.Unlock()
-	s.tokens.fill()
-	s.tokens.level = min(s.tokens.level+share, retryBurst)
+	s.retries.mu.Lock()
+	defer s.retries.mu.Unlock()
+	s.retries.fillOnce()
+	s.retries.tokens = min(s.retries.tokens+share, retryBurst)
 }
 
-// TakeRetry takes one retry out of the target's bucket; it reports false when the bucket is empty.
+// TakeRetry takes one token from the server's retry bucket; it returns false if there is none.
 func (s *Server) TakeRetry() bool {
-	s.tokens.mu.Lock()
-	defer s.tokens.mu.Unlock()
-	s.tokens.fill()
-	if s.tokens.level < 1 {
+	s.retries.mu.Lock()
+	defer s.retries.mu.Unlock()
+	s.retries.fillOnce()
+	if s.retries.tokens < 1 {
 		return false
 	}
-	s.tokens.level--
+	s.retries.tokens--
 	return true
 }
 
-func (b *retryBucket) fill() {
+// fillOnce fills the bucket before its first use.
+func (b *retryBucket) fillOnce() {
 	if !b.filled {
 		b.filled = true
-		b.level = retryBurst
+		b.tokens = retryBurst
 	}
 }
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -16,35 +16,37 @@
 
 var begin = time.Unix(1_000_000, 0)
 
+// newRnd returns a random source with a fixed seed.
 func newRnd() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-func answered(s *Server, calls, limit int, lvl priority.Priority) {
+// observeReport records an answer at begin in which the server reports its calls, limit and admission level.
+func observeReport(s *Server, calls, limit int, lvl priority.Priority) {
 	s.ObserveAnswer(begin, wire.Answer{Outcome: wire.Ran, CallsAtServer: calls, Limit: limit, OwnLevel: lvl})
 }
 
-func TestNearServersFirstAndSpillWhenFull(t *testing.T) {
+func TestCallsSpillToOtherZonesWhenTheOwnIsFull(t *testing.T) {
 	c := qt.New(t)
-	near, far := &Server{VM: "near"}, &Server{VM: "far"}
-	answered(near, 1, 10, 0)
-	answered(far, 1, 10, 0)
-	g := []Group{{Weight: 1, SameZone: []*Server{near}, OtherZones: []*Server{far}}}
+	sameZone, otherZone := &Server{VM: "near"}, &Server{VM: "far"}
+	observeReport(sameZone, 1, 10, 0)
+	observeReport(otherZone, 1, 10, 0)
+	g := []Group{{Weight: 1, SameZone: []*Server{sameZone}, OtherZones: []*Server{otherZone}}}
 	got, _ := Pick(begin, newRnd(), g, priority.Max, nil)
-	c.Assert(got, qt.Equals, near)
-	answered(near, 10, 10, 0)
+	c.Assert(got, qt.Equals, sameZone)
+	observeReport(sameZone, 10, 10, 0)
 	got, _ = Pick(begin, newRnd(), g, priority.Max, nil)
-	c.Assert(got, qt.Equals, far)
+	c.Assert(got, qt.Equals, otherZone)
 }
 
-// TestColdServerGetsFewCalls is the case in which a restarted server, not heard from yet, got as many
-// calls as a warm one and queued them.
+// TestColdServerGetsFewCalls: a restarted server that hasn't answered yet must not get as many calls as a warm one, as it
+// would have to queue them.
 func TestColdServerGetsFewCalls(t *testing.T) {
 	c := qt.New(t)
 	warm, cold := &Server{VM: "warm"}, &Server{VM: "cold"}
-	answered(warm, 4, 10, 0)
+	observeReport(warm, 4, 10, 0)
 	g := []Group{{Weight: 1, SameZone: []*Server{warm, cold}}}
 	first, _ := Pick(begin, newRnd(), g, priority.Max, nil)
 	c.Assert(first, qt.Equals, warm)
-	answered(warm, 9, 10, 0)
+	observeReport(warm, 9, 10, 0)
 	second, _ := Pick(begin, newRnd(), g, priority.Max, nil)
 	c.Assert(second, qt.Equals, cold)
 	cold.Begin()
@@ -52,10 +54,10 @@
 	c.Assert(third, qt.Equals, warm)
 }
 
-func TestLevelsAndTriedServersAreSkipped(t *testing.T) {
+func TestServersAboveThePriorityAndTriedServersAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	a, b := &Server{VM: "a"}, &Server{VM: "b"}
-	answered(a, 0, 10, priority.Floor(2))
+	observeReport(a, 0, 10, priority.Floor(2))
 	g := []Group{{Weight: 1, SameZone: []*Server{a, b}}}
 	for range 20 {
 		got, _ := Pick(begin, newRnd(), g, priority.Floor(1), nil)
@@ -67,45 +69,45 @@
 	c.Assert(o, qt.Equals, NoServer)
 }
 
-func TestFailingServerIsSetAsideAndTriedWithOneCall(t *testing.T) {
+func TestFailingServerIsEjectedAndProbedWithOneCall(t *testing.T) {
 	c := qt.New(t)
 	s := &Server{VM: "a"}
-	for range asideFailures {
+	for range ejectFailures {
 		c.Assert(s.AllowCall(begin), qt.IsTrue)
 		s.ObserveFailure(begin, false)
 	}
 	c.Assert(s.AllowCall(begin), qt.IsFalse)
-	later := begin.Add(asideFirst)
-	c.Assert(s.AllowCall(later), qt.IsTrue, qt.Commentf("one call on trial"))
+	later := begin.Add(firstEjection)
+	c.Assert(s.AllowCall(later), qt.IsTrue, qt.Commentf("one probe call"))
 	c.Assert(s.AllowCall(later), qt.IsFalse)
 	s.ObserveFailure(later, false)
-	c.Assert(s.AllowCall(later.Add(asideFirst)), qt.IsFalse, qt.Commentf("the time aside grows"))
-	c.Assert(s.AllowCall(later.Add(2*asideFirst)), qt.IsTrue)
+	c.Assert(s.AllowCall(later.Add(firstEjection)), qt.IsFalse, qt.Commentf("the ejection time grows"))
+	c.Assert(s.AllowCall(later.Add(2*firstEjection)), qt.IsTrue)
 	s.ObserveAnswer(later, wire.Answer{Outcome: wire.Ran})
 	c.Assert(s.AllowCall(later), qt.IsTrue)
 	c.Assert(s.AllowCall(later), qt.IsTrue)
 }
 
-func TestWeightsShareTheCalls(t *testing.T) {
+func TestCallsFollowTheWeights(t *testing.T) {
 	c := qt.New(t)
-	old, fresh := &Server{VM: "old"}, &Server{VM: "new"}
-	answered(old, 0, 10, 0)
-	answered(fresh, 0, 10, 0)
-	g := []Group{{Weight: 9, SameZone: []*Server{old}}, {Weight: 1, SameZone: []*Server{fresh}}}
+	old, newer := &Server{VM: "old"}, &Server{VM: "new"}
+	observeReport(old, 0, 10, 0)
+	observeReport(newer, 0, 10, 0)
+	g := []Group{{Weight: 9, SameZone: []*Server{old}}, {Weight: 1, SameZone: []*Server{newer}}}
 	rnd := newRnd()
 	n := 0
 	for range 10_000 {
-		if got, _ := Pick(begin, rnd, g, priority.Max, nil); got == fresh {
+		if got, _ := Pick(begin, rnd, g, priority.Max, nil); got == newer {
 			n++
 		}
 	}
 	c.Assert(n > 800 && n < 1200, qt.IsTrue, qt.Commentf("%d of 10000", n))
 	g[0].Weight = 0
-	got, _ := Pick(begin, rnd, g, priority.Max, []*Server{fresh})
+	got, _ := Pick(begin, rnd, g, priority.Max, []*Server{newer})
 	c.Assert(got, qt.IsNil, qt.Commentf("a target of weight 0 gets nothing"))
 }
 
-func TestRetriesToATargetAreCapped(t *testing.T) {
+func TestRetriesToAServerAreLimited(t *testing.T) {
 	c := qt.New(t)
 	s := &Server{}
 	n := 0
@@ -120,7 +122,7 @@
 	for s.TakeRetry() {
 		n++
 	}
-	c.Assert(n >= 9 && n <= 10, qt.IsTrue, qt.Commentf("%d retries for 100 fresh calls", n))
+	c.Assert(n >= 9 && n <= 10, qt.IsTrue, qt.Commentf("%d retries for 100 first attempts", n))
 }
 
 func TestSubsetIsStableAndCoversZones(t *testing.T) {
@@ -129,27 +131,27 @@
 	for i := range 30 {
 		vms = append(vms, Candidate{VM: member.VM{Name: fmt.Sprint("v", i), Service: "s", Zone: fmt.Sprint("z", i%3)}})
 	}
-	choice := Grouper{Self: "me", Zone: "z1", MaxSubset: 9}
-	got := choice.Subset(vms)
+	grouper := Grouper{Self: "me", Zone: "z1", MaxSubset: 9}
+	got := grouper.Subset(vms)
 	c.Assert(got, qt.HasLen, 9)
 	zones := map[string]int{}
 	for _, v := range got {
 		zones[v.VM.Zone]++
 	}
 	c.Assert(zones, qt.DeepEquals, map[string]int{"z0": 3, "z1": 3, "z2": 3})
-	kept := 0
-	after := choice.Subset(vms[1:])
+	retained := 0
+	after := grouper.Subset(vms[1:])
 	for _, a := range after {
 		for _, b := range got {
 			if a.VM.Name == b.VM.Name {
-				kept++
+				retained++
 			}
 		}
 	}
-	c.Assert(kept >= 8, qt.IsTrue, qt.Commentf("%d kept after one VM is gone", kept))
+	c.Assert(retained >= 8, qt.IsTrue, qt.Commentf("%d retained after one VM left", retained))
 }
 
-func TestGroupsFollowLabels(t *testing.T) {
+func TestGroupsHoldTheMatchingVMsThatAreNotLeaving(t *testing.T) {
 	c := qt.New(t)
 	doc := &config.Document{Version: 1, Objects: []config.Object{
 		{Kind: config.KindService, Name: "s", Labels: map[string]string{"a": "b"}, Service: &config.ServiceSpec{Slots: 1, Connections: 1}},
@@ -173,7 +175,7 @@
 	g := Group{Weight: 1}
 	for i := range 12 {
 		s := &Server{VM: fmt.Sprint(i)}
-		answered(s, i, 100, 0)
+		observeReport(s, i, 100, 0)
 		g.SameZone = append(g.SameZone, s)
 	}
 	groups := []Group{g}
--- a/pkg/routing/server_pool.go
+++ b/pkg/routing/server_pool.go
@@ -12,16 +12,16 @@
 	"github.com/rockspoke/rockspoke/pkg/member"
 )
 
-// DefaultMaxSubset is the most servers of one service that a daemon talks to.
+// DefaultMaxSubset is the default maximum of servers of one service to which a node sends calls.
 const DefaultMaxSubset = 12
 
-// Pool holds the Servers by VM over changes of members; its zero value is empty.
+// Pool holds the Servers by VM name across membership changes; its zero value is empty, and it is safe for concurrent use.
 type Pool struct {
 	mu      sync.Mutex
 	servers map[string]*Server
 }
 
-// Get returns the Server of the VM, made new if the VM is met for the first time or came back at another address.
+// Get returns the Server of the VM. It creates a new one if the VM is unknown or has another peer address than before.
 func (p *Pool) Get(v member.VM) *Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,14 +36,14 @@
 	return s
 }
 
-// Forget forgets what was seen of the VM, whose node has started anew.
+// Forget drops the state of the VM's server, because its node has restarted.
 func (p *Pool) Forget(vm string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.servers, vm)
 }
 
-// Retain drops the Servers of VMs that aren't listed.
+// Retain drops the Servers of all VMs for which listed returns false.
 func (p *Pool) Retain(listed func(vm string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// All returns the Servers by name.
+// All returns the Servers, sorted by VM name.
 func (p *Pool) All() []*Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,14 +73,15 @@
 	Leaving bool
 }
 
-// Grouper says whose servers are grouped, and for whom.
+// Grouper sorts the VMs of a service into Groups from the viewpoint of one node.
 type Grouper struct {
-	Self      string // name of the daemon's own VM
-	Zone      string // its availability zone
-	MaxSubset int    // most servers in a group; 0 means DefaultSubset
+	Self      string // name of the node's own VM
+	Zone      string // the node's availability zone
+	MaxSubset int    // most servers in a group; 0 means DefaultMaxSubset
 }
 
-// Groups sorts a service's VMs into the targets of its treatment. Without targets all VMs are one group.
+// Groups returns one Group for each target of the treatment, with the VMs of its service that match the target and aren't
+// leaving. Without targets all VMs are one group.
 func (c Grouper) Groups(pool *Pool, t *config.Treatment, vms []Candidate) []Group {
 	targets := t.Targets
 	if len(targets) == 0 {
@@ -88,23 +89,24 @@
 	}
 	groups := make([]Group, 0, len(targets))
 	for _, target := range targets {
-		var in []Candidate
+		var matching []Candidate
 		for _, v := range vms {
 			if v.VM.Service == t.Service && !v.Leaving && target.Selector.Matches(v.Labels) {
-				in = append(in, v)
+				matching = append(matching, v)
 			}
 		}
-		groups = append(groups, c.group(pool, target.Weight, c.Subset(in)))
+		groups = append(groups, c.group(pool, target.Weight, c.Subset(matching)))
 	}
 	return groups
 }
 
-func (c Grouper) group(pool *Pool, weight int, in []Candidate) Group {
+// group returns a Group of the VMs' servers; its weight is 0 if there are none.
+func (c Grouper) group(pool *Pool, weight int, matching []Candidate) Group {
 	g := Group{Weight: weight}
-	if len(in) == 0 {
+	if len(matching) == 0 {
 		g.Weight = 0
 	}
-	for _, v := range in {
+	for _, v := range matching {
 		s := pool.Get(v.VM)
 		if v.VM.Zone == c.Zone {
 			g.SameZone = append(g.SameZone, s)
@@ -115,14 +117,15 @@
 	return g
 }
 
-// Subset keeps a bounded number of VMs: the same ones as long as they are there, and some of every zone.
-func (c Grouper) Subset(in []Candidate) []Candidate {
-	most := cmp.Or(c.MaxSubset, DefaultMaxSubset)
-	if len(in) <= most {
-		return in
+// Subset returns at most MaxSubset of the VMs, taken from all zones in turn. It uses rendezvous hashing, so that the subset
+// changes little when VMs come and go.
+func (c Grouper) Subset(matching []Candidate) []Candidate {
+	maxSubset := cmp.Or(c.MaxSubset, DefaultMaxSubset)
+	if len(matching) <= maxSubset {
+		return matching
 	}
 	byZone := map[string][]Candidate{}
-	for _, v := range in {
+	for _, v := range matching {
 		byZone[v.VM.Zone] = append(byZone[v.VM.Zone], v)
 	}
 	zones := make([]string, 0, len(byZone))
@@ -130,14 +133,14 @@
 		slices.SortFunc(list, func(a, b Candidate) int { return cmp.Compare(c.score(a), c.score(b)) })
 		zones = append(zones, z)
 	}
-	// The own zone goes first, so that it gets the odd places.
+	// The own zone comes first, so that it gets one place more if the zones can't have equal numbers.
 	slices.SortFunc(zones, func(a, b string) int {
 		return cmp.Or(cmp.Compare(boolInt(b == c.Zone), boolInt(a == c.Zone)), cmp.Compare(a, b))
 	})
 	var out []Candidate
-	for k := 0; len(out) < most; k++ {
+	for k := 0; len(out) < maxSubset; k++ {
 		for _, z := range zones {
-			if k < len(byZone[z]) && len(out) < most {
+			if k < len(byZone[z]) && len(out) < maxSubset {
 				out = append(out, byZone[z][k])
 			}
 		}
@@ -145,8 +148,10 @@
 	return out
 }
 
+// score returns the rendezvous hash of the node's own VM and the candidate; the lowest scores are selected.
 func (c Grouper) score(v Candidate) uint64 { return xxhash.Sum64String(c.Self + "\x00" + v.VM.Name) }
 
+// boolInt returns 1 for true and 0 for false.
 func boolInt(b bool) int {
 	if b {
 		return 1
--- a/pkg/routing/server_state.go
+++ b/pkg/routing/server_state.go
@@ -9,156 +9,159 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The law of setting a server aside: the failures in a row that do it, and the first and longest time.
+// Outlier ejection: the consecutive failures after which a server is ejected, and the first and longest ejection time.
 const (
-	asideFailures = 3
-	asideFirst    = 250 * time.Millisecond
-	asideMax      = 10 * time.Second
+	ejectFailures = 3
+	firstEjection = 250 * time.Millisecond
+	maxEjection   = 10 * time.Second
 )
 
-// statStale is the age after which what a server said of its level and load is no longer believed.
-const statStale = time.Second
+// reportLifetime is the age at which a server's reported level and load are no longer used.
+const reportLifetime = time.Second
 
-// Server is what a daemon has seen of one backend server; it is safe for concurrent use.
+// Server is the state of one backend server as one node has observed it; it is safe for concurrent use.
 type Server struct {
 	VM   string
 	Zone string
-	Peer string
-
-	running atomic.Int64
-	calls   atomic.Int64 // that the server told of, less this daemon's own at that time
-	limit   atomic.Int64 // that the server told of; 0 if it never did
-	level   atomic.Uint32
-	seen    atomic.Int64 // Unix nanoseconds
-	leaving atomic.Bool
-
-	mu         sync.Mutex
-	failures   int
-	asideUntil time.Time
-	asideFor   time.Duration
-	trial      bool
-
-	tokens retryBucket
+	Peer string // address of the VM's node
+
+	running    atomic.Int64
+	otherCalls atomic.Int64  // last reported by the server, less this node's own calls at that time
+	limit      atomic.Int64  // last reported by the server; 0 if it never answered
+	level      atomic.Uint32 // last reported admission level
+	answeredAt atomic.Int64  // time of the last answer, in Unix nanoseconds
+	leaving    atomic.Bool
+
+	mu           sync.Mutex
+	failures     int
+	ejectedUntil time.Time
+	ejectionTime time.Duration
+	probing      bool
+
+	retries retryBucket
 }
 
-// Begin notes a call that is sent to the server.
+// Begin counts a call to the server as in flight.
 func (s *Server) Begin() { s.running.Add(1) }
 
-// End notes that a call to the server has ended.
+// End records that a call counted by Begin has ended.
 func (s *Server) End() { s.running.Add(-1) }
 
-// ObserveAnswer takes in what an answer showed of the server.
+// ObserveAnswer updates the server's reported state from an answer and ends an ejection.
 func (s *Server) ObserveAnswer(now time.Time, a wire.Answer) {
-	// The call that was answered has ended by now, and isn't among the server's any more.
-	s.calls.Store(int64(a.CallsAtServer) - max(s.running.Load()-1, 0))
+	// The server no longer counts the answered call, so it isn't subtracted.
+	s.otherCalls.Store(int64(a.CallsAtServer) - max(s.running.Load()-1, 0))
 	s.limit.Store(int64(a.Limit))
 	s.level.Store(uint32(a.OwnLevel))
-	s.seen.Store(now.UnixNano())
+	s.answeredAt.Store(now.UnixNano())
 	if a.Leaving {
 		s.leaving.Store(true)
 	}
-	if !s.troubled() {
+	if !s.hasFailures() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failures, s.asideFor, s.trial = 0, 0, false
-	s.asideUntil = time.Time{}
+	s.failures, s.ejectionTime, s.probing = 0, 0, false
+	s.ejectedUntil = time.Time{}
 }
 
-func (s *Server) troubled() bool {
+// hasFailures reports whether there are recent failures or an ejection to clear.
+func (s *Server) hasFailures() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failures > 0 || s.asideFor > 0
+	return s.failures > 0 || s.ejectionTime > 0
 }
 
-// ObserveFailure notes a call whose answer was lost; refused says that it certainly never arrived.
+// ObserveFailure records a call whose answer was lost; refused says that the call certainly never arrived. The server is
+// ejected if the call was refused, if it was the probe call, or after ejectFailures consecutive failures. The ejection time
+// doubles each time.
 func (s *Server) ObserveFailure(now time.Time, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures++
-	if s.failures < asideFailures && !refused && !s.trial {
+	if s.failures < ejectFailures && !refused && !s.probing {
 		return
 	}
-	s.trial = false
-	s.asideFor = min(max(2*s.asideFor, asideFirst), asideMax)
-	s.asideUntil = now.Add(s.asideFor)
+	s.probing = false
+	s.ejectionTime = min(max(2*s.ejectionTime, firstEjection), maxEjection)
+	s.ejectedUntil = now.Add(s.ejectionTime)
 }
 
-// AllowCall tells whether calls may be sent: not leaving and not set aside. After its time aside a
-// server gets a single call on trial; AllowCall itself hands out that one chance.
+// AllowCall reports whether a call may be sent to the server: it isn't leaving and not ejected. When the ejection time
+// is over, AllowCall returns true for a single probe call, and then false for another ejection time.
 func (s *Server) AllowCall(now time.Time) bool {
 	if s.leaving.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asideFor == 0 {
+	if s.ejectionTime == 0 {
 		return true
 	}
-	if now.Before(s.asideUntil) {
+	if now.Before(s.ejectedUntil) {
 		return false
 	}
-	// The chance lapses if no answer comes, so that a trial that was never sent doesn't block.
-	s.trial = true
-	s.asideUntil = now.Add(s.asideFor)
+	// Another probe is allowed after the ejection time, so that a probe that was never sent doesn't block the server forever.
+	s.probing = true
+	s.ejectedUntil = now.Add(s.ejectionTime)
 	return true
 }
 
-// SetLeaving notes what members say of the server.
+// SetLeaving sets whether the server is leaving, as the membership says.
 func (s *Server) SetLeaving(v bool) { s.leaving.Store(v) }
 
-// Level returns the server's own admission level, as last seen.
+// Level returns the server's own admission level as last reported, or 0 if the last answer is older than reportLifetime.
 func (s *Server) Level(now time.Time) priority.Priority {
-	if now.UnixNano()-s.seen.Load() > int64(statStale) {
+	if now.UnixNano()-s.answeredAt.Load() > int64(reportLifetime) {
 		return 0
 	}
 	return priority.Priority(s.level.Load())
 }
 
-// unknownLimit is assumed of a server that has not answered yet: it may just have started cold.
+// unknownLimit is the concurrency limit assumed for a server that hasn't answered yet, as it may be in its cold start.
 const unknownLimit = 1
 
-// busy orders servers: the share of its limit that a server uses, by what it told last and by the calls
-// that this daemon has sent and got back since.
-func (s *Server) busy(now time.Time) float64 {
+// load returns the fraction of its limit that a server uses, by its last report and the calls that this node has
+// begun and ended since; it can exceed 1. A report older than reportLifetime counts for the limit only.
+func (s *Server) load(now time.Time) float64 {
 	limit := s.limit.Load()
 	own := s.running.Load()
 	if limit == 0 {
 		return (float64(own) + 0.5) / unknownLimit
 	}
-	if now.UnixNano()-s.seen.Load() > int64(statStale) {
+	if now.UnixNano()-s.answeredAt.Load() > int64(reportLifetime) {
 		return float64(own) / float64(limit)
 	}
-	return float64(max(s.calls.Load()+own, own)) / float64(limit)
+	return float64(max(s.otherCalls.Load()+own, own)) / float64(limit)
 }
 
-// crowdedShare is the share of its limit above which a server counts as full.
-const crowdedShare = 0.9
+// fullFraction is the fraction of its limit above which a server counts as full.
+const fullFraction = 0.9
 
-// crowded tells whether the server is full, as far as is known.
-func (s *Server) crowded(now time.Time) bool {
-	return s.Level(now) > 0 || s.busy(now) > crowdedShare
+// full reports whether the server refuses some priorities or has hardly any free slots, by its last report.
+func (s *Server) full(now time.Time) bool {
+	return s.Level(now) > 0 || s.load(now) > fullFraction
 }
 
-// Snapshot is a Server's state for dumps.
+// Snapshot is a Server's state, for dumps and status reports.
 type Snapshot struct {
 	VM      string            `json:"vm"`
 	Zone    string            `json:"zone"`
 	Running int64             `json:"running"`
-	Load    float64           `json:"load"` // share of its limit in use
+	Load    float64           `json:"load"` // fraction of its limit in use
 	Level   priority.Priority `json:"level"`
 	Leaving bool              `json:"leaving"`
 	Ejected bool              `json:"aside"`
 }
 
-// Snapshot returns the server's state.
+// Snapshot returns the server's state at now.
 func (s *Server) Snapshot(now time.Time) Snapshot {
 	s.mu.Lock()
-	aside := s.asideFor > 0
+	ejected := s.ejectionTime > 0
 	s.mu.Unlock()
 	return Snapshot{
-		VM: s.VM, Zone: s.Zone, Running: s.running.Load(), Load: s.busy(now),
-		Level: s.Level(now), Leaving: s.leaving.Load(), Ejected: aside,
+		VM: s.VM, Zone: s.Zone, Running: s.running.Load(), Load: s.load(now),
+		Level: s.Level(now), Leaving: s.leaving.Load(), Ejected: ejected,
 	}
 }
