--- a/pkg/repeat/doc.go
+++ b/pkg/repeat/doc.go
@@ -1,8 +1,9 @@
-// Package repeat meets callers' repeats at the entry.
+// Package repeat limits clients' retries at the entry.
 //
-// A Guard knows the keys of recent requests. A repeat of a repeatable request
-// joins the one that runs, or takes a token from the ledger that all attempts
-// under the key share. Each customer's repeats are limited to a share of its
-// fresh requests. Entries send each other a Note of a request that failed after
-// it was sent on, so that a repeat through another entry draws from what is left.
+// A Guard remembers the keys of recent requests. A retry of a repeatable
+// request joins the attempt in progress, or takes a token from the ledger that
+// all attempts under the key share. Each customer's retries are limited to a
+// fraction of its first attempts. Entry nodes send each other a RetryNotice of
+// a request that failed after it was forwarded, so that a retry through another
+// entry is charged to the remaining tokens.
 package repeat
--- a/pkg/repeat/repeat_guard.go
+++ b/pkg/repeat/repeat_guard.go
@@ -9,155 +9,160 @@
 
 // Bounds of a Guard.
 const (
-	keepKey      = 30 * time.Second // after the last attempt ended
+	keyRetention = 30 * time.Second // how long a key is remembered after its last attempt ended
 	maxKeys      = 100_000
 	maxCustomers = 50_000
-	burst        = 20 // repeats that a customer may send at once after a quiet time
+	retryBurst   = 20 // retries that a customer may send at once after a time without any
 )
 
-// Attempt describes one request as it comes in.
+// Attempt describes one incoming request.
 type Attempt struct {
-	Key         string // empty if the caller sent none
+	Key         string // empty if the client sent none
 	Customer    string
 	OnceOnly    bool
-	RetryTokens int     // tokens of a fresh request
-	RetryShare  float64 // repeats per fresh request
+	RetryTokens int     // retry tokens of a first attempt
+	RetryShare  float64 // retries allowed per first attempt
 }
 
-// Decision says how an attempt goes on.
+// Decision says what to do with an attempt.
 type Decision uint8
 
-// The verdicts.
+// The decisions of Guard.Begin.
 const (
-	FirstAttempt   Decision = iota + 1 // first attempt that is sent on
-	Retry                              // a repeat that may be sent on, and is paid for
-	Join                               // wait for the one that runs
-	OverRetryShare                     // the customer repeats too much
-	BudgetSpent                        // the request's retry budget is spent
+	FirstAttempt   Decision = iota + 1 // a first attempt, which may be forwarded
+	Retry                              // a retry, which may be forwarded; its tokens are already taken
+	Join                               // wait for the attempt in progress
+	OverRetryShare                     // refused: the customer is over its share of retries
+	BudgetSpent                        // refused: the request's retry budget is spent
 )
 
-// Record is what a Guard holds of one key.
+// Record is a Guard's state of one key, or of one request without a key.
 type Record struct {
 	Ledger *ledger.Ledger
 
-	running int
-	sent    bool
-	ended   time.Time
-	flight  *InFlight
+	running   int
+	forwarded bool
+	ended     time.Time
+	inFlight  *InFlight
 }
 
-// InFlight is a running attempt that repeats may join.
+// InFlight is an attempt in progress that retries may join.
 type InFlight struct {
 	Done   chan struct{} // closed at the end
 	Result any           // set before Done is closed; nil if it can't be shared
 }
 
+// customer is the token bucket for one customer's retries.
 type customer struct {
-	level float64
-	seen  time.Time
+	retryTokens float64
+	lastSeen    time.Time
 }
 
-// Guard is one entry daemon's memory of callers' repeats; its zero value is ready and safe for concurrent use.
+// Guard tracks clients' retries at one entry node; its zero value is ready and safe for concurrent use.
 type Guard struct {
 	mu        sync.Mutex
 	keys      map[string]*Record
 	customers map[string]*customer
-	swept     time.Time
+	lastSweep time.Time
 }
 
-// Begin decides about an attempt. Fresh and Repeat must be followed by End; Join gives the flight to wait for.
+// Begin decides about an attempt. After FirstAttempt and Retry the caller must call End with the record; with Join it
+// gets the attempt to wait for.
 func (g *Guard) Begin(now time.Time, a Attempt) (Decision, *Record, *InFlight) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
 	c := g.customer(now, a.Customer)
 	if a.Key == "" {
-		c.level = min(c.level+a.RetryShare, burst)
+		c.retryTokens = min(c.retryTokens+a.RetryShare, retryBurst)
 		return FirstAttempt, &Record{Ledger: ledger.New(a.RetryTokens), running: 1}, nil
 	}
-	e, met := g.keys[a.Key]
-	if !met {
+	e, known := g.keys[a.Key]
+	if !known {
 		e = &Record{Ledger: ledger.New(a.RetryTokens)}
 		if len(g.keys) < maxKeys {
 			g.keys[a.Key] = e
 		}
-		c.level = min(c.level+a.RetryShare, burst)
+		c.retryTokens = min(c.retryTokens+a.RetryShare, retryBurst)
 		g.start(e)
 		return FirstAttempt, e, nil
 	}
-	if e.flight != nil && !a.OnceOnly {
-		return Join, e, e.flight
+	if e.inFlight != nil && !a.OnceOnly {
+		return Join, e, e.inFlight
 	}
-	if c.level < 1 {
+	if c.retryTokens < 1 {
 		return OverRetryShare, e, nil
 	}
-	// Once-only work is met by its home, which never runs it again; other work is paid for
-	// when an attempt was sent on before.
-	if !a.OnceOnly && e.sent && !e.Ledger.Spend() {
+	// Once-only requests take no token: their home node never runs them again. Other requests take one if an attempt was
+	// forwarded before.
+	if !a.OnceOnly && e.forwarded && !e.Ledger.Spend() {
 		return BudgetSpent, e, nil
 	}
-	c.level--
+	c.retryTokens--
 	g.start(e)
 	return Retry, e, nil
 }
 
+// start counts an attempt as in progress, and lets retries join it; g.mu is held.
 func (g *Guard) start(e *Record) {
 	e.running++
-	if e.flight == nil {
-		e.flight = &InFlight{Done: make(chan struct{})}
+	if e.inFlight == nil {
+		e.inFlight = &InFlight{Done: make(chan struct{})}
 	}
 }
 
-// TokensLeft tells whether the request was sent on, and how many tokens it has left.
-func (g *Guard) TokensLeft(e *Record) (left int, sent bool) {
+// TokensLeft returns the remaining retry tokens of the request, and whether it was forwarded.
+func (g *Guard) TokensLeft(e *Record) (left int, forwarded bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return e.Ledger.Balance(), e.sent
+	return e.Ledger.Balance(), e.forwarded
 }
 
-// MarkForwarded notes that the attempt has left the entry, so that a repeat of it counts as a retry.
+// MarkForwarded records that the attempt was forwarded, so that another attempt takes a retry token.
 func (g *Guard) MarkForwarded(e *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e.sent = true
+	e.forwarded = true
 }
 
-// RetryNotice tells another entry of a request whose caller is likely to repeat it.
+// RetryNotice tells another entry node about a request that its client is likely to retry there.
 type RetryNotice struct {
 	Key        string `json:"k"`
 	TokensLeft int    `json:"l"` // retry tokens left
 }
 
-// ApplyNotice takes a note of another entry: the request was sent on there, and no more tokens are left than it says.
+// ApplyNotice records a notice from another entry node: the request was forwarded there, and at most n.TokensLeft of its retry
+// tokens remain.
 func (g *Guard) ApplyNotice(now time.Time, n RetryNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.customer(now, "")
-	e, met := g.keys[n.Key]
-	if !met {
+	e, known := g.keys[n.Key]
+	if !known {
 		if len(g.keys) >= maxKeys {
 			return
 		}
 		e = &Record{Ledger: ledger.New(n.TokensLeft), ended: now}
 		g.keys[n.Key] = e
 	}
-	e.sent = true
+	e.forwarded = true
 	e.Ledger.Cap(n.TokensLeft)
 }
 
-// End notes that an attempt has ended, with a result that those who joined may share.
+// End records that an attempt has ended. When the last one under the key has ended, the retries that joined it get result.
 func (g *Guard) End(now time.Time, e *Record, result any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e.running--
 	e.ended = now
-	if e.flight != nil && e.running == 0 {
-		e.flight.Result = result
-		close(e.flight.Done)
-		e.flight = nil
+	if e.inFlight != nil && e.running == 0 {
+		e.inFlight.Result = result
+		close(e.inFlight.Done)
+		e.inFlight = nil
 	}
 }
 
+// customer returns the named customer's retry bucket, which it creates full if needed; g.mu is held.
 func (g *Guard) customer(now time.Time, name string) *customer {
 	if g.customers == nil {
 		g.customers = map[string]*customer{}
@@ -165,34 +170,34 @@
 	}
 	c, ok := g.customers[name]
 	if !ok {
-		c = &customer{level: burst}
+		c = &customer{retryTokens: retryBurst}
 		if len(g.customers) < maxCustomers {
 			g.customers[name] = c
 		}
 	}
-	c.seen = now
+	c.lastSeen = now
 	return c
 }
 
-// sweep forgets, once a second, what is past its time.
+// sweep removes expired keys and customers, at most once a second; g.mu is held.
 func (g *Guard) sweep(now time.Time) {
-	if now.Sub(g.swept) < time.Second {
+	if now.Sub(g.lastSweep) < time.Second {
 		return
 	}
-	g.swept = now
+	g.lastSweep = now
 	for k, e := range g.keys {
-		if e.running == 0 && now.Sub(e.ended) > keepKey {
+		if e.running == 0 && now.Sub(e.ended) > keyRetention {
 			delete(g.keys, k)
 		}
 	}
 	for name, c := range g.customers {
-		if now.Sub(c.seen) > 2*keepKey {
+		if now.Sub(c.lastSeen) > 2*keyRetention {
 			delete(g.customers, name)
 		}
 	}
 }
 
-// KeyCount returns how many keys are held.
+// KeyCount returns the number of remembered keys.
 func (g *Guard) KeyCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/repeat/repeat_guard_test.go
+++ b/pkg/repeat/repeat_guard_test.go
@@ -9,11 +9,12 @@
 
 var begin = time.Unix(1_000_000, 0)
 
+// attempt returns an attempt under the key, with 2 retry tokens and a retry share of 0.2.
 func attempt(key string) Attempt {
 	return Attempt{Key: key, Customer: "c", RetryTokens: 2, RetryShare: 0.2}
 }
 
-func TestRepeatsShareOneBudget(t *testing.T) {
+func TestRetriesOfAKeyShareOneBudget(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	v, e, _ := g.Begin(begin, attempt("k"))
@@ -29,7 +30,7 @@
 	c.Assert(v, qt.Equals, BudgetSpent)
 }
 
-func TestRepeatOfARequestThatNeverLeftIsFree(t *testing.T) {
+func TestRetryOfARequestThatWasNotForwardedTakesNoToken(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	_, e, _ := g.Begin(begin, attempt("k"))
@@ -38,7 +39,7 @@
 	c.Assert(e.Ledger.Balance(), qt.Equals, 2)
 }
 
-func TestRepeatJoinsTheRunningAttempt(t *testing.T) {
+func TestRetryJoinsTheAttemptInProgress(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	_, e, _ := g.Begin(begin, attempt("k"))
@@ -49,25 +50,25 @@
 	c.Assert(f.Result, qt.Equals, "answer")
 }
 
-func TestCustomerRepeatsAreAShareOfItsFreshRequests(t *testing.T) {
+func TestRetriesOfACustomerAreLimitedToAShareOfItsFirstAttempts(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
-	taken := 0
+	retried := 0
 	for i := range 100 {
 		key := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		_, e, _ := g.Begin(begin, attempt(key))
 		g.End(begin, e, nil)
 		if v, e, _ := g.Begin(begin, attempt(key)); v == Retry {
-			taken++
+			retried++
 			g.End(begin, e, nil)
 		}
 	}
-	c.Assert(taken >= burst && taken <= burst+20, qt.IsTrue, qt.Commentf("%d repeats of 100 requests", taken))
+	c.Assert(retried >= retryBurst && retried <= retryBurst+20, qt.IsTrue, qt.Commentf("%d retries of 100 requests", retried))
 }
 
-// TestNoteOfAnotherEntryCounts is the case in which a caller that went on through another zone's entry
-// got a second retry budget.
-func TestNoteOfAnotherEntryCounts(t *testing.T) {
+// TestNoticeOfAnotherEntryLimitsTheBudget: a client that retries through another zone's entry must not get a second retry
+// budget.
+func TestNoticeOfAnotherEntryLimitsTheBudget(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	g.ApplyNotice(begin, RetryNotice{Key: "k", TokensLeft: 1})
@@ -80,11 +81,11 @@
 	c.Assert(v, qt.Equals, BudgetSpent)
 }
 
-func TestOldKeysAreForgotten(t *testing.T) {
+func TestKeysExpire(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	_, e, _ := g.Begin(begin, attempt("k"))
 	g.End(begin, e, nil)
-	g.Begin(begin.Add(keepKey+2*time.Second), attempt("other"))
+	g.Begin(begin.Add(keyRetention+2*time.Second), attempt("other"))
 	c.Assert(g.KeyCount(), qt.Equals, 1)
 }
