--- a/pkg/level/doc.go
+++ b/pkg/level/doc.go
@@ -1,6 +1,7 @@
-// Package level keeps what a daemon has learned of admission levels below it.
+// Package level tracks the admission levels of the services that a node calls.
 //
-// Each answer carries the highest level met in its subtree. A View smooths
-// these per service, so that a caller's daemon, and in the end the entry,
-// refuses a request that a deeper hop would refuse. What isn't renewed fades.
+// Each answer carries the highest level in its subtree of the call graph. A
+// View smooths these levels per route, so that the caller's node, and finally
+// the entry, refuses a request that a deeper hop would refuse. A level that no
+// answer renews decays to zero.
 package level
--- a/pkg/level/level_view.go
+++ b/pkg/level/level_view.go
@@ -8,17 +8,17 @@
 	"github.com/rockspoke/rockspoke/pkg/priority"
 )
 
-// The law of a View: the weight of a new answer, the time after which an unrenewed level is stale, and the
-// time in which a stale level fades.
+// Parameters of a View: the weight of a new answer, the time after which a level without new answers is stale,
+// and the time in which a stale level decays to zero.
 const (
 	gain       = 0.5
 	staleAfter = 150 * time.Millisecond
-	fadeTime   = time.Second
-	// least is the level under which a fall goes on to zero.
-	least = priority.TierSpan / 256
+	decayTime  = time.Second
+	// minLevel is the level below which a falling level is set to zero.
+	minLevel = priority.TierSpan / 256
 )
 
-// Route names calls of one class to one service.
+// Route identifies the calls of one class to one service.
 type Route struct {
 	Service string
 	Class   string
@@ -29,18 +29,19 @@
 	services sync.Map // string to *service
 }
 
-// service holds the routes of one service. A class that is refused brings no answers, so its level is
-// judged by those of the other classes too, which go the same way at least in part.
+// service holds the routes of one service. A refused class gets no answers, so its level depends on those of the
+// other classes too, whose calls take the same path at least in part.
 type service struct {
 	classes sync.Map // string to *entry
 }
 
+// entry is the smoothed level of one route.
 type entry struct {
-	level atomic.Uint32
-	seen  atomic.Int64 // Unix nanoseconds of the last answer
+	level      atomic.Uint32
+	answeredAt atomic.Int64 // Unix nanoseconds of the last answer
 }
 
-// Observe takes in the level of one answer on the route.
+// Observe adds the level p of an answer on the route. It replaces a stale level and is averaged with a recent one.
 func (v *View) Observe(now time.Time, r Route, p priority.Priority) {
 	e := v.entry(r)
 	next := p
@@ -48,13 +49,14 @@
 		old := float64(e.level.Load())
 		next = priority.Priority(old + gain*(float64(p)-old))
 	}
-	if p == 0 && next < least {
+	if p == 0 && next < minLevel {
 		next = 0
 	}
 	e.level.Store(uint32(next))
-	e.seen.Store(now.UnixNano())
+	e.answeredAt.Store(now.UnixNano())
 }
 
+// entry returns the route's entry, which it creates if needed.
 func (v *View) entry(r Route) *entry {
 	s, ok := v.services.Load(r.Service)
 	if !ok {
@@ -67,8 +69,8 @@
 	return e.(*entry)
 }
 
-// Current returns the level below which the route's calls would be refused. A stale level fades, but not
-// below what fresh answers of other classes to the service show.
+// Current returns the priority below which the route's calls would be refused, 0 for an unknown route. A stale level
+// decays, but not below the highest level that recent answers of the service's other classes show.
 func (v *View) Current(now time.Time, r Route) priority.Priority {
 	x, ok := v.services.Load(r.Service)
 	if !ok {
@@ -82,19 +84,20 @@
 	return s.current(now, y.(*entry))
 }
 
+// current returns the level of one route of the service; see View.Current.
 func (s *service) current(now time.Time, e *entry) priority.Priority {
-	own := priority.Priority(e.level.Load())
+	last := priority.Priority(e.level.Load())
 	age := e.age(now)
-	if own == 0 || age <= staleAfter {
-		return own
+	if last == 0 || age <= staleAfter {
+		return last
 	}
-	left := max(0, 1-float64(age-staleAfter)/float64(fadeTime))
-	faded := priority.Priority(float64(own) * left)
-	return min(own, max(faded, s.fresh(now)))
+	remaining := max(0, 1-float64(age-staleAfter)/float64(decayTime))
+	decayed := priority.Priority(float64(last) * remaining)
+	return min(last, max(decayed, s.highestRecent(now)))
 }
 
-// fresh returns the highest level among the routes with recent answers.
-func (s *service) fresh(now time.Time) priority.Priority {
+// highestRecent returns the highest level among the service's routes with recent answers.
+func (s *service) highestRecent(now time.Time) priority.Priority {
 	high := priority.Priority(0)
 	s.classes.Range(func(_, y any) bool {
 		e := y.(*entry)
@@ -106,11 +109,12 @@
 	return high
 }
 
+// age returns the time since the last answer on the route.
 func (e *entry) age(now time.Time) time.Duration {
-	return time.Duration(now.UnixNano() - e.seen.Load())
+	return time.Duration(now.UnixNano() - e.answeredAt.Load())
 }
 
-// All returns the levels that aren't zero, by service and class.
+// All returns the levels above zero, by "service/class".
 func (v *View) All(now time.Time) map[string]priority.Priority {
 	all := map[string]priority.Priority{}
 	v.services.Range(func(name, x any) bool {
--- a/pkg/level/level_view_test.go
+++ b/pkg/level/level_view_test.go
@@ -15,19 +15,19 @@
 	docs  = Route{"s", "docs"}
 )
 
-func TestStaleLevelFadesByItself(t *testing.T) {
+func TestStaleLevelDecaysToZero(t *testing.T) {
 	c := qt.New(t)
 	var v View
 	v.Observe(begin, docs, priority.Floor(2))
 	c.Assert(v.Current(begin.Add(staleAfter), docs), qt.Equals, priority.Floor(2))
-	half := v.Current(begin.Add(staleAfter+fadeTime/2), docs)
+	half := v.Current(begin.Add(staleAfter+decayTime/2), docs)
 	c.Assert(half, qt.Equals, priority.Floor(1))
-	c.Assert(v.Current(begin.Add(staleAfter+fadeTime), docs), qt.Equals, priority.Priority(0))
+	c.Assert(v.Current(begin.Add(staleAfter+decayTime), docs), qt.Equals, priority.Priority(0))
 }
 
-// TestRefusedClassIsJudgedByOthers is the case in which a class that is refused, and so gets no answers,
-// would be let in again and again while others of the service are still refused.
-func TestRefusedClassIsJudgedByOthers(t *testing.T) {
+// TestRefusedClassFollowsTheLevelOfOtherClasses: a refused class gets no answers, so its level decays and its calls would
+// be admitted again and again while the service still refuses those of other classes.
+func TestRefusedClassFollowsTheLevelOfOtherClasses(t *testing.T) {
 	c := qt.New(t)
 	var v View
 	v.Observe(begin, docs, priority.Floor(2))
@@ -39,7 +39,7 @@
 	c.Assert(v.Current(later, docs) < priority.Floor(1), qt.IsTrue)
 }
 
-func TestOldLevelHasNoWeight(t *testing.T) {
+func TestStaleLevelIsReplacedByANewAnswer(t *testing.T) {
 	c := qt.New(t)
 	var v View
 	v.Observe(begin, reads, priority.Floor(3))
