--- a/pkg/priority/priority_test.go
+++ b/pkg/priority/priority_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRankIsFixedWithinAnEpochAndFairOverTime(t *testing.T) {
+func TestRankIsConstantWithinAnEpochAndFairOverTime(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1_000_000, 0)
 	c.Assert(New(2, "id", at), qt.Equals, New(2, "id", at.Add(EpochLength/2)))
@@ -24,19 +24,19 @@
 	c.Assert(low > 400 && high > 400, qt.IsTrue, qt.Commentf("%d low, %d high", low, high))
 }
 
-func TestRanksAreSpreadEvenly(t *testing.T) {
+func TestRanksAreUniform(t *testing.T) {
 	c := qt.New(t)
-	var tenth [10]int
+	var deciles [10]int
 	for i := range 10_000 {
 		p := New(0, fmt.Sprint(i), time.Unix(0, 0))
-		tenth[int(p)*10/TierSpan]++
+		deciles[int(p)*10/TierSpan]++
 	}
-	for _, n := range tenth {
-		c.Assert(n > 800 && n < 1200, qt.IsTrue, qt.Commentf("%v", tenth))
+	for _, n := range deciles {
+		c.Assert(n > 800 && n < 1200, qt.IsTrue, qt.Commentf("%v", deciles))
 	}
 }
 
-func TestFavorNeverLeavesTheTier(t *testing.T) {
+func TestAtDepthNeverLeavesTheTier(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Priority(rapid.Uint32Max(uint32(Max)).Draw(t, "p"))
 		f := p.AtDepth(rapid.IntRange(-1, 100).Draw(t, "depth"))
