--- a/pkg/httpconn/answer_body.go
+++ b/pkg/httpconn/answer_body.go
@@ -5,13 +5,13 @@
 	"io"
 )
 
-// body is an answer's body; its end gives the connection back.
+// body is an answer's body; when it has been read to the end, the connection goes back to the pool.
 type body struct {
 	io.ReadCloser
 	x *exchange
 }
 
-// Read reads the body; an error other than io.EOF is an *Error.
+// Read reads up to len(p) bytes of the body; an error other than io.EOF is an *Error.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	switch {
@@ -22,11 +22,11 @@
 		return n, io.EOF
 	default:
 		b.x.abandon()
-		return n, b.x.explain(err)
+		return n, b.x.wrapError(err)
 	}
 }
 
-// Close gives the exchange up if the body wasn't read to its end.
+// Close closes the connection if the body wasn't read to its end; it always returns nil.
 func (b *body) Close() error {
 	b.x.abandon()
 	return nil
--- a/pkg/httpconn/doc.go
+++ b/pkg/httpconn/doc.go
@@ -1,15 +1,17 @@
-// Package httpconn sends HTTP/1.1 requests on kept connections, each exactly once.
+// Package httpconn sends HTTP/1.1 requests on persistent connections, each exactly once.
 //
-// The client of net/http sends a request again on its own when a kept
-// connection turns out to be dead. Work that may run at most once can't have
-// that, so this package only carries: a Pool keeps connections, its Do
-// writes one request and reads one answer, and an Error says whether
-// any byte was written. Whether to try again is the caller's decision.
+// The client of net/http retries a request on its own when a persistent
+// connection turns out to be dead. That is wrong for requests that may run at
+// most once, so this package never retries: a Pool keeps connections open, its
+// Do writes one request and reads one answer, and an Error says whether the
+// request may have been sent. Whether to retry is the caller's decision.
 //
-// An idle connection on which bytes wait, or that the other side closed, isn't
-// handed out: such bytes are an answer that belongs to no request.
+// An idle connection that has unread bytes, or that the other side closed,
+// isn't reused: such bytes are an answer that belongs to no request.
 //
-// pool.go keeps the connections, quiet.go looks at idle ones, silence.go tells when they may have gone silent, exchange.go runs
-// one exchange, whose parts are in send_request.go, answer_body.go and
-// exchange_error.go. A request may ask for its headers to be packed (package headerpack).
+// pool.go manages the connections, idle_check.go checks idle ones before use,
+// unanswered_requests.go detects that they may be unresponsive, and exchange.go
+// runs one exchange, whose parts are in send_request.go, answer_body.go and
+// exchange_error.go. A request may ask for its headers to be packed (package
+// headerpack).
 package httpconn
--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -13,49 +13,50 @@
 	"github.com/rockspoke/rockspoke/pkg/headerpack"
 )
 
-// Request is one request to be sent. Body is sent whole before an answer is awaited; Stream, of StreamLen
-// bytes or chunked if that is below 0, is sent while the answer may already come.
+// Request is one request to send. Body is sent completely before the answer is read. Stream, which has StreamLength bytes
+// or is sent chunked if that is negative, is sent while the answer is read.
 type Request struct {
 	Method       string
-	URI          string // path and query, as they came
+	URI          string // path and query, as received
 	Host         string
 	Header       http.Header
-	PackHeader   bool // the header is sent packed, to a daemon that unpacks it and packs that of its answer
+	PackHeader   bool // the headers are sent packed, to a node that unpacks them and packs those of its answer
 	Body         []byte
 	Stream       io.Reader
 	StreamLength int64
-	// ReceivedSince has the request sent on a connection on which an answer came later than that, or a new one; zero: on any.
+	// ReceivedSince restricts the request to a connection that has received an answer since that time, or a new one; the zero
+	// time allows any.
 	ReceivedSince time.Time
-	// ExpectedResponseTime is the time in which its answer can be expected. Where nothing comes for that long, the connections that rest may have gone silent
-	// with its own: the next request goes on a new one, and they are closed. 0: nothing is made of it.
+	// ExpectedResponseTime is the time within which the answer is expected. If no answer arrives in it, the idle connections
+	// may be unresponsive too: they are closed, and the next request goes on a new one. 0 disables this.
 	ExpectedResponseTime time.Duration
 }
 
-// Response is an answer whose header was read. Its Body must be closed.
+// Response is an answer whose headers have been read. Its Body must be closed.
 type Response struct {
 	Status        int
 	Header        http.Header
-	ContentLength int64 // -1: not known
+	ContentLength int64 // -1 if unknown
 	Body          io.ReadCloser
 }
 
-// Do sends a request on a kept or new connection and reads the header of its answer. The connection goes
-// back when the body has been read to its end. When ctx ends the connection is closed. The error is an *Error.
+// Do sends a request on an idle or new connection and reads the headers of its answer. The connection goes back to the
+// pool when the body has been read to its end. When ctx ends, the connection is closed. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Response, error) {
-	c, err := p.get(ctx, latest(req.ReceivedSince, p.sending(req.ExpectedResponseTime)))
+	c, err := p.acquire(ctx, latest(req.ReceivedSince, p.recordSend(req.ExpectedResponseTime)))
 	if err != nil {
 		return nil, err
 	}
 	x := &exchange{conn: c, ctx: ctx}
 	x.stop = context.AfterFunc(ctx, func() {
-		_ = c.raw.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, which is what is wanted
+		_ = c.raw.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, which is the goal
 	})
 	res, err := x.run(req)
 	if err != nil {
 		x.abandon()
-		return nil, x.explain(err)
+		return nil, x.wrapError(err)
 	}
-	p.heard()
+	p.recordAnswer()
 	return res, nil
 }
 
@@ -67,10 +68,10 @@
 	kind   ErrorKind
 	reuse  bool
 	ended  bool
-	stream chan error // the end of sending a streamed body; nil if there is none
+	stream chan error // gets the result of sending a streamed body; nil if there is none
 }
 
-// run sends the request and reads the header of its answer.
+// run sends the request and reads the headers of its answer; on an error x.kind says how far the exchange came.
 func (x *exchange) run(req *Request) (*Response, error) {
 	x.kind = NoAnswer
 	if err := x.send(req); err != nil {
@@ -78,7 +79,7 @@
 	}
 	res, err := x.readHeader(req.Method)
 	if err != nil {
-		if !isTransport(err) {
+		if !isConnectionError(err) {
 			x.kind = BrokenAnswer
 		}
 		return nil, err
@@ -87,9 +88,9 @@
 		x.kind = BrokenAnswer
 		return nil, err
 	}
-	// An answer that comes before a streamed body is sent leaves the rest of that body on the connection.
+	// An answer that arrives before a streamed body is sent leaves the rest of that body on the connection.
 	x.reuse = x.stream == nil && !res.Close && res.ProtoAtLeast(1, 1)
-	x.conn.keep = keepAlive(res.Header)
+	x.conn.serverIdleTimeout = keepAliveTimeout(res.Header)
 	x.kind = BrokenAnswer
 	return &Response{
 		Status: res.StatusCode, Header: res.Header, ContentLength: res.ContentLength,
@@ -97,7 +98,7 @@
 	}, nil
 }
 
-// readHeader reads the header of the final answer; those of status 1xx go before it.
+// readHeader reads the headers of the final answer; it skips answers with status 1xx.
 func (x *exchange) readHeader(method string) (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(x.conn.br, &http.Request{Method: method})
@@ -107,7 +108,7 @@
 	}
 }
 
-// unpack adds the packed headers of an answer to the others.
+// unpack replaces the packed header of an answer by the headers in it.
 func (x *exchange) unpack(h http.Header) error {
 	text := h.Get(headerpack.HeaderName)
 	if text == "" {
@@ -122,14 +123,14 @@
 	return nil
 }
 
-// isTransport tells an ended or broken connection from bytes that aren't HTTP.
-func isTransport(err error) bool {
+// isConnectionError reports whether err is a closed or broken connection, rather than bytes that aren't HTTP.
+func isConnectionError(err error) bool {
 	var n interface{ Timeout() bool }
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &n)
 }
 
-// keepAlive returns the time in a Keep-Alive header, or 0.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the timeout of a Keep-Alive header, or 0 if there is none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	v := h.Get("Keep-Alive")
 	if v == "" {
 		return 0
@@ -143,15 +144,15 @@
 	return 0
 }
 
-// explain turns a fault into an *Error that tells whether ctx caused it.
-func (x *exchange) explain(err error) error {
+// wrapError returns err as an *Error: of kind Canceled if ctx has ended, otherwise of kind x.kind.
+func (x *exchange) wrapError(err error) error {
 	if x.ctx.Err() != nil {
 		return &Error{Kind: Canceled, Cause: x.ctx.Err()}
 	}
 	return &Error{Kind: x.kind, Cause: err}
 }
 
-// abandon closes the connection.
+// abandon closes the connection, unless the exchange has ended.
 func (x *exchange) abandon() {
 	if x.ended {
 		return
@@ -161,7 +162,7 @@
 	x.conn.Close()
 }
 
-// finish puts the connection back if it can carry another request.
+// finish puts the connection back into the pool if it can be reused, and otherwise closes it.
 func (x *exchange) finish() {
 	if x.ended {
 		return
@@ -171,5 +172,5 @@
 		return
 	}
 	x.ended = true
-	x.conn.pool.put(x.conn)
+	x.conn.pool.putIdle(x.conn)
 }
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -18,8 +18,9 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// script serves one connection after the other with what handle writes for each request.
-func script(t *testing.T, handle func(c net.Conn, n int, r *http.Request) bool) (*Pool, *atomic.Int64) {
+// startServer starts a server that calls handle for the n-th request of each connection, and closes the connection when handle returns
+// false. It returns a pool of connections to the server and the number of connections accepted so far.
+func startServer(t *testing.T, handle func(c net.Conn, n int, r *http.Request) bool) (*Pool, *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -56,6 +57,7 @@
 	return p, conns
 }
 
+// get sends a GET request and returns the answer's body.
 func get(p *Pool, ctx context.Context) (string, error) {
 	res, err := p.Do(ctx, &Request{Method: "GET", URI: "/x?y=1", Host: "h", Header: http.Header{"A": {"b"}}})
 	if err != nil {
@@ -66,6 +68,7 @@
 	return string(b), err
 }
 
+// write writes s to the connection and reports whether that succeeded.
 func write(c net.Conn, s string) bool {
 	_, err := io.WriteString(c, s)
 	return err == nil
@@ -73,6 +76,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
+// kindOf returns the kind of an *Error, or 0 if err isn't one.
 func kindOf(err error) ErrorKind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -81,9 +85,9 @@
 	return 0
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	c := qt.New(t)
-	p, conns := script(t, func(n net.Conn, _ int, r *http.Request) bool {
+	p, conns := startServer(t, func(n net.Conn, _ int, r *http.Request) bool {
 		return r.URL.RawQuery == "y=1" && r.Host == "h" && r.Header.Get("A") == "b" && write(n, okAnswer)
 	})
 	for range 5 {
@@ -95,10 +99,10 @@
 	c.Assert(p.OpenCount(), qt.Equals, 1)
 }
 
-// A second answer that comes late lies where the next one is due.
-func TestASurplusAnswerIsNeverRead(t *testing.T) {
+// A surplus answer that arrives late would be read as the answer to the next request on the connection.
+func TestSurplusAnswerIsNeverRead(t *testing.T) {
 	c := qt.New(t)
-	p, conns := script(t, func(n net.Conn, _ int, _ *http.Request) bool {
+	p, conns := startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
 		if !write(n, okAnswer) {
 			return false
 		}
@@ -114,9 +118,9 @@
 	c.Assert(conns.Load(), qt.Equals, int64(4))
 }
 
-func TestADeadIdleConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	c := qt.New(t)
-	p, _ := script(t, func(n net.Conn, _ int, _ *http.Request) bool {
+	p, _ := startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
 		write(n, okAnswer)
 		return false
 	})
@@ -127,11 +131,11 @@
 	}
 }
 
-// A request that was sent isn't sent again by the pool, whatever happens to it.
-func TestALostAnswerIsNotSentAgain(t *testing.T) {
+// The pool never sends a request twice, also when the connection closes without an answer.
+func TestRequestIsNotRetriedAfterALostAnswer(t *testing.T) {
 	c := qt.New(t)
 	seen := &atomic.Int64{}
-	p, _ := script(t, func(n net.Conn, k int, _ *http.Request) bool {
+	p, _ := startServer(t, func(n net.Conn, k int, _ *http.Request) bool {
 		seen.Add(1)
 		return k == 1 && write(n, okAnswer)
 	})
@@ -142,7 +146,7 @@
 	c.Assert(seen.Load(), qt.Equals, int64(2))
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestInvalidAnswersCloseTheConnection(t *testing.T) {
 	c := qt.New(t)
 	for name, bytes := range map[string]string{
 		"cut body":    "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf",
@@ -152,7 +156,7 @@
 		"cut header":  "HTTP/1.1 200 OK\r\nContent-Le",
 		"two lengths": "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
 	} {
-		p, _ := script(t, func(n net.Conn, _ int, _ *http.Request) bool {
+		p, _ := startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
 			write(n, bytes)
 			return false
 		})
@@ -163,9 +167,9 @@
 	}
 }
 
-func TestAnAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
 	c := qt.New(t)
-	p, _ := script(t, func(n net.Conn, _ int, _ *http.Request) bool {
+	p, _ := startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
 		write(n, "HTTP/1.1 200 OK\r\n\r\nto the end")
 		return false
 	})
@@ -173,7 +177,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, "to the end")
 
-	p, _ = script(t, func(n net.Conn, _ int, _ *http.Request) bool {
+	p, _ = startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
 		write(n, "HTTP/1.1 200 OK\r\n\r\nto the ")
 		time.Sleep(20 * time.Millisecond)
 		_ = n.(*net.TCPConn).SetLinger(0) // the close becomes a reset
@@ -185,20 +189,20 @@
 
 func TestCancelClosesTheConnection(t *testing.T) {
 	c := qt.New(t)
-	gone := make(chan struct{})
-	p, _ := script(t, func(n net.Conn, _ int, _ *http.Request) bool {
-		_, _ = n.Read(make([]byte, 1)) // returns when the other side closes
-		close(gone)
+	closed := make(chan struct{})
+	p, _ := startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
+		_, _ = n.Read(make([]byte, 1)) // returns when the other side closes the connection
+		close(closed)
 		return false
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	_, err := get(p, ctx)
 	c.Assert(kindOf(err), qt.Equals, Canceled)
-	<-gone
+	<-closed
 }
 
-func TestNothingIsSentWithoutAConnection(t *testing.T) {
+func TestFailedDialIsReportedAsNotConnected(t *testing.T) {
 	c := qt.New(t)
 	p := &Pool{Clock: clock.Real{}, Dial: func(context.Context) (net.Conn, error) { return nil, net.ErrClosed }}
 	_, err := get(p, context.Background())
@@ -206,8 +210,8 @@
 	c.Assert(p.OpenCount(), qt.Equals, 0)
 }
 
-// An answer may come before a streamed body is sent; that connection isn't used again.
-func TestAnEarlyAnswerToALongBody(t *testing.T) {
+// An answer may arrive before a streamed body is sent; the connection can't be reused then.
+func TestConnectionIsNotReusedAfterAnEarlyAnswer(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -241,21 +245,22 @@
 	c.Assert(p.OpenCount(), qt.Equals, 0)
 }
 
+// blockedReader blocks in Read until c is closed, and then returns io.EOF.
 type blockedReader struct{ c chan struct{} }
 
 func (r blockedReader) Read([]byte) (int, error) { <-r.c; return 0, io.EOF }
 
-func TestIdleTimeOfTheServerIsKept(t *testing.T) {
+func TestKeepAliveTimeoutOfTheServerIsRespected(t *testing.T) {
 	c := qt.New(t)
 	clk := clock.NewManual(time.Unix(0, 0))
-	p, conns := script(t, func(n net.Conn, _ int, _ *http.Request) bool {
+	p, conns := startServer(t, func(n net.Conn, _ int, _ *http.Request) bool {
 		return write(n, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2, max=9\r\nContent-Length: 0\r\n\r\n")
 	})
 	p.Clock = clk
-	for _, rest := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond, 0} {
+	for _, idle := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond, 0} {
 		_, err := get(p, context.Background())
 		c.Assert(err, qt.IsNil)
-		clk.Advance(rest)
+		clk.Advance(idle)
 	}
 	c.Assert(conns.Load(), qt.Equals, int64(2))
 	clk.Advance(time.Hour)
--- a/pkg/httpconn/quiet.go
+++ b/pkg/httpconn/idle_check.go
@@ -5,14 +5,14 @@
 	"syscall"
 )
 
-// quiet tells whether an idle connection is open and no byte waits on it.
-func quiet(c *conn) bool {
+// isReusable reports whether an idle connection is open and has no unread bytes.
+func isReusable(c *conn) bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.raw.(syscall.Conn)
 	if !ok {
-		return true // not a socket; the exchange itself will tell
+		return true // not a socket; the exchange itself will show
 	}
 	rc, err := sc.SyscallConn()
 	if err != nil {
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -11,29 +11,30 @@
 	"github.com/rockspoke/rockspoke/pkg/headerpack"
 )
 
-// bufferBytes is the size of a connection's read and write buffers: most headers and small bodies fit.
+// bufferBytes is the size of a connection's read and write buffers; most headers and small bodies fit.
 const bufferBytes = 4 << 10
 
-// DefaultIdleTimeout is how long a connection rests before it isn't used again. Servers close idle connections
-// after some seconds, and a request that crosses the close is lost.
+// DefaultIdleTimeout is how long a connection may be idle before it isn't reused. Servers close idle connections
+// after some seconds, and a request that is sent at the same moment is lost.
 const DefaultIdleTimeout = 4 * time.Second
 
-// Pool keeps connections to one address. The zero value of every field but Dial and Clock works.
+// Pool keeps connections to one address. Only Dial and Clock must be set. It is safe for concurrent use.
 type Pool struct {
 	Dial  func(ctx context.Context) (net.Conn, error)
 	Clock clock.Clock
-	// IdleTimeout is how long a connection may rest; 0 means DefaultIdle.
+	// IdleTimeout is how long a connection may be idle; 0 means DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// NeverIndexed lists the headers of packed requests whose values hardly come twice.
+	// NeverIndexed holds the headers of packed requests whose values hardly ever recur; see headerpack.Packer.
 	NeverIndexed map[string]bool
-	// MinUnansweredSends is how many requests in a row have to be without an answer for their patience to count; 0 means 1.
+	// MinUnansweredSends is how many requests in a row must be without an answer before the idle connections count as
+	// unresponsive; 0 means 1.
 	MinUnansweredSends int
 
-	mu      sync.Mutex
-	idle    []*conn // the last one was used last
-	open    int
-	closed  bool
-	silence silence
+	mu         sync.Mutex
+	idle       []*conn // the most recently used is last
+	open       int
+	closed     bool
+	unanswered unanswered
 }
 
 // conn is a connection that carries one request at a time.
@@ -46,18 +47,19 @@
 	packer   headerpack.Packer
 	unpacker headerpack.Unpacker
 
-	rested time.Time     // when it was put back
-	keep   time.Duration // how long the server said that it keeps an idle connection; 0: not said
+	idleSince         time.Time     // when it was put back into the pool
+	serverIdleTimeout time.Duration // how long the server keeps an idle connection, by its Keep-Alive header; 0 if unknown
 }
 
-// get returns a connection that was heard since a time, or a new one; the error is an *Error of kind NotConnected.
-func (p *Pool) get(ctx context.Context, since time.Time) (*conn, error) {
+// acquire returns a connection that has received an answer since the given time, or a new one; the error is an *Error of kind
+// NotConnected.
+func (p *Pool) acquire(ctx context.Context, since time.Time) (*conn, error) {
 	if c := p.takeIdle(since); c != nil {
 		return c, nil
 	}
 	raw, err := p.Dial(ctx)
 	if err != nil {
-		p.release()
+		p.decrementOpen()
 		return nil, &Error{Kind: NotConnected, Cause: err}
 	}
 	return &conn{
@@ -67,13 +69,14 @@
 	}, nil
 }
 
-// takeIdle returns a usable idle connection that was put back after a time, or nil when one is to be made, which it counts.
+// takeIdle returns a reusable connection that became idle at or after the given time. If there is none, it counts a new
+// connection as open and returns nil.
 func (p *Pool) takeIdle(since time.Time) *conn {
 	now := p.Clock.Now()
 	for {
 		p.mu.Lock()
 		n := len(p.idle)
-		if n == 0 || p.idle[n-1].rested.Before(since) {
+		if n == 0 || p.idle[n-1].idleSince.Before(since) {
 			p.open++
 			p.mu.Unlock()
 			return nil
@@ -81,27 +84,29 @@
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
-		if now.Sub(c.rested) < c.restLimit() && quiet(c) {
+		if now.Sub(c.idleSince) < c.maxIdleTime() && isReusable(c) {
 			return c
 		}
 		c.Close()
 	}
 }
 
-// restLimit is how long the connection may rest: half of what the server said, to leave time for the way.
-func (c *conn) restLimit() time.Duration {
+// maxIdleTime returns how long the connection may be idle: at most half of the server's Keep-Alive timeout, to leave time
+// for the transmission.
+func (c *conn) maxIdleTime() time.Duration {
 	limit := c.pool.IdleTimeout
 	if limit == 0 {
 		limit = DefaultIdleTimeout
 	}
-	if c.keep > 0 {
-		limit = min(limit, c.keep/2)
+	if c.serverIdleTimeout > 0 {
+		limit = min(limit, c.serverIdleTimeout/2)
 	}
 	return limit
 }
 
-func (p *Pool) put(c *conn) {
-	c.rested = p.Clock.Now()
+// putIdle makes a connection available for reuse, or closes it if the pool is closed.
+func (p *Pool) putIdle(c *conn) {
+	c.idleSince = p.Clock.Now()
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
@@ -112,78 +117,81 @@
 	p.mu.Unlock()
 }
 
-func (p *Pool) release() {
+// decrementOpen reduces the number of open connections by one.
+func (p *Pool) decrementOpen() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// OpenCount returns how many connections there are, in use and idle.
+// OpenCount returns the number of connections, in use and idle.
 func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// CloseExpired closes connections that have rested too long.
+// CloseExpired closes the connections that have been idle too long.
 func (p *Pool) CloseExpired() {
 	now := p.Clock.Now()
-	p.drop(func(c *conn) bool { return now.Sub(c.rested) >= c.restLimit() })
+	p.closeIdleIf(func(c *conn) bool { return now.Sub(c.idleSince) >= c.maxIdleTime() })
 }
 
-// CloseIdleBefore closes the idle connections on which nothing came since a time: they may have gone silent. With the zero time it does nothing.
+// CloseIdleBefore closes the connections that have been idle since before the given time, as they may be unresponsive. With the
+// zero time it does nothing.
 func (p *Pool) CloseIdleBefore(since time.Time) {
 	if since.IsZero() {
 		return
 	}
-	p.drop(func(c *conn) bool { return c.rested.Before(since) })
+	p.closeIdleIf(func(c *conn) bool { return c.idleSince.Before(since) })
 }
 
-// sending notes a request, and closes the connections that may have gone silent; it returns since when that of the request has to have been heard.
-func (p *Pool) sending(patience time.Duration) (since time.Time) {
-	if patience == 0 {
+// recordSend records a request with the given expected response time and closes the idle connections that may be unresponsive.
+// It returns the time since which the request's connection must have received an answer; zero means no restriction.
+func (p *Pool) recordSend(expected time.Duration) (since time.Time) {
+	if expected == 0 {
 		return time.Time{}
 	}
 	p.mu.Lock()
-	since = p.silence.sending(p.Clock.Now(), patience, max(p.MinUnansweredSends, 1))
+	since = p.unanswered.recordSend(p.Clock.Now(), expected, max(p.MinUnansweredSends, 1))
 	p.mu.Unlock()
 	p.CloseIdleBefore(since)
 	return since
 }
 
-// heard notes an answer.
-func (p *Pool) heard() {
+// recordAnswer records that an answer arrived.
+func (p *Pool) recordAnswer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silence = silence{}
+	p.unanswered = unanswered{}
 }
 
-// CloseIdle closes the idle connections, whose other sides may be gone.
+// CloseIdle closes all idle connections; callers use it when the other side may not exist any more.
 func (p *Pool) CloseIdle() {
-	p.drop(func(*conn) bool { return true })
+	p.closeIdleIf(func(*conn) bool { return true })
 }
 
-// drop closes some of the idle connections.
-func (p *Pool) drop(which func(c *conn) bool) {
+// closeIdleIf closes the idle connections for which shouldClose returns true.
+func (p *Pool) closeIdleIf(shouldClose func(c *conn) bool) {
 	p.mu.Lock()
-	kept := p.idle[:0]
-	var dropped []*conn
+	remaining := p.idle[:0]
+	var closing []*conn
 	for _, c := range p.idle {
-		if which(c) {
-			dropped = append(dropped, c)
+		if shouldClose(c) {
+			closing = append(closing, c)
 		} else {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		}
 	}
-	clear(p.idle[len(kept):])
-	p.idle = kept
+	clear(p.idle[len(remaining):])
+	p.idle = remaining
 	p.mu.Unlock()
-	for _, c := range dropped {
+	for _, c := range closing {
 		c.Close()
 	}
 }
 
-// Close closes the idle connections; those in use are closed when they come back.
+// Close closes the idle connections; those in use are closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -191,8 +199,8 @@
 	p.CloseIdle()
 }
 
-// Close closes the connection for good; the other side learns by it that an exchange was given up.
+// Close closes the connection, which also tells the other side that an exchange in progress was abandoned.
 func (c *conn) Close() {
-	_ = c.raw.Close() // it is given up either way
-	c.pool.release()
+	_ = c.raw.Close() // an error doesn't matter: the connection isn't used again
+	c.pool.decrementOpen()
 }
--- a/pkg/httpconn/send_request.go
+++ b/pkg/httpconn/send_request.go
@@ -11,7 +11,7 @@
 	"github.com/rockspoke/rockspoke/pkg/headerpack"
 )
 
-// send writes the request; a streamed body goes on being sent.
+// send writes the request, except that a streamed body is sent by a goroutine that it starts.
 func (x *exchange) send(req *Request) error {
 	w := x.conn.bw
 	writeRequestLine(w, req)
@@ -21,7 +21,7 @@
 	switch {
 	case req.Stream == nil:
 		if len(req.Body) > 0 || hasBody(req.Method) {
-			_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n") // Flush tells the error
+			_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n") // Flush returns the error
 		}
 		_, _ = w.WriteString("\r\n") // as above
 		_, _ = w.Write(req.Body)     // as above
@@ -39,30 +39,30 @@
 	return nil
 }
 
-// writeHeader writes the headers, packed if that is wanted.
+// writeHeader writes the headers, packed if the request asks for it.
 func (x *exchange) writeHeader(w *bufio.Writer, req *Request) error {
 	if !req.PackHeader {
 		return req.Header.Write(w)
 	}
 	for _, s := range [...]string{headerpack.HeaderName, ": ", x.conn.packer.Pack(req.Header), "\r\n"} {
-		_, _ = w.WriteString(s) // Flush tells the error
+		_, _ = w.WriteString(s) // Flush returns the error
 	}
 	return nil
 }
 
-// hasBody tells whether servers expect a length with the method, even that of an empty body.
+// hasBody reports whether servers expect a Content-Length with the method, even for an empty body.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// writeRequestLine writes the first line and the Host header.
+// writeRequestLine writes the request line and the Host header.
 func writeRequestLine(w io.StringWriter, req *Request) {
 	for _, s := range [...]string{req.Method, " ", req.URI, " HTTP/1.1\r\nHost: ", req.Host, "\r\n"} {
-		_, _ = w.WriteString(s) // a buffered writer keeps its error until Flush
+		_, _ = w.WriteString(s) // a bufio.Writer returns its first error on Flush
 	}
 }
 
-// sendStream sends a streamed body while the answer may already come.
+// sendStream sends a streamed body and puts the result into x.stream; the answer may arrive meanwhile.
 func (x *exchange) sendStream(req *Request) {
 	var err error
 	w := x.conn.bw
@@ -75,8 +75,8 @@
 		err = w.Flush()
 	}
 	if err != nil {
-		// The client's body broke off, or the server doesn't read on: an answer may still come, but a
-		// server that waits for the rest has to learn that there is none.
+		// The client's body ended early, or the server stopped reading. An answer may still arrive, but a server
+		// that waits for the rest must learn that there is none.
 		if tcp, ok := x.conn.raw.(interface{ CloseWrite() error }); ok {
 			_ = tcp.CloseWrite() // the connection isn't used again in any case
 		}
@@ -84,7 +84,7 @@
 	x.stream <- err
 }
 
-// copyChunks copies r to w in chunked coding.
+// copyChunks copies r to w in chunked transfer coding, including the last chunk.
 func copyChunks(w io.Writer, r io.Reader) error {
 	buf := make([]byte, bufferBytes)
 	for {
