--- a/pkg/wire/header.go
+++ b/pkg/wire/header.go
@@ -10,57 +10,57 @@
 	"github.com/rockspoke/rockspoke/pkg/priority"
 )
 
-// The headers that daemons and callers see.
+// The names of the headers that nodes, backend servers and clients exchange.
 const (
-	// HeaderCall carries Call between daemons; it is stripped from callers' requests.
+	// HeaderCall carries a Call between nodes; it is removed from clients' requests.
 	HeaderCall = "Rockspoke-Call"
-	// HeaderAnswer carries Answer between daemons; it is never passed to a caller.
+	// HeaderAnswer carries an Answer between nodes; it is never passed to a client.
 	HeaderAnswer = "Rockspoke-Answer"
-	// HeaderRequest names the inbound call to a backend server, which repeats it on its outbound calls.
+	// HeaderRequest identifies an inbound call to a backend server, which copies it to its outbound calls.
 	HeaderRequest = "Rockspoke-Request"
-	// HeaderOutcome tells a caller the Outcome.
+	// HeaderOutcome carries the Outcome to a client.
 	HeaderOutcome = "Rockspoke-Outcome"
-	// HeaderReason tells a caller the Reason of a refusal.
+	// HeaderReason carries the Reason of a refusal to a client.
 	HeaderReason = "Rockspoke-Reason"
 	// HeaderIdempotencyKey is the key under which a once-only request runs at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderTimeout is the caller's own time limit in milliseconds.
+	// HeaderTimeout is the client's timeout in milliseconds.
 	HeaderTimeout = "Rockspoke-Timeout-Ms"
-	// prefix marks every header that belongs to the daemons.
-	prefix = "Rockspoke-"
+	// reservedPrefix begins the name of every header that is reserved for nodes.
+	reservedPrefix = "Rockspoke-"
 )
 
-// maxHeader bounds a call or answer header in bytes.
-const maxHeader = 2048
+// maxHeaderBytes is the largest size of a call or answer header in bytes.
+const maxHeaderBytes = 2048
 
-// MaxKeyBytes bounds an idempotency key in bytes.
+// MaxKeyBytes is the largest size of an idempotency key in bytes.
 const MaxKeyBytes = 256
 
-// Call is what a daemon tells the next one about a call.
+// Call describes a call to the node that receives it.
 type Call struct {
-	RootID      string            `json:"r"`           // identity of the root request
-	Priority    priority.Priority `json:"p"`           // set once, at the entry
+	RootID      string            `json:"r"`           // ID of the root request
+	Priority    priority.Priority `json:"p"`           // set once, at the entry node
 	RemainingMS int64             `json:"d"`           // time left, in milliseconds
 	RetryTokens int               `json:"t"`           // retry tokens lent with the call
-	Service     string            `json:"s"`           // the service that is called
+	Service     string            `json:"s"`           // called service
 	Class       string            `json:"c,omitempty"` // request class at this hop
 	Key         string            `json:"k,omitempty"` // key of once-only work
 	Depth       int               `json:"n"`           // hops from the entry
-	Delegated   bool              `json:"g,omitempty"` // the key's home answers for this run
+	Delegated   bool              `json:"g,omitempty"` // the key's home node has delegated this run
 }
 
-// Answer is what a daemon tells the one that called it.
+// Answer describes the result of a call to the node that sent it, and the state of the backend server.
 type Answer struct {
 	Outcome        Outcome           `json:"o"`
 	Reason         Reason            `json:"w,omitempty"`
 	OwnLevel       priority.Priority `json:"m,omitempty"` // admission level of this backend server alone
-	LevelBelow     priority.Priority `json:"l,omitempty"` // highest level among the services that the call reached below it
-	ReturnedTokens int               `json:"t,omitempty"` // retry tokens that come back
+	LevelBelow     priority.Priority `json:"l,omitempty"` // highest admission level among the services in the call's subtree, without this one
+	ReturnedTokens int               `json:"t,omitempty"` // retry tokens returned to the caller
 	CallsAtServer  int               `json:"u,omitempty"` // calls running and queued at this backend server
-	Limit          int               `json:"n,omitempty"` // calls that it may run at once now
-	RetryAfterMS   int64             `json:"a,omitempty"` // when to come back, in milliseconds
+	Limit          int               `json:"n,omitempty"` // its present concurrency limit, in calls
+	RetryAfterMS   int64             `json:"a,omitempty"` // when to retry, in milliseconds
 	ConfigVersion  int64             `json:"v,omitempty"` // configuration version in force
-	Leaving        bool              `json:"x,omitempty"` // this backend server takes no new work
+	Leaving        bool              `json:"x,omitempty"` // this backend server admits no new calls
 	OnceOnly       bool              `json:"y,omitempty"` // once-only work was reached in the subtree
 }
 
@@ -70,24 +70,25 @@
 	Reason string
 }
 
-// Error names the header and what is wrong with it.
+// Error returns a message with the header's name and the fault.
 func (e *HeaderError) Error() string { return fmt.Sprintf("header %s: %s", e.Header, e.Reason) }
 
-// EncodeCall sets the call header.
+// EncodeCall sets the call header in h.
 func EncodeCall(h http.Header, c Call) { encode(h, HeaderCall, c) }
 
-// EncodeAnswer sets the answer header.
+// EncodeAnswer sets the answer header in h.
 func EncodeAnswer(h http.Header, a Answer) { encode(h, HeaderAnswer, a) }
 
+// encode sets the named header in h to v as JSON.
 func encode(h http.Header, name string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("wire: " + err.Error()) // plain structs of plain fields always marshal
+		panic("wire: " + err.Error()) // Call and Answer have only fields that always marshal
 	}
 	h.Set(name, string(b))
 }
 
-// DecodeCall reads and checks the call header; the error is a *HeaderError.
+// DecodeCall parses and validates the call header in h; the error is a *HeaderError.
 func DecodeCall(h http.Header) (Call, error) {
 	var c Call
 	if err := decode(h, HeaderCall, &c); err != nil {
@@ -106,7 +107,7 @@
 	return c, nil
 }
 
-// DecodeAnswer reads and checks the answer header; the error is a *HeaderError.
+// DecodeAnswer parses and validates the answer header in h; the error is a *HeaderError.
 func DecodeAnswer(h http.Header) (Answer, error) {
 	var a Answer
 	if err := decode(h, HeaderAnswer, &a); err != nil {
@@ -123,12 +124,13 @@
 	return a, nil
 }
 
+// decode parses the named JSON header in h into v; the error is a *HeaderError.
 func decode(h http.Header, name string, v any) error {
 	s := h.Get(name)
 	if s == "" {
 		return &HeaderError{name, "missing"}
 	}
-	if len(s) > maxHeader {
+	if len(s) > maxHeaderBytes {
 		return &HeaderError{name, "too long"}
 	}
 	if err := json.Unmarshal([]byte(s), v); err != nil {
@@ -137,46 +139,46 @@
 	return nil
 }
 
-// hopHeaders belong to one connection and are never passed on.
-var hopHeaders = []string{
+// hopByHopHeaders lists the hop-by-hop headers, which apply to one connection and are never forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// StripHopByHop removes the headers that belong to one connection.
+// StripHopByHop removes the hop-by-hop headers: those that HTTP defines, and those named in Connection headers.
 func StripHopByHop(h http.Header) {
 	for _, name := range h.Values("Connection") {
 		for _, f := range strings.Split(name, ",") {
 			h.Del(strings.TrimSpace(f))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// StripInternal removes every header that only daemons may set.
+// StripInternal removes every header that is reserved for nodes.
 func StripInternal(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, prefix) {
+		if strings.HasPrefix(name, reservedPrefix) {
 			delete(h, name)
 		}
 	}
 }
 
-// Remaining returns the time left on the call.
+// Remaining returns the time left for the call.
 func (c Call) Remaining() time.Duration { return time.Duration(c.RemainingMS) * time.Millisecond }
 
-// StripInternalExcept removes every header that only daemons may set, but for the ones named.
+// StripInternalExcept removes every header that is reserved for nodes, except those named in keep.
 func StripInternalExcept(h http.Header, keep ...string) {
-	kept := http.Header{}
+	retained := http.Header{}
 	for _, name := range keep {
 		if v, ok := h[name]; ok {
-			kept[name] = v
+			retained[name] = v
 		}
 	}
 	StripInternal(h)
-	for name, v := range kept {
+	for name, v := range retained {
 		h[name] = v
 	}
 }
--- a/pkg/wire/header_test.go
+++ b/pkg/wire/header_test.go
@@ -10,7 +10,7 @@
 	"github.com/rockspoke/rockspoke/pkg/priority"
 )
 
-func TestCallSurvivesTheWire(t *testing.T) {
+func TestDecodeCallReturnsTheEncodedCall(t *testing.T) {
 	c := qt.New(t)
 	h := http.Header{}
 	in := Call{RootID: "r", Service: "s", Priority: priority.Max, RemainingMS: 5, RetryTokens: 2, Key: "k", Depth: 3, Delegated: true}
@@ -20,11 +20,11 @@
 	c.Assert(out, qt.Equals, in)
 }
 
-func TestBadHeadersAreRefused(t *testing.T) {
+func TestInvalidHeadersAreRefused(t *testing.T) {
 	c := qt.New(t)
 	for _, text := range []string{
 		"", "{", `{"r":"x"}`, `{"r":"x","s":"y","t":-1}`, `{"r":"x","s":"y","d":-1}`, `{"r":"x","s":"y","p":4294967295}`,
-		`{"r":"x","s":"y","k":"` + strings.Repeat("k", MaxKeyBytes+1) + `"}`, strings.Repeat(" ", maxHeader+1),
+		`{"r":"x","s":"y","k":"` + strings.Repeat("k", MaxKeyBytes+1) + `"}`, strings.Repeat(" ", maxHeaderBytes+1),
 	} {
 		_, err := DecodeCall(http.Header{HeaderCall: {text}})
 		c.Assert(err, qt.ErrorAs, new(*HeaderError), qt.Commentf("%.40q", text))
@@ -33,7 +33,7 @@
 	c.Assert(err, qt.ErrorAs, new(*HeaderError))
 }
 
-func TestForgedHeadersAreStripped(t *testing.T) {
+func TestInternalAndHopByHopHeadersAreStripped(t *testing.T) {
 	c := qt.New(t)
 	h := http.Header{
 		HeaderCall: {"forged"}, HeaderAnswer: {"forged"}, HeaderOutcome: {"ran"}, HeaderTimeout: {"5"},
--- a/pkg/wire/outcome.go
+++ b/pkg/wire/outcome.go
@@ -1,11 +1,11 @@
 package wire
 
-// Outcome tells a caller what became of its request.
+// Outcome says whether a backend server ran the request.
 type Outcome string
 
-// The three outcomes; a daemon that is in doubt says Unknown.
+// The three outcomes; a node that can't decide answers Unknown.
 const (
-	// Ran means that a backend server gave this answer.
+	// Ran means that a backend server ran the request and gave this answer.
 	Ran Outcome = "ran"
 	// NotRun means that no backend server ran the request, and none will.
 	NotRun Outcome = "not-run"
@@ -16,34 +16,34 @@
 // Reason says why a request was refused or lost.
 type Reason string
 
-// The reasons that daemons give.
+// The reasons in nodes' answers.
 const (
 	ReasonNone          Reason = ""
 	ReasonBelowLevel    Reason = "level"          // below the admission level
-	ReasonQueue         Reason = "queue"          // waited too long, or evicted by a higher priority
+	ReasonQueue         Reason = "queue"          // waited too long in the queue, or evicted by a higher priority
 	ReasonDeadline      Reason = "deadline"       // too little time left
 	ReasonLeaving       Reason = "leaving"        // the backend server is leaving
 	ReasonNoServer      Reason = "no-server"      // no backend server matches the policy
-	ReasonServerRefused Reason = "server-refused" // the backend server itself refused
-	ReasonNotOwner      Reason = "not-owner"      // this node isn't the home of the key
+	ReasonServerRefused Reason = "server-refused" // the backend server itself refused the request
+	ReasonNotOwner      Reason = "not-owner"      // this node isn't the home node of the key
 	ReasonHistoryLost   Reason = "quiet-window"   // the key's history was lost, and it may have run
-	ReasonKeyClosed     Reason = "closed"         // refused before, and still within an attempt's time
-	ReasonKeyMemoryFull Reason = "memory"         // no room to remember another key
-	ReasonAnswerLost    Reason = "lost"           // the answer was lost on the way
+	ReasonKeyClosed     Reason = "closed"         // the key was refused before, and an earlier attempt may still be in flight
+	ReasonKeyMemoryFull Reason = "memory"         // the memory of keys is full
+	ReasonAnswerLost    Reason = "lost"           // the answer was lost in transit
 	ReasonRetryBudget   Reason = "retries"        // the retry budget is spent
-	ReasonInProgress    Reason = "running"        // an earlier attempt hasn't ended
-	ReasonKeyMismatch   Reason = "key-mismatch"   // the key came with another request before
-	ReasonBadRequest    Reason = "bad-request"    // the request can't be taken
-	ReasonQuarantined   Reason = "held-back"      // servers ended under the same request
-	ReasonSuspect       Reason = "suspect"        // a server ended under the same request, which is tried by itself
+	ReasonInProgress    Reason = "running"        // an earlier attempt is still in progress
+	ReasonKeyMismatch   Reason = "key-mismatch"   // the key was used with another request before
+	ReasonBadRequest    Reason = "bad-request"    // the request is invalid
+	ReasonQuarantined   Reason = "held-back"      // quarantined: the same request has crashed several servers
+	ReasonSuspect       Reason = "suspect"        // a server crashed while running the same request, which is being tested in isolation
 	ReasonNoRoute       Reason = "no-route"       // no route matches the request
-	ReasonNoTeamKey     Reason = "no-key"         // the request has no key of a team
-	ReasonStaleState    Reason = "old-state"      // the desired state may be too old to let a key pass
+	ReasonNoTeamKey     Reason = "no-key"         // the request carries no key of a team
+	ReasonStaleState    Reason = "old-state"      // the desired state may be too old to accept a key
 	ReasonQuota         Reason = "quota"          // the team is over its quota
-	ReasonNoOwner       Reason = "no-owner"       // nobody who knows the team's quota can be reached
+	ReasonNoOwner       Reason = "no-owner"       // no node that knows the team's quota can be reached
 )
 
-// OtherServerMayAccept tells whether the refusal speaks of one backend server only, so that another may be tried.
+// OtherServerMayAccept reports whether the refusal concerns a single backend server, so that another may be tried.
 func (r Reason) OtherServerMayAccept() bool {
 	switch r {
 	case ReasonLeaving, ReasonQueue, ReasonServerRefused, ReasonBelowLevel, ReasonNotOwner:
