--- a/pkg/headerpack/doc.go
+++ b/pkg/headerpack/doc.go
@@ -1,9 +1,10 @@
-// Package headerpack writes the headers of requests and answers short, for connections whose bytes are paid for.
+// Package headerpack compresses the headers of requests and answers, for connections whose traffic is billed by the byte.
 //
-// A connection between two daemons carries thousands of requests whose headers hardly differ. A Packer writes a header
-// as HPACK does in HTTP/2: what the connection has carried before is one byte, the rest is Huffman coded. Both sides
-// keep the same table, so what is packed has to be unpacked in the same order, each exactly once, and after an error the
-// connection is of no use any more. The result is text, in base64, so that it fits into one header of HTTP/1.1.
+// A connection between two nodes carries thousands of requests whose headers hardly differ. A Packer encodes a header
+// block with HPACK, as HTTP/2 does: a field that the connection has carried before takes one byte, other fields are Huffman
+// coded. Both sides keep the same dynamic table, so header blocks must be unpacked in the order of packing, each exactly
+// once, and after an error the connection can't be used any more. The result is base64 text, so that it fits into one
+// HTTP/1.1 header.
 //
 // packer.go writes, unpacker.go reads.
 package headerpack
--- a/pkg/headerpack/headerpack_test.go
+++ b/pkg/headerpack/headerpack_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestWhatIsPackedComesBack(t *testing.T) {
+func TestUnpackReturnsThePackedHeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, u := Packer{NeverIndexed: map[string]bool{"A": true}}, Unpacker{}
 		name := rapid.SampledFrom([]string{"A", "B", "Content-Type", "X-Long-Name", "User-Agent"})
@@ -28,23 +28,24 @@
 	})
 }
 
-func usual(i int) http.Header {
+// typicalHeader returns typical request headers, of which only the ID depends on i.
+func typicalHeader(i int) http.Header {
 	return http.Header{
 		"Accept": {"*/*"}, "Accept-Encoding": {"identity"}, "User-Agent": {"sdk-client/1.9.3"},
 		"Rockspoke-Id": {fmt.Sprintf("%016x.%016x", i*7919, i*104729)}, "Rs-C": {"yeno26d,r-dxhbb7k,zilo76c,1,1,6"},
 	}
 }
 
-func TestWhatTheConnectionHasCarriedIsShort(t *testing.T) {
+func TestRecurringHeadersArePackedShort(t *testing.T) {
 	c := qt.New(t)
 	p := Packer{NeverIndexed: map[string]bool{"Rockspoke-Id": true}}
-	first := len(p.Pack(usual(1)))
+	first := len(p.Pack(typicalHeader(1)))
 	for i := 2; i < 100; i++ {
-		c.Assert(len(p.Pack(usual(i))) < min(first/2, 60), qt.IsTrue, qt.Commentf("%d of %d", len(p.Pack(usual(i))), first))
+		c.Assert(len(p.Pack(typicalHeader(i))) < min(first/2, 60), qt.IsTrue, qt.Commentf("%d of %d", len(p.Pack(typicalHeader(i))), first))
 	}
 }
 
-func TestWhatIsTooLongIsRefused(t *testing.T) {
+func TestUnpackRefusesOversizedHeaders(t *testing.T) {
 	c := qt.New(t)
 	var p Packer
 	var u Unpacker
@@ -55,7 +56,7 @@
 
 func FuzzUnpack(f *testing.F) {
 	var p Packer
-	f.Add(p.Pack(usual(1)))
+	f.Add(p.Pack(typicalHeader(1)))
 	f.Add("not base64!")
 	f.Fuzz(func(t *testing.T, text string) {
 		var u Unpacker
@@ -71,7 +72,7 @@
 	p, u := Packer{NeverIndexed: map[string]bool{"Rockspoke-Id": true}}, Unpacker{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, err := u.Unpack(p.Pack(usual(i))); err != nil {
+		if _, err := u.Unpack(p.Pack(typicalHeader(i))); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/pkg/headerpack/packer.go
+++ b/pkg/headerpack/packer.go
@@ -8,21 +8,21 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// HeaderName is the header of HTTP/1.1 that carries the packed ones.
+// HeaderName is the name of the HTTP/1.1 header that carries the packed headers.
 const HeaderName = "Rs-H"
 
-// coding is the text form of packed headers.
+// coding is the text encoding of packed headers.
 var coding = base64.RawURLEncoding
 
-// Packer packs the headers that one side of a connection sends; its zero value works, for one goroutine at a time.
+// Packer packs the headers that one side of a connection sends. Its zero value is ready; it isn't safe for concurrent use.
 type Packer struct {
 	buf bytes.Buffer
 	enc *hpack.Encoder
-	// NeverIndexed lists the names whose values hardly come twice: the other side doesn't remember them.
+	// NeverIndexed holds the names of headers whose values hardly ever recur; they don't enter the dynamic table.
 	NeverIndexed map[string]bool
 }
 
-// Pack returns the header as text.
+// Pack returns the header block as base64 text.
 func (p *Packer) Pack(h http.Header) string {
 	if p.enc == nil {
 		p.enc = hpack.NewEncoder(&p.buf)
@@ -30,7 +30,7 @@
 	p.buf.Reset()
 	for name, values := range h {
 		for _, v := range values {
-			// A bytes.Buffer never fails to be written to.
+			// Writing to a bytes.Buffer never fails.
 			_ = p.enc.WriteField(hpack.HeaderField{Name: name, Value: v, Sensitive: p.NeverIndexed[name]})
 		}
 	}
--- a/pkg/headerpack/unpacker.go
+++ b/pkg/headerpack/unpacker.go
@@ -7,37 +7,38 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// The bounds of what is unpacked.
+// Limits of unpacking.
 const (
-	// tableBytes is the size of the table of a connection, the one that HTTP/2 begins with.
+	// tableBytes is the size of a connection's dynamic table: the initial size in HTTP/2.
 	tableBytes = 4 << 10
-	// MaxBytes bounds one unpacked header: as much as a daemon takes from a client.
+	// MaxBytes is the largest size of one unpacked header block, the same as a node accepts from a client.
 	MaxBytes = 64 << 10
 )
 
 // Error reports a header that can't be unpacked.
 type Error struct {
-	Bytes int // of the packed text
+	Bytes int // size of the packed text
 	Cause error
 }
 
-// Error names the size and the cause.
+// Error returns a message with the size of the packed text and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("packed header of %d bytes: %v", e.Bytes, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// sizeError reports an unpacked header that is too long.
-type sizeError struct{ most int }
+// sizeError reports an unpacked header block that is larger than limit bytes.
+type sizeError struct{ limit int }
 
-func (e sizeError) Error() string { return fmt.Sprintf("over %d bytes", e.most) }
+// Error returns a message with the largest allowed size.
+func (e sizeError) Error() string { return fmt.Sprintf("over %d bytes", e.limit) }
 
-// Unpacker unpacks the headers that one side of a connection gets; its zero value works, for one goroutine at a time.
+// Unpacker unpacks the headers that one side of a connection receives. Its zero value is ready; it isn't safe for concurrent use.
 type Unpacker struct {
 	dec *hpack.Decoder
 }
 
-// Unpack returns the header that was packed, or an *Error.
+// Unpack returns the header block that was packed into text; the error is an *Error.
 func (u *Unpacker) Unpack(text string) (http.Header, error) {
 	if u.dec == nil {
 		u.dec = hpack.NewDecoder(tableBytes, nil)
