--- a/pkg/clientconns/connections.go
+++ b/pkg/clientconns/connections.go
@@ -9,18 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections are the open connections of clients. Its zero value has none and no bound.
+// Connections tracks the open connections of clients. Its zero value has none and no limit; it is safe for concurrent use.
 type Connections struct {
-	// OnEvicted is told how many were closed to make room, if set; it must not be changed once connections come.
+	// OnEvicted, if set, is called with the number of connections that are closed because of the limit. It runs
+	// under the lock, so it must not call methods of Connections. It must not be changed after the first TrackState.
 	OnEvicted func(n int)
 
-	mu      sync.Mutex
-	most    int                        // 0: no bound
-	open    map[net.Conn]*list.Element // in resting, or nil while it carries a request
-	resting list.List                  // of net.Conn, the longest first
+	mu    sync.Mutex
+	limit int                        // 0 means no limit
+	open  map[net.Conn]*list.Element // its element in idle, or nil while it isn't idle
+	idle  list.List                  // of net.Conn, the longest idle first
 }
 
-// MaxDescriptors returns how many descriptors the process may have open, 0 if that isn't known.
+// MaxDescriptors returns the number of file descriptors that the process may have open, or 0 if it isn't known.
 func MaxDescriptors() int {
 	var l unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil || l.Cur > 1<<31 {
@@ -29,54 +30,54 @@
 	return int(l.Cur)
 }
 
-// SetLimit bounds how many may be open; 0: no bound.
+// SetLimit sets the maximum of open connections; 0 means no limit. It closes no connections; the next TrackState does.
 func (c *Connections) SetLimit(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = n
+	c.limit = n
 }
 
-// OpenCount returns how many are open.
+// OpenCount returns the number of open connections.
 func (c *Connections) OpenCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// TrackState takes how a connection stands, as http.Server.ConnState tells it.
+// TrackState records a connection's new state and closes idle connections above the limit; it is an http.Server.ConnState hook.
 func (c *Connections) TrackState(conn net.Conn, s http.ConnState) {
-	for _, old := range c.note(conn, s) {
-		_ = old.Close() // it carries nothing
+	for _, old := range c.record(conn, s) {
+		_ = old.Close() // an error doesn't matter: it carries no request
 	}
 }
 
-// note notes it, and returns the connections that have to go.
-func (c *Connections) note(conn net.Conn, s http.ConnState) []net.Conn {
+// record stores a connection's new state and returns the connections to close.
+func (c *Connections) record(conn net.Conn, s http.ConnState) []net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open == nil {
 		c.open = make(map[net.Conn]*list.Element)
 	}
 	if e := c.open[conn]; e != nil {
-		c.resting.Remove(e)
+		c.idle.Remove(e)
 	}
 	switch s {
 	case http.StateClosed, http.StateHijacked:
 		delete(c.open, conn)
 		return nil
 	case http.StateIdle:
-		c.open[conn] = c.resting.PushBack(conn)
+		c.open[conn] = c.idle.PushBack(conn)
 	default:
 		c.open[conn] = nil
 	}
-	return c.beyond()
+	return c.removeExcess()
 }
 
-// beyond takes out those that rested longest while there are too many; c.mu is held.
-func (c *Connections) beyond() []net.Conn {
+// removeExcess removes the longest idle connections above the limit and returns them; c.mu is held.
+func (c *Connections) removeExcess() []net.Conn {
 	var out []net.Conn
-	for c.most > 0 && len(c.open) > c.most && c.resting.Len() > 0 {
-		conn := c.resting.Remove(c.resting.Front()).(net.Conn)
+	for c.limit > 0 && len(c.open) > c.limit && c.idle.Len() > 0 {
+		conn := c.idle.Remove(c.idle.Front()).(net.Conn)
 		delete(c.open, conn)
 		out = append(out, conn)
 	}
--- a/pkg/clientconns/connections_test.go
+++ b/pkg/clientconns/connections_test.go
@@ -8,30 +8,30 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// restingConn is a connection that tells whether it was closed.
-type restingConn struct {
+// recordingConn is a simulated connection that records whether it was closed.
+type recordingConn struct {
 	net.Conn
 	closed bool
 }
 
-func (c *restingConn) Close() error { c.closed = true; return nil }
+func (c *recordingConn) Close() error { c.closed = true; return nil }
 
-// Above the bound connections that carry nothing are closed, those that rested longest first; one that carries a request never is.
-func TestConnectionsThatRestMakeRoomForNewOnes(t *testing.T) {
+// Above the limit idle connections are closed, the longest idle first; a connection with a request in progress never is.
+func TestLongestIdleConnectionsAreClosedAboveTheLimit(t *testing.T) {
 	c := qt.New(t)
 	closed := 0
 	x := Connections{OnEvicted: func(n int) { closed += n }}
 	x.SetLimit(3)
-	var conns []*restingConn
+	var conns []*recordingConn
 	for range 5 {
-		conns = append(conns, &restingConn{})
+		conns = append(conns, &recordingConn{})
 	}
 	for i, s := range []http.ConnState{http.StateIdle, http.StateActive, http.StateIdle} {
 		x.TrackState(conns[i], http.StateNew)
 		x.TrackState(conns[i], s)
 	}
 	x.TrackState(conns[0], http.StateActive)
-	x.TrackState(conns[0], http.StateIdle) // it rests anew: the third one has rested longest
+	x.TrackState(conns[0], http.StateIdle) // idle again, so that the third one has been idle longest
 	x.TrackState(conns[3], http.StateNew)
 	c.Assert(conns[2].closed, qt.IsTrue)
 	c.Assert(conns[0].closed, qt.IsFalse)
@@ -42,6 +42,6 @@
 	x.TrackState(conns[2], http.StateClosed)
 	c.Assert(x.OpenCount(), qt.Equals, 3)
 	c.Assert(closed, qt.Equals, 2)
-	x.TrackState(&restingConn{}, http.StateNew)
-	c.Assert(closed, qt.Equals, 2, qt.Commentf("nothing rests: none is closed"))
+	x.TrackState(&recordingConn{}, http.StateNew)
+	c.Assert(closed, qt.Equals, 2, qt.Commentf("no connection is idle: none is closed"))
 }
--- a/pkg/clientconns/doc.go
+++ b/pkg/clientconns/doc.go
@@ -1,3 +1,3 @@
-// Package clientconns bounds how many connections of clients a node keeps open: above the bound those that have rested longest are
-// closed, and one that carries a request never is.
+// Package clientconns limits the number of open client connections of a node: above the limit the connections that have been idle
+// longest are closed. A connection with a request in progress is never closed.
 package clientconns
