--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -114,7 +114,7 @@
 	setDefault(&s.Platform.Timeout, DefaultPlatformTimeout)
 	setDefault(&s.Backend.Ramp, DefaultRamp)
 	setDefault(&s.Backend.StopWait, DefaultStopWait)
-	setDefault(&s.Admission.Target, admission.DefaultTarget)
+	setDefault(&s.Admission.Target, admission.DefaultTargetDelay)
 	setDefault(&s.Admission.MaxSojourn, admission.DefaultMaxSojourn)
 	setDefault(&s.OnceOnly.Window, onceonly.DefaultWindow)
 	setDefault(&s.OnceOnly.TokenLife, onceonly.DefaultTokenLifetime)
