--- a/pkg/cli/cases_test.go
+++ b/pkg/cli/cases_test.go
@@ -70,7 +70,7 @@
 	objs, err := config.Parse(file, data)
 	c.Assert(err, qt.IsNil)
 	ctx := context.Background()
-	c.Assert(node.WriteFirst(ctx, mem.Platform(), config.Document{Version: 1, ChangeID: "first", Author: "ama", Objects: objs}), qt.IsNil)
+	c.Assert(node.WriteInitialDocument(ctx, mem.Platform(), config.Document{Version: 1, ChangeID: "first", Author: "ama", Objects: objs}), qt.IsNil)
 	k, err := keys.Open(keys.Files{
 		CA: filepath.Join(dir, keys.FileCA), Cert: filepath.Join(dir, "hire-ledger-0.crt"),
 		Key: filepath.Join(dir, "hire-ledger-0.key"), TokenSecret: filepath.Join(dir, keys.FileSecret),
--- a/pkg/cli/cli_change.go
+++ b/pkg/cli/cli_change.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		if len(r.Behind) == 0 && len(r.Silent) == 0 {
+		if len(r.Behind) == 0 && len(r.Unresponsive) == 0 {
 			fmt.Fprintf(e.stdout, "version %d is in force at all %d daemons, %.1f s after it was accepted\n",
 				version, len(r.InForce), time.Since(begin).Seconds())
 			return nil
@@ -63,10 +63,10 @@
 			for vm, v := range r.Behind {
 				fmt.Fprintf(e.stdout, "behind: %s has version %d\n", vm, v)
 			}
-			for _, vm := range r.Silent {
+			for _, vm := range r.Unresponsive {
 				fmt.Fprintf(e.stdout, "no answer: %s\n", vm)
 			}
-			return &NotYetError{version, len(r.Behind), len(r.Silent)}
+			return &NotYetError{version, len(r.Behind), len(r.Unresponsive)}
 		}
 		select {
 		case <-time.After(waitPeriod):
--- a/pkg/cli/query_status.go
+++ b/pkg/cli/query_status.go
@@ -73,7 +73,7 @@
 
 func versionsTable(t io.Writer, r node.VersionReport) {
 	slices.Sort(r.InForce)
-	slices.Sort(r.Silent)
+	slices.Sort(r.Unresponsive)
 	row(t, "VM", fmt.Sprintf("VERSION %d", r.Version))
 	for _, vm := range r.InForce {
 		row(t, vm, "in force")
@@ -81,7 +81,7 @@
 	for vm, v := range r.Behind {
 		row(t, vm, fmt.Sprintf("behind, has %d", v))
 	}
-	for _, vm := range r.Silent {
+	for _, vm := range r.Unresponsive {
 		row(t, vm, "no answer")
 	}
 }
--- a/pkg/lab/cluster_platform.go
+++ b/pkg/lab/cluster_platform.go
@@ -36,7 +36,7 @@
 	if err := config.CheckDocument(doc.Objects); err != nil {
 		return err
 	}
-	return node.WriteFirst(ctx, c.Platform.Platform(), doc)
+	return node.WriteInitialDocument(ctx, c.Platform.Platform(), doc)
 }
 
 // platformOf gives a VM the stand-in, unless it is cut off from it.
--- a/pkg/lab/experiment_config.go
+++ b/pkg/lab/experiment_config.go
@@ -154,7 +154,7 @@
 func (c *Cluster) checkSettled(ctx context.Context, t *operatorTally) int {
 	wrong := 0
 	for id, told := range t.told {
-		v, err := c.Entries[0].Node.Settle(ctx, id)
+		v, err := c.Entries[0].Node.ChangeVersion(ctx, id)
 		if err != nil || (v > 0) != told {
 			wrong++
 		}
--- a/pkg/node/config_change.go
+++ b/pkg/node/config_change.go
@@ -179,7 +179,7 @@
 }
 
 func (n *Node) acceptedDocument(ctx context.Context, version int64) (*config.Document, error) {
-	doc, err := n.Version(ctx, version)
+	doc, err := n.DocumentVersion(ctx, version)
 	if err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 
 func (n *Node) race(ctx context.Context, base int64, now *config.Document) error {
 	e := &RaceError{Base: base, Have: now.Version, By: now.Author}
-	if old, err := n.Version(ctx, base); err == nil {
+	if old, err := n.DocumentVersion(ctx, base); err == nil {
 		for _, d := range config.Diff(old.Objects, now.Objects) {
 			e.Changed = append(e.Changed, d.ID)
 		}
@@ -213,8 +213,8 @@
 	return e
 }
 
-// Version returns one version from the table; the error is a *NoVersionError or the platform's.
-func (n *Node) Version(ctx context.Context, version int64) (*config.Document, error) {
+// DocumentVersion returns one version from the table; the error is a *NoVersionError or the platform's.
+func (n *Node) DocumentVersion(ctx context.Context, version int64) (*config.Document, error) {
 	if version == 0 {
 		return &config.Document{}, nil
 	}
@@ -223,8 +223,8 @@
 	return n.readVersion(ctx, version)
 }
 
-// Settle tells what became of a change: the version that it was accepted as, or 0 if it wasn't.
-func (n *Node) Settle(ctx context.Context, id string) (int64, error) { return n.acceptedAs(ctx, id) }
+// ChangeVersion tells what became of a change: the version that it was accepted as, or 0 if it wasn't.
+func (n *Node) ChangeVersion(ctx context.Context, id string) (int64, error) { return n.acceptedAs(ctx, id) }
 
 // Document returns the configuration in force here.
 func (n *Node) Document() *config.Document {
@@ -247,8 +247,8 @@
 	return config.Diff(base.Objects, objs), objs, nil
 }
 
-// WriteFirst writes the first configuration into an empty platform, as a first change would.
-func WriteFirst(ctx context.Context, p store.Platform, doc config.Document) error {
+// WriteInitialDocument writes the first configuration into an empty platform, as a first change would.
+func WriteInitialDocument(ctx context.Context, p store.Platform, doc config.Document) error {
 	return p.Commit(ctx, documentTx(&doc))
 }
 
--- a/pkg/node/control_exchange.go
+++ b/pkg/node/control_exchange.go
@@ -182,14 +182,14 @@
 	Version int64            `json:"version"`
 	InForce []string         `json:"in_force"`
 	Behind  map[string]int64 `json:"behind,omitempty"`
-	Silent  []string         `json:"silent,omitempty"`
+	Unresponsive  []string         `json:"silent,omitempty"`
 }
 
 // probeParallel bounds the probes of one report that are under way at once.
 const probeParallel = 32
 
-// Versions asks every daemon which configuration version it has in force.
-func (n *Node) Versions(ctx context.Context, want int64) VersionReport {
+// VersionReport asks every daemon which configuration version it has in force.
+func (n *Node) VersionReport(ctx context.Context, want int64) VersionReport {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
 	defer cancel()
 	type result struct {
@@ -218,7 +218,7 @@
 		r := <-results
 		switch {
 		case r.err != nil:
-			rep.Silent = append(rep.Silent, r.vm)
+			rep.Unresponsive = append(rep.Unresponsive, r.vm)
 		case r.version >= want:
 			rep.InForce = append(rep.InForce, r.vm)
 		default:
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -44,9 +44,9 @@
 	Status    Status                       `json:"status"`
 	At        time.Time                    `json:"at"`
 	Levels    map[string]priority.Priority `json:"levels"` // learned from answers, by route
-	Needs     map[string]time.Duration     `json:"needs_ns"`
+	LatencyFloors     map[string]time.Duration     `json:"needs_ns"`
 	Servers   []routing.Reading            `json:"servers"`
-	Calls     []CallReading                `json:"calls"` // in progress, at most maxDumpCalls
+	Calls     []ActiveCall                `json:"calls"` // in progress, at most maxDumpCalls
 	Keys      onceonly.Counts              `json:"keys"`
 	Ranges    []int                        `json:"ranges"`
 	RangeRows map[string]int64             `json:"range_rows"` // versions by service
@@ -56,8 +56,8 @@
 	Repeats   int                          `json:"repeat_keys"`
 }
 
-// CallReading is a call in progress.
-type CallReading struct {
+// ActiveCall is a call in progress.
+type ActiveCall struct {
 	ID       string            `json:"id"`
 	Root     string            `json:"root"`
 	Class    string            `json:"class"`
@@ -75,7 +75,7 @@
 	now := n.clock.Now()
 	snap := n.snapshot.Load()
 	d := Dump{
-		Status: n.Status(), At: now, Levels: n.levels.All(now), Needs: n.needs.all(),
+		Status: n.Status(), At: now, Levels: n.levels.All(now), LatencyFloors: n.needs.all(),
 		RangeRows: map[string]int64{}, Nodes: snap.nodes, PeerConns: n.peers.count(), Repeats: n.guard.Len(),
 	}
 	for _, s := range n.pool.All() {
@@ -98,9 +98,9 @@
 	return d
 }
 
-func (in *inbound) reading(now time.Time) CallReading {
+func (in *inbound) reading(now time.Time) ActiveCall {
 	r := in.read(now)
-	return CallReading{
+	return ActiveCall{
 		ID: in.id, Root: in.call.Root, Class: in.call.Class, Priority: in.call.Priority,
 		Tokens: in.ledger.Balance(), LeftMS: in.deadline.Sub(now).Milliseconds(), Outbound: r.outbound,
 	}
@@ -208,7 +208,7 @@
 func (n *Node) History(ctx context.Context, most int) ([]config.Document, error) {
 	var list []config.Document
 	for v := n.snapshot.Load().version(); v > 0 && len(list) < min(most, maxHistory); v-- {
-		doc, err := n.Version(ctx, v)
+		doc, err := n.DocumentVersion(ctx, v)
 		if err != nil {
 			return list, err
 		}
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -147,7 +147,7 @@
 		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "version", Msg: "isn't a number"}}})
 		return
 	}
-	doc, err := s.Node.Version(c, v)
+	doc, err := s.Node.DocumentVersion(c, v)
 	reply(c, doc, err)
 }
 
@@ -157,7 +157,7 @@
 		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "want", Msg: "isn't a number"}}})
 		return
 	}
-	c.JSON(http.StatusOK, s.Node.Versions(c, want))
+	c.JSON(http.StatusOK, s.Node.VersionReport(c, want))
 }
 
 // defaultHistory is how many versions a history query gives by default.
@@ -179,7 +179,7 @@
 }
 
 func (s *Server) getChange(c *gin.Context) {
-	v, err := s.Node.Settle(c, c.Param("id"))
+	v, err := s.Node.ChangeVersion(c, c.Param("id"))
 	reply(c, Accepted{Version: v, ChangeID: c.Param("id")}, err)
 }
 
