--- a/pkg/node/backend_client.go
+++ b/pkg/node/backend_client.go
@@ -15,8 +15,8 @@
 // headerDrain is set to "true" by a backend server that drains.
 const headerDrain = "Rockspoke-Drain"
 
-// idleBackend is the time for which an unused connection to the backend server is kept.
-const idleBackend = 30 * time.Second
+// backendIdleTimeout is the time for which an unused connection to the backend server is kept.
+const backendIdleTimeout = 30 * time.Second
 
 func (n *Node) newBackendTransport() *http.Transport {
 	return &http.Transport{
@@ -24,19 +24,19 @@
 			return n.network.DialBackend(ctx, addr)
 		},
 		MaxIdleConnsPerHost: 1024,
-		IdleConnTimeout:     idleBackend,
+		IdleConnTimeout:     backendIdleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// onceReader is a body that the HTTP client can't rewind. Without it the client would send a request
+// nonRewindableBody is a body that the HTTP client can't rewind. Without it the client would send a request
 // with an Idempotency-Key, or without a body, a second time when a kept-alive connection breaks.
-type onceReader struct {
+type nonRewindableBody struct {
 	data []byte
 }
 
 // Read reads the rest of the body.
-func (r *onceReader) Read(p []byte) (int, error) {
+func (r *nonRewindableBody) Read(p []byte) (int, error) {
 	if len(r.data) == 0 {
 		return 0, io.EOF
 	}
@@ -46,15 +46,15 @@
 }
 
 // Close does nothing.
-func (r *onceReader) Close() error { return nil }
+func (r *nonRewindableBody) Close() error { return nil }
 
-// toBackend hands a call to this VM's backend server. From the moment that it has a connection, the
+// callBackend hands a call to this VM's backend server. From the moment that it has a connection, the
 // call counts as possibly run.
-func (n *Node) toBackend(ctx context.Context, in *inbound, q *request) *answer {
+func (n *Node) callBackend(ctx context.Context, in *inbound, q *request) *answer {
 	u := &url.URL{Scheme: "http", Host: n.cfg.Backend.Address}
-	req, err := http.NewRequestWithContext(ctx, q.method, u.String()+q.uri, &onceReader{data: q.body})
+	req, err := http.NewRequestWithContext(ctx, q.method, u.String()+q.uri, &nonRewindableBody{data: q.body})
 	if err != nil {
-		return refusal(wire.ReasonBadRequest, 0)
+		return notRunAnswer(wire.ReasonBadRequest, 0)
 	}
 	req.ContentLength = int64(len(q.body))
 	req.Header = q.header.Clone()
@@ -66,7 +66,7 @@
 	req.Host = q.host
 	resp, err := n.backend.RoundTrip(req)
 	if err != nil {
-		return backendFailure(err)
+		return backendErrorAnswer(err)
 	}
 	a := &answer{meta: wire.Answer{Outcome: wire.Ran}, status: resp.StatusCode, header: resp.Header}
 	if resp.Header.Get(headerDrain) == "true" {
@@ -75,23 +75,23 @@
 	wire.StripHop(a.header)
 	wire.StripInternal(a.header)
 	if err := a.readBody(resp.Body); err != nil {
-		return uncertain(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonLost)
 	}
 	return a
 }
 
-// backendFailure tells a connection that was never made from an answer that was lost.
-func backendFailure(err error) *answer {
+// backendErrorAnswer tells a connection that was never made from an answer that was lost.
+func backendErrorAnswer(err error) *answer {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return refusal(wire.ReasonRefused, 0)
+		return notRunAnswer(wire.ReasonRefused, 0)
 	}
-	return uncertain(wire.ReasonLost)
+	return unknownAnswer(wire.ReasonLost)
 }
 
-// refusedByServer tells whether the answer is the backend server's own documented refusal: that it is
+// isServerRefusal tells whether the answer is the backend server's own documented refusal: that it is
 // too busy, and when to come back.
-func refusedByServer(a *answer) bool {
+func isServerRefusal(a *answer) bool {
 	if a.status != http.StatusServiceUnavailable && a.status != http.StatusTooManyRequests {
 		return false
 	}
--- a/pkg/node/backend_client_test.go
+++ b/pkg/node/backend_client_test.go
@@ -28,12 +28,12 @@
 		}
 	}))
 	defer srv.Close()
-	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: srv.Listener.Addr().String()}}, network: Network{}.fill()}
+	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: srv.Listener.Addr().String()}}, network: Network{}.withDefaults()}
 	n.backend = n.newBackendTransport()
 	defer n.backend.CloseIdleConnections()
 	send := func(body []byte) *answer {
 		in := &inbound{id: "1", call: wire.Call{Key: "k"}}
-		return n.toBackend(context.Background(), in, &request{method: http.MethodPost, uri: "/", header: http.Header{}, body: body})
+		return n.callBackend(context.Background(), in, &request{method: http.MethodPost, uri: "/", header: http.Header{}, body: body})
 	}
 	c.Assert(send(nil).meta.Outcome, qt.Equals, wire.Ran, qt.Commentf("the first leaves a connection behind"))
 	for _, body := range [][]byte{nil, []byte("charge")} {
@@ -50,9 +50,9 @@
 	c.Assert(err, qt.IsNil)
 	addr := ln.Addr().String()
 	c.Assert(ln.Close(), qt.IsNil)
-	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: addr}}, network: Network{}.fill()}
+	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: addr}}, network: Network{}.withDefaults()}
 	n.backend = n.newBackendTransport()
-	a := n.toBackend(context.Background(), &inbound{id: "1"}, &request{method: http.MethodGet, uri: "/", header: http.Header{}})
+	a := n.callBackend(context.Background(), &inbound{id: "1"}, &request{method: http.MethodGet, uri: "/", header: http.Header{}})
 	c.Assert(a.meta.Outcome, qt.Equals, wire.NotRun)
 }
 
@@ -63,9 +63,9 @@
 	busy := func() *answer {
 		return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: http.StatusServiceUnavailable, header: http.Header{"Retry-After": {"1"}}}
 	}
-	c.Assert(n.judge(&inbound{}, busy(), "r", now).meta.Outcome, qt.Equals, wire.NotRun)
+	c.Assert(n.classifyAnswer(&inbound{}, busy(), "r", now).meta.Outcome, qt.Equals, wire.NotRun)
 	called := &inbound{}
-	called.begin(now)
-	called.end(now, 1, wire.Answer{Outcome: wire.Ran})
-	c.Assert(n.judge(called, busy(), "r", now).meta.Outcome, qt.Equals, wire.Ran)
+	called.beginOutbound(now)
+	called.endOutbound(now, 1, wire.Answer{Outcome: wire.Ran})
+	c.Assert(n.classifyAnswer(called, busy(), "r", now).meta.Outcome, qt.Equals, wire.Ran)
 }
--- a/pkg/node/call_answer.go
+++ b/pkg/node/call_answer.go
@@ -12,24 +12,24 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// wholeAnswer is the size in bytes up to which an answer is held whole; a longer one is streamed on.
-const wholeAnswer = 64 << 10
+// maxBufferedAnswer is the size in bytes up to which an answer is held whole; a longer one is streamed on.
+const maxBufferedAnswer = 64 << 10
 
 // answer is what became of one attempt.
 type answer struct {
-	meta   wire.Answer
-	status int // 0 where no backend server answered
-	header http.Header
-	body   []byte
-	rest   io.ReadCloser // what follows body, or nil
-	heard  bool          // a daemon sent it; without, the attempt never arrived or its answer was lost
+	meta       wire.Answer
+	status     int // 0 where no backend server answered
+	header     http.Header
+	body       []byte
+	rest       io.ReadCloser // what follows body, or nil
+	fromDaemon bool          // a daemon sent it; without, the attempt never arrived or its answer was lost
 }
 
-func refusal(reason wire.Reason, after time.Duration) *answer {
+func notRunAnswer(reason wire.Reason, after time.Duration) *answer {
 	return &answer{meta: wire.Answer{Outcome: wire.NotRun, Reason: reason, AfterMS: after.Milliseconds()}}
 }
 
-func uncertain(reason wire.Reason) *answer {
+func unknownAnswer(reason wire.Reason) *answer {
 	return &answer{meta: wire.Answer{Outcome: wire.Unknown, Reason: reason}}
 }
 
@@ -37,7 +37,7 @@
 func (a *answer) readBody(body io.ReadCloser) error {
 	buf := make([]byte, 0, 512)
 	w := bytes.NewBuffer(buf)
-	_, err := io.CopyN(w, body, wholeAnswer)
+	_, err := io.CopyN(w, body, maxBufferedAnswer)
 	a.body = w.Bytes()
 	if errors.Is(err, io.EOF) {
 		return body.Close()
@@ -50,24 +50,24 @@
 	return nil
 }
 
-// finish releases what is left of a streamed answer that nobody will read.
-func (a *answer) finish() {
+// discardRest releases what is left of a streamed answer that nobody will read.
+func (a *answer) discardRest() {
 	if a.rest != nil {
 		_ = a.rest.Close() // it was not wanted
 		a.rest = nil
 	}
 }
 
-// recorded is the form in which a home keeps the answer, or nil if it is too long.
-func (a *answer) recorded() *onceonly.Recorded {
+// toRecorded is the form in which a home keeps the answer, or nil if it is too long.
+func (a *answer) toRecorded() *onceonly.Recorded {
 	if a.rest != nil || a.status == 0 {
 		return nil
 	}
 	return &onceonly.Recorded{Status: a.status, Header: a.header, Body: a.body}
 }
 
-// replayed makes an answer out of a home's record.
-func replayed(rec *onceonly.Recorded) *answer {
+// answerFromRecord makes an answer out of a home's record.
+func answerFromRecord(rec *onceonly.Recorded) *answer {
 	if rec == nil || !rec.Kept {
 		// The work ran, and its answer is no longer here: say so rather than send half of it.
 		return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: http.StatusConflict, header: http.Header{}}
@@ -75,8 +75,8 @@
 	return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: rec.Status, header: rec.Header.Clone(), body: rec.Body}
 }
 
-// statusOf gives the status of an answer that no backend server gave.
-func statusOf(a *answer) int {
+// httpStatus gives the status of an answer that no backend server gave.
+func httpStatus(a *answer) int {
 	switch {
 	case a.status != 0:
 		return a.status
@@ -104,12 +104,12 @@
 	if a.rest == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
-	w.WriteHeader(statusOf(a))
+	w.WriteHeader(httpStatus(a))
 	_, err := w.Write(a.body)
 	if a.rest == nil {
 		return
 	}
-	defer a.finish()
+	defer a.discardRest()
 	if err == nil {
 		_, err = io.Copy(w, a.rest)
 	}
@@ -124,8 +124,8 @@
 	headerRetryAfterMS = "Rockspoke-Retry-After-Ms"
 )
 
-// toCaller sends the answer to a caller or a backend server, with the outcome in place of the internal header.
-func (n *Node) toCaller(w http.ResponseWriter, a *answer) {
+// writeToCaller sends the answer to a caller or a backend server, with the outcome in place of the internal header.
+func (n *Node) writeToCaller(w http.ResponseWriter, a *answer) {
 	h := w.Header()
 	h.Set(wire.HeaderOutcome, string(a.meta.Outcome))
 	if a.meta.Reason != wire.ReasonNone {
--- a/pkg/node/call_gate.go
+++ b/pkg/node/call_gate.go
@@ -10,16 +10,16 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// gatekeeper lets goroutines share the Gate before this VM's backend server.
-type gatekeeper struct {
+// lockedGate lets goroutines share the Gate before this VM's backend server.
+type lockedGate struct {
 	mu   sync.Mutex
 	gate *admission.Gate
 }
 
-func newGatekeeper(g *admission.Gate) *gatekeeper { return &gatekeeper{gate: g} }
+func newLockedGate(g *admission.Gate) *lockedGate { return &lockedGate{gate: g} }
 
 // enter waits until the call may start; it returns the reason if it may not.
-func (k *gatekeeper) enter(ctx context.Context, now time.Time, p priority.Priority, deadline time.Time) wire.Reason {
+func (k *lockedGate) enter(ctx context.Context, now time.Time, p priority.Priority, deadline time.Time) wire.Reason {
 	verdicts := make(chan admission.Verdict, 1)
 	t := &admission.Ticket{Priority: p, Deadline: deadline, Notify: func(v admission.Verdict) { verdicts <- v }}
 	k.mu.Lock()
@@ -35,12 +35,12 @@
 	case v = <-verdicts:
 		return v.Reason
 	case <-ctx.Done():
-		return k.withdraw(t, verdicts)
+		return k.cancel(t, verdicts)
 	}
 }
 
-// withdraw takes a ticket back whose caller has left; one that just started is let go on, and the call's context ends it.
-func (k *gatekeeper) withdraw(t *admission.Ticket, verdicts <-chan admission.Verdict) wire.Reason {
+// cancel takes a ticket back whose caller has left; one that just started is let go on, and the call's context ends it.
+func (k *lockedGate) cancel(t *admission.Ticket, verdicts <-chan admission.Verdict) wire.Reason {
 	k.mu.Lock()
 	queued := k.gate.Cancel(t)
 	k.mu.Unlock()
@@ -50,26 +50,26 @@
 	return (<-verdicts).Reason
 }
 
-func (k *gatekeeper) done(now time.Time, held, own time.Duration, counted bool) {
+func (k *lockedGate) done(now time.Time, held, own time.Duration, counted bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.Done(now, held, own, counted)
 }
 
-func (k *gatekeeper) tick(now time.Time) {
+func (k *lockedGate) tick(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.Tick(now)
 }
 
-func (k *gatekeeper) read(now time.Time) admission.Reading {
+func (k *lockedGate) read(now time.Time) admission.Reading {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.gate.Read(now)
 }
 
 // setSlots follows a change of the service's slots.
-func (k *gatekeeper) setSlots(slots int) {
+func (k *lockedGate) setSlots(slots int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.SetSlots(slots)
--- a/pkg/node/call_gate_test.go
+++ b/pkg/node/call_gate_test.go
@@ -18,7 +18,7 @@
 func TestGatekeeperWithManyGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		k := newGatekeeper(admission.NewGate(admission.Settings{Slots: 2, QueueLen: 10, MaxSojourn: time.Second}, time.Now()))
+		k := newLockedGate(admission.NewGate(admission.Settings{Slots: 2, QueueLen: 10, MaxSojourn: time.Second}, time.Now()))
 		done := make(chan wire.Reason, 10)
 		for range 6 {
 			go func() {
@@ -50,14 +50,14 @@
 
 func TestNeedIsTheLeastTimeOfRecentAnswers(t *testing.T) {
 	c := qt.New(t)
-	var table needTable
+	var table latencyFloors
 	at := time.Unix(1_000_000, 0)
-	c.Assert(table.least("r"), qt.Equals, time.Duration(0))
+	c.Assert(table.floor("r"), qt.Equals, time.Duration(0))
 	table.observe(at, "r", 30*time.Millisecond)
 	table.observe(at, "r", 20*time.Millisecond)
-	c.Assert(table.least("r"), qt.Equals, 20*time.Millisecond)
-	table.observe(at.Add(needWindow), "r", 50*time.Millisecond)
-	c.Assert(table.least("r"), qt.Equals, 20*time.Millisecond, qt.Commentf("the window before still counts"))
-	table.observe(at.Add(3*needWindow), "r", 50*time.Millisecond)
-	c.Assert(table.least("r"), qt.Equals, 50*time.Millisecond)
+	c.Assert(table.floor("r"), qt.Equals, 20*time.Millisecond)
+	table.observe(at.Add(latencyWindow), "r", 50*time.Millisecond)
+	c.Assert(table.floor("r"), qt.Equals, 20*time.Millisecond, qt.Commentf("the window before still counts"))
+	table.observe(at.Add(3*latencyWindow), "r", 50*time.Millisecond)
+	c.Assert(table.floor("r"), qt.Equals, 50*time.Millisecond)
 }
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -14,38 +14,38 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// homeKeeper lets goroutines share this node's Home.
-type homeKeeper struct {
+// lockedHome lets goroutines share this node's Home.
+type lockedHome struct {
 	mu   sync.Mutex
 	home onceonly.Home
 }
 
-func newHomeKeeper(h onceonly.Home) *homeKeeper { return &homeKeeper{home: h} }
+func newLockedHome(h onceonly.Home) *lockedHome { return &lockedHome{home: h} }
 
 // with calls fn with the home locked.
-func (k *homeKeeper) with(fn func(*onceonly.Home)) {
+func (k *lockedHome) with(fn func(*onceonly.Home)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	fn(&k.home)
 }
 
-// closeMargin is added to a class's time-out for attempts that are still under way when a key is closed.
-const closeMargin = 250 * time.Millisecond
+// keyCloseMargin is added to a class's time-out for attempts that are still under way when a key is closed.
+const keyCloseMargin = 250 * time.Millisecond
 
-// keyWord is what the home knows of a key before it looks into its memory.
-type keyWord struct {
+// keyCheck is what the home knows of a key before it looks into its memory.
+type keyCheck struct {
 	hash      onceonly.Hash
 	provenNew bool
-	refuse    *answer // set if this node can't decide about the key
+	refused   *answer // set if this node can't decide about the key
 }
 
-// readKey checks that this node is the key's home.
-func (n *Node) readKey(now time.Time, key string) keyWord {
-	w := keyWord{hash: onceonly.HashKey(n.cfg.Service, key)}
+// checkHomeKey checks that this node is the key's home.
+func (n *Node) checkHomeKey(now time.Time, key string) keyCheck {
+	w := keyCheck{hash: onceonly.HashKey(n.cfg.Service, key)}
 	if !onceonly.IsToken(key) {
 		n.home.with(func(h *onceonly.Home) {
 			if !h.Owns(w.hash.Range()) {
-				w.refuse = refusal(wire.ReasonNotOwner, 0)
+				w.refused = notRunAnswer(wire.ReasonNotOwner, 0)
 			}
 		})
 		return w
@@ -53,21 +53,21 @@
 	t, err := onceonly.ParseToken(n.keys.Current().Secret, key)
 	switch {
 	case err != nil:
-		w.refuse = refusal(wire.ReasonBadRequest, 0)
+		w.refused = notRunAnswer(wire.ReasonBadRequest, 0)
 	case t.VM != n.cfg.VM || t.Service != n.cfg.Service:
-		w.refuse = refusal(wire.ReasonNotOwner, 0)
+		w.refused = notRunAnswer(wire.ReasonNotOwner, 0)
 	case t.Incarnation != n.incarnation:
-		w.refuse = uncertain(wire.ReasonQuiet)
+		w.refused = unknownAnswer(wire.ReasonQuiet)
 	default:
 		w.provenNew = t.Fresh(now, n.cfg.OnceOnly.TokenLife)
-		if !w.provenNew && !n.remembers(w.hash) {
-			w.refuse = uncertain(wire.ReasonLost)
+		if !w.provenNew && !n.hasRecord(w.hash) {
+			w.refused = unknownAnswer(wire.ReasonLost)
 		}
 	}
 	return w
 }
 
-func (n *Node) remembers(key onceonly.Hash) (known bool) {
+func (n *Node) hasRecord(key onceonly.Hash) (known bool) {
 	n.home.with(func(h *onceonly.Home) { known = h.Memory.Knows(key) })
 	return known
 }
@@ -75,9 +75,9 @@
 // serveHome decides about an attempt under a key whose home this node is.
 func (n *Node) serveHome(ctx context.Context, in *inbound, q *request) *answer {
 	now := n.clock.Now()
-	w := n.readKey(now, in.call.Key)
-	if w.refuse != nil {
-		return w.refuse
+	w := n.checkHomeKey(now, in.call.Key)
+	if w.refused != nil {
+		return w.refused
 	}
 	done := make(chan onceonly.Record, 1)
 	var d onceonly.Decision
@@ -93,7 +93,7 @@
 		}
 	})
 	if !owner {
-		return refusal(wire.ReasonNotOwner, 0)
+		return notRunAnswer(wire.ReasonNotOwner, 0)
 	}
 	switch d.Action {
 	case onceonly.Run:
@@ -103,7 +103,7 @@
 		return awaitRecord(ctx, done)
 	case onceonly.Replay:
 		n.metrics.Inc("once_replayed")
-		return replayed(d.Answer)
+		return answerFromRecord(d.Answer)
 	default:
 		if d.Outcome == wire.Unknown {
 			n.metrics.Inc("once_unknown")
@@ -117,14 +117,14 @@
 	case rec := <-done:
 		switch rec.State {
 		case onceonly.Finished:
-			return replayed(rec.Answer)
+			return answerFromRecord(rec.Answer)
 		case onceonly.Closed:
-			return refusal(wire.ReasonClosed, 0)
+			return notRunAnswer(wire.ReasonClosed, 0)
 		default:
-			return uncertain(wire.ReasonLost)
+			return unknownAnswer(wire.ReasonLost)
 		}
 	case <-ctx.Done():
-		return uncertain(wire.ReasonRunning)
+		return unknownAnswer(wire.ReasonRunning)
 	}
 }
 
@@ -139,11 +139,11 @@
 	go func() {
 		defer n.running.Add(-1)
 		defer cancel()
-		a := n.execute(runCtx, in, q)
-		rec := a.recorded()
+		a := n.runOrDelegate(runCtx, in, q)
+		rec := a.toRecorded()
 		now := n.clock.Now()
 		n.home.with(func(h *onceonly.Home) {
-			h.Memory.Finish(now, key, a.meta.Outcome, rec, now.Add(n.closeFor(in.call, q)))
+			h.Memory.Finish(now, key, a.meta.Outcome, rec, now.Add(n.keyCloseDuration(in.call, q)))
 		})
 		result <- a
 	}()
@@ -157,30 +157,30 @@
 			<-result
 			n.endInbound(in)
 		}()
-		return uncertain(wire.ReasonRunning)
+		return unknownAnswer(wire.ReasonRunning)
 	}
 }
 
-// closeFor returns how long a refused key stays closed: as long as any attempt may still be under way.
-func (n *Node) closeFor(call wire.Call, q *request) time.Duration {
+// keyCloseDuration returns how long a refused key stays closed: as long as any attempt may still be under way.
+func (n *Node) keyCloseDuration(call wire.Call, q *request) time.Duration {
 	longest := call.Remain()
 	if plan := n.snapshot.Load().plan; plan != nil {
 		if t := plan.Call(call.Service, q.match()); t != nil {
 			longest = max(longest, t.Timeout)
 		}
 	}
-	return longest + closeMargin
+	return longest + keyCloseMargin
 }
 
-// execute runs once-only work here, or hands it to another backend server where this one can't take it.
-func (n *Node) execute(ctx context.Context, in *inbound, q *request) *answer {
+// runOrDelegate runs once-only work here, or hands it to another backend server where this one can't take it.
+func (n *Node) runOrDelegate(ctx context.Context, in *inbound, q *request) *answer {
 	plan := n.snapshot.Load().plan
 	if plan == nil {
-		return refusal(wire.ReasonNoServer, 0)
+		return notRunAnswer(wire.ReasonNoServer, 0)
 	}
 	t := plan.Call(n.cfg.Service, q.match())
-	a := refusal(wire.ReasonLeaving, 0)
-	if n.snapshot.Load().selfTarget[t] {
+	a := notRunAnswer(wire.ReasonLeaving, 0)
+	if n.snapshot.Load().localTargets[t] {
 		a = n.runLocal(ctx, in, q)
 	}
 	if a.meta.Outcome != wire.NotRun || !a.meta.Reason.Elsewhere() {
@@ -194,10 +194,10 @@
 
 // delegate hands a run to other backend servers as long as they certainly don't take it.
 func (n *Node) delegate(ctx context.Context, in *inbound, q *request, t *config.Treatment, a *answer) *answer {
-	tried := n.selfServer()
+	tried := n.localServers()
 	for range maxDelegates {
 		now := n.clock.Now()
-		s, found := n.pick(now, t, in.call.Priority, tried)
+		s, found := n.pickServer(now, t, in.call.Priority, tried)
 		if found != routing.Picked {
 			return a
 		}
@@ -216,7 +216,7 @@
 	return a
 }
 
-func (n *Node) selfServer() []*routing.Server {
+func (n *Node) localServers() []*routing.Server {
 	if vm, ok := n.snapshot.Load().vms[n.cfg.VM]; ok {
 		return []*routing.Server{n.pool.Get(vm)}
 	}
@@ -248,19 +248,19 @@
 	AfterMS int64        `json:"after_ms,omitempty"`
 }
 
-// errNoHome reports that a key's home can't be asked.
-var errNoHome = errors.New("the home of the key can't be asked")
+// errHomeUnavailable reports that a key's home can't be asked.
+var errHomeUnavailable = errors.New("the home of the key can't be asked")
 
-// settleHere closes a key that an entry is about to refuse, or says what is known of it.
-func (n *Node) settleHere(in settleRequest) settleReply {
+// settleKey closes a key that an entry is about to refuse, or says what is known of it.
+func (n *Node) settleKey(in settleRequest) settleReply {
 	now := n.clock.Now()
-	w := n.readKey(now, in.Key)
-	if w.refuse != nil || in.Service != n.cfg.Service {
+	w := n.checkHomeKey(now, in.Key)
+	if w.refused != nil || in.Service != n.cfg.Service {
 		return settleReply{Outcome: wire.Unknown, Reason: wire.ReasonNotOwner}
 	}
 	var d onceonly.Decision
 	n.home.with(func(h *onceonly.Home) {
-		closeFor := time.Duration(in.CloseMS)*time.Millisecond + closeMargin
+		closeFor := time.Duration(in.CloseMS)*time.Millisecond + keyCloseMargin
 		d = h.Memory.Settle(now, w.hash, w.provenNew, now.Add(closeFor))
 	})
 	if d.Action == onceonly.Replay {
--- a/pkg/node/call_inbound.go
+++ b/pkg/node/call_inbound.go
@@ -20,15 +20,15 @@
 	ledger   *ledger.Ledger
 	detached bool // once-only work that goes on after its caller left; its end ends the inbound call
 
-	mu        sync.Mutex
-	places    map[uint64]int    // calls that ended well, by signature
-	tokens    map[uint64]string // tokens of once-only calls under once-only work, by signature
-	open      int
-	openSince time.Time
-	waited    time.Duration
-	outbound  int
-	level     priority.Priority
-	onceBelow bool
+	mu           sync.Mutex
+	successes    map[uint64]int    // calls that ended well, by signature
+	tokens       map[uint64]string // tokens of once-only calls under once-only work, by signature
+	openOutbound int
+	openSince    time.Time
+	waited       time.Duration
+	outbound     int
+	level        priority.Priority
+	onceBelow    bool
 }
 
 // newInbound registers a call so that outbound calls find it by its id.
@@ -47,44 +47,44 @@
 	return in.ledger.Close()
 }
 
-// begin notes that an outbound call has started.
-func (in *inbound) begin(now time.Time) {
+// beginOutbound notes that an outbound call has started.
+func (in *inbound) beginOutbound(now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.open == 0 {
+	if in.openOutbound == 0 {
 		in.openSince = now
 	}
-	in.open++
+	in.openOutbound++
 	in.outbound++
 }
 
-// end notes that an outbound call has ended with the answer.
-func (in *inbound) end(now time.Time, signature uint64, a wire.Answer) {
+// endOutbound notes that an outbound call has ended with the answer.
+func (in *inbound) endOutbound(now time.Time, signature uint64, a wire.Answer) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.open--
-	if in.open == 0 {
+	in.openOutbound--
+	if in.openOutbound == 0 {
 		in.waited += now.Sub(in.openSince)
 	}
 	in.level = max(in.level, a.Below)
 	in.onceBelow = in.onceBelow || a.OnceOnly
 	if a.Outcome == wire.Ran {
-		if in.places == nil {
-			in.places = map[uint64]int{}
+		if in.successes == nil {
+			in.successes = map[uint64]int{}
 		}
-		in.places[signature]++
+		in.successes[signature]++
 	}
 }
 
-// place returns how many calls of the signature ended well before.
-func (in *inbound) place(signature uint64) int {
+// successCount returns how many calls of the signature ended well before.
+func (in *inbound) successCount(signature uint64) int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.places[signature]
+	return in.successes[signature]
 }
 
-// token returns the token for the signature, made by issue at its first use.
-func (in *inbound) token(signature uint64, issue func() (string, bool)) (string, bool) {
+// onceToken returns the onceToken for the signature, made by issue at its first use.
+func (in *inbound) onceToken(signature uint64, issue func() (string, bool)) (string, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if t, ok := in.tokens[signature]; ok {
@@ -101,19 +101,19 @@
 	return t, true
 }
 
-// reading is what the end of a call shows of what it did.
-type reading struct {
+// callStats is what the end of a call shows of what it did.
+type callStats struct {
 	waited    time.Duration
 	outbound  int
 	level     priority.Priority
 	onceBelow bool
 }
 
-func (in *inbound) read(now time.Time) reading {
+func (in *inbound) stats(now time.Time) callStats {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	r := reading{waited: in.waited, outbound: in.outbound, level: in.level, onceBelow: in.onceBelow}
-	if in.open > 0 {
+	r := callStats{waited: in.waited, outbound: in.outbound, level: in.level, onceBelow: in.onceBelow}
+	if in.openOutbound > 0 {
 		r.waited += now.Sub(in.openSince)
 	}
 	return r
--- a/pkg/node/call_request.go
+++ b/pkg/node/call_request.go
@@ -68,8 +68,8 @@
 	return d.Sum64()
 }
 
-// checkKey checks a caller's idempotency key; the error is a *RequestError.
-func checkKey(key string) error {
+// validateKey checks a caller's idempotency key; the error is a *RequestError.
+func validateKey(key string) error {
 	if len(key) > wire.MaxKey {
 		return &RequestError{http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes", wire.HeaderKey, wire.MaxKey)}
 	}
--- a/pkg/node/call_runner.go
+++ b/pkg/node/call_runner.go
@@ -11,48 +11,48 @@
 // runLocal takes a call through the gate to this VM's backend server.
 func (n *Node) runLocal(ctx context.Context, in *inbound, q *request) *answer {
 	if n.cfg.Backend.Address == "" || in.call.Service != n.cfg.Service {
-		return refusal(wire.ReasonNoServer, 0)
+		return notRunAnswer(wire.ReasonNoServer, 0)
 	}
 	if n.leaving.Load() {
-		return refusal(wire.ReasonLeaving, 0)
+		return notRunAnswer(wire.ReasonLeaving, 0)
 	}
 	arrived := n.clock.Now()
 	route := "run/" + in.call.Class
-	if in.deadline.Sub(arrived) < n.needs.least(route) {
+	if in.deadline.Sub(arrived) < n.latencyFloors.floor(route) {
 		n.metrics.Inc("refused_deadline")
-		return refusal(wire.ReasonDeadline, 0)
+		return notRunAnswer(wire.ReasonDeadline, 0)
 	}
 	reason := n.gate.enter(ctx, arrived, in.call.Priority.Favor(in.call.Depth), in.deadline)
 	if reason != wire.ReasonNone {
-		n.countRefusal(reason)
-		return refusal(reason, 0)
+		n.countRejection(reason)
+		return notRunAnswer(reason, 0)
 	}
 	started := n.clock.Now()
 	n.metrics.Observe("queue_time", started.Sub(arrived).Microseconds())
 	if ctx.Err() != nil {
 		n.gate.done(started, 0, 0, false)
-		return refusal(wire.ReasonDeadline, 0)
+		return notRunAnswer(wire.ReasonDeadline, 0)
 	}
-	a := n.toBackend(ctx, in, q)
+	a := n.callBackend(ctx, in, q)
 	if a.rest != nil {
-		a.rest = &slotReader{ReadCloser: a.rest, release: func() { n.release(in, started, false) }}
+		a.rest = &slotReader{ReadCloser: a.rest, release: func() { n.releaseSlot(in, started, false) }}
 	} else {
-		n.release(in, started, a.meta.Outcome == wire.Ran)
+		n.releaseSlot(in, started, a.meta.Outcome == wire.Ran)
 	}
-	return n.judge(in, a, route, started)
+	return n.classifyAnswer(in, a, route, started)
 }
 
-// release gives the slot back with the time that the call spent in the backend server itself.
-func (n *Node) release(in *inbound, started time.Time, counted bool) {
+// releaseSlot gives the slot back with the time that the call spent in the backend server itself.
+func (n *Node) releaseSlot(in *inbound, started time.Time, counted bool) {
 	now := n.clock.Now()
 	held := now.Sub(started)
-	n.gate.done(now, held, max(held-in.read(now).waited, 0), counted)
+	n.gate.done(now, held, max(held-in.stats(now).waited, 0), counted)
 }
 
-// judge settles the outcome: a server's own refusal is believed only where nothing was called under it.
-func (n *Node) judge(in *inbound, a *answer, route string, started time.Time) *answer {
+// classifyAnswer settles the outcome: a server's own refusal is believed only where nothing was called under it.
+func (n *Node) classifyAnswer(in *inbound, a *answer, route string, started time.Time) *answer {
 	now := n.clock.Now()
-	r := in.read(now)
+	r := in.stats(now)
 	a.meta.Below = max(a.meta.Below, r.level)
 	a.meta.OnceOnly = a.meta.OnceOnly || r.onceBelow
 	if a.meta.Outcome != wire.Ran {
@@ -61,18 +61,18 @@
 		}
 		return a
 	}
-	if refusedByServer(a) && r.outbound == 0 {
+	if isServerRefusal(a) && r.outbound == 0 {
 		n.metrics.Inc("refused_server")
-		a.finish()
-		return refusal(wire.ReasonRefused, 0)
+		a.discardRest()
+		return notRunAnswer(wire.ReasonRefused, 0)
 	}
 	if a.status < 500 {
-		n.needs.observe(now, route, now.Sub(started))
+		n.latencyFloors.observe(now, route, now.Sub(started))
 	}
 	return a
 }
 
-func (n *Node) countRefusal(reason wire.Reason) {
+func (n *Node) countRejection(reason wire.Reason) {
 	switch reason {
 	case wire.ReasonLevel:
 		n.metrics.Inc("refused_level")
@@ -99,8 +99,8 @@
 	return r.ReadCloser.Close()
 }
 
-// stamp adds what this node shows of itself to an answer on its way back.
-func (n *Node) stamp(a *answer, tokens int) {
+// addNodeState adds what this node shows of itself to an answer on its way back.
+func (n *Node) addNodeState(a *answer, tokens int) {
 	r := n.gate.read(n.clock.Now())
 	a.meta.Own = r.Level
 	a.meta.Calls = r.Running + r.Queued
--- a/pkg/node/call_sender.go
+++ b/pkg/node/call_sender.go
@@ -13,8 +13,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// sending is a call on its way out, with all of its attempts.
-type sending struct {
+// outgoingCall is a call on its way out, with all of its attempts.
+type outgoingCall struct {
 	treatment *config.Treatment
 	call      wire.Call
 	deadline  time.Time
@@ -22,57 +22,57 @@
 	ledger    *ledger.Ledger
 	// otherAttempts says that attempts under the key may exist besides the one in hand.
 	otherAttempts bool
-	// sent is called when the first attempt leaves.
-	sent func()
+	// onAttempt is called when the first attempt leaves.
+	onAttempt func()
 }
 
-// routeName is the name under which times of the call are learned, and route that for levels.
-func (s *sending) routeName() string { return s.treatment.Service + "/" + s.treatment.Class }
+// latencyRoute is the name under which times of the call are learned, and route that for levels.
+func (s *outgoingCall) latencyRoute() string { return s.treatment.Service + "/" + s.treatment.Class }
 
-func (s *sending) route() level.Route {
+func (s *outgoingCall) levelRoute() level.Route {
 	return level.Route{Service: s.treatment.Service, Class: s.treatment.Class}
 }
 
 // send makes the attempts of a call and returns the last answer.
-func (n *Node) send(ctx context.Context, s *sending) *answer {
+func (n *Node) send(ctx context.Context, s *outgoingCall) *answer {
 	now := n.clock.Now()
-	route := s.routeName()
-	if s.deadline.Sub(now) < n.needs.least(route) {
+	route := s.latencyRoute()
+	if s.deadline.Sub(now) < n.latencyFloors.floor(route) {
 		n.metrics.Inc("refused_deadline")
-		return n.refuse(ctx, s, wire.ReasonDeadline)
+		return n.refuseBeforeAttempt(ctx, s, wire.ReasonDeadline)
 	}
 	if lvl := n.routeLevel(now, s); s.call.Priority.Favor(s.call.Depth+1) < lvl {
 		n.metrics.Inc("refused_local")
-		a := n.refuse(ctx, s, wire.ReasonLevel)
+		a := n.refuseBeforeAttempt(ctx, s, wire.ReasonLevel)
 		a.meta.Below = lvl
 		return a
 	}
 	var a *answer
 	if s.call.Key == "" {
-		a = n.sendRepeatable(ctx, s)
+		a = n.sendRetryable(ctx, s)
 	} else {
-		a = n.sendOnce(ctx, s)
+		a = n.sendOnceOnly(ctx, s)
 		a.meta.OnceOnly = true
 	}
 	end := n.clock.Now()
 	// What this very call met goes up, not what other calls met some time ago.
 	a.meta.Below = max(a.meta.Below, n.lowestLevel(end, s.treatment))
 	if a.meta.Outcome == wire.Ran && a.status < 500 {
-		n.needs.observe(end, route, end.Sub(now))
+		n.latencyFloors.observe(end, route, end.Sub(now))
 	}
 	return a
 }
 
 // routeLevel is the level that the call meets: the lowest among the servers that it may go to, since
 // any of them will do, or the highest seen below them.
-func (n *Node) routeLevel(now time.Time, s *sending) priority.Priority {
-	return max(n.lowestLevel(now, s.treatment), n.levels.Current(now, s.route()))
+func (n *Node) routeLevel(now time.Time, s *outgoingCall) priority.Priority {
+	return max(n.lowestLevel(now, s.treatment), n.levels.Current(now, s.levelRoute()))
 }
 
-// sendRepeatable tries servers until one answers or the tokens are spent.
-func (n *Node) sendRepeatable(ctx context.Context, s *sending) *answer {
+// sendRetryable tries servers until one answers or the tokens are spent.
+func (n *Node) sendRetryable(ctx context.Context, s *outgoingCall) *answer {
 	var tried []*routing.Server
-	a := refusal(wire.ReasonNoServer, 0)
+	a := notRunAnswer(wire.ReasonNoServer, 0)
 	lost := false
 	defer func() {
 		// A refusal of the last attempt says nothing of one whose answer was lost.
@@ -82,30 +82,30 @@
 	}()
 	for first := true; ; first = false {
 		now := n.clock.Now()
-		srv, found := n.pick(now, s.treatment, s.call.Priority.Favor(s.call.Depth+1), tried)
+		srv, found := n.pickServer(now, s.treatment, s.call.Priority.Favor(s.call.Depth+1), tried)
 		if found != routing.Picked {
 			if first && found == routing.AtLevel {
-				a = refusal(wire.ReasonLevel, 0)
+				a = notRunAnswer(wire.ReasonLevel, 0)
 			}
 			return a
 		}
 		if first {
 			srv.Fresh(s.treatment.RetryShare)
-		} else if !n.payRetry(s, srv) {
+		} else if !n.takeRetryTokens(s, srv) {
 			return a
 		}
 		tried = append(tried, srv)
-		a.finish()
-		a = n.lendAndAttempt(ctx, s, srv)
+		a.discardRest()
+		a = n.attemptWithLoan(ctx, s, srv)
 		lost = lost || a.meta.Outcome == wire.Unknown
-		if !n.worthRetry(ctx, s, a) {
+		if !n.shouldRetry(ctx, s, a) {
 			return a
 		}
 	}
 }
 
-// payRetry takes a token of the request and of the target; without both there is no retry.
-func (n *Node) payRetry(s *sending, srv *routing.Server) bool {
+// takeRetryTokens takes a token of the request and of the target; without both there is no retry.
+func (n *Node) takeRetryTokens(s *outgoingCall, srv *routing.Server) bool {
 	if s.ledger.Balance() == 0 || !srv.TakeRetry() || !s.ledger.Spend() {
 		n.metrics.Inc("retries_denied")
 		return false
@@ -114,8 +114,8 @@
 	return true
 }
 
-// worthRetry tells whether another attempt is safe and sensible.
-func (n *Node) worthRetry(ctx context.Context, s *sending, a *answer) bool {
+// shouldRetry tells whether another attempt is safe and sensible.
+func (n *Node) shouldRetry(ctx context.Context, s *outgoingCall, a *answer) bool {
 	if ctx.Err() != nil || !n.clock.Now().Before(s.deadline) {
 		return false
 	}
@@ -129,10 +129,10 @@
 	}
 }
 
-// lendAndAttempt makes one attempt with a share of the tokens.
-func (n *Node) lendAndAttempt(ctx context.Context, s *sending, srv *routing.Server) *answer {
-	if s.sent != nil {
-		s.sent()
+// attemptWithLoan makes one attempt with a share of the tokens.
+func (n *Node) attemptWithLoan(ctx context.Context, s *outgoingCall, srv *routing.Server) *answer {
+	if s.onAttempt != nil {
+		s.onAttempt()
 	}
 	call := s.call
 	call.Depth++
@@ -145,7 +145,7 @@
 
 func (n *Node) settleLoan(l *ledger.Ledger, lent int, a *answer) {
 	switch {
-	case a.heard:
+	case a.fromDaemon:
 		l.Return(lent, a.meta.Tokens)
 	case a.meta.Outcome == wire.NotRun:
 		l.Return(lent, lent)
@@ -155,16 +155,16 @@
 }
 
 // observeLevel learns from answers of daemons; an attempt that got none teaches nothing.
-func (n *Node) observeLevel(s *sending, a *answer) {
-	if !a.heard {
+func (n *Node) observeLevel(s *outgoingCall, a *answer) {
+	if !a.fromDaemon {
 		return
 	}
-	n.levels.Observe(n.clock.Now(), s.route(), a.meta.Below)
+	n.levels.Observe(n.clock.Now(), s.levelRoute(), a.meta.Below)
 }
 
-func (n *Node) pick(now time.Time, t *config.Treatment, p priority.Priority, tried []*routing.Server) (s *routing.Server, o routing.Outcome) {
-	groups := n.groups(t)
-	n.random(func(r *rand.Rand) { s, o = routing.Pick(now, r, groups, p, tried) })
+func (n *Node) pickServer(now time.Time, t *config.Treatment, p priority.Priority, tried []*routing.Server) (s *routing.Server, o routing.Outcome) {
+	groups := n.serverGroups(t)
+	n.withRand(func(r *rand.Rand) { s, o = routing.Pick(now, r, groups, p, tried) })
 	return s, o
 }
 
@@ -172,7 +172,7 @@
 func (n *Node) lowestLevel(now time.Time, t *config.Treatment) priority.Priority {
 	low := priority.Max
 	any := false
-	for _, g := range n.groups(t) {
+	for _, g := range n.serverGroups(t) {
 		if g.Weight == 0 {
 			continue
 		}
@@ -194,7 +194,7 @@
 	now := n.clock.Now()
 	call.RemainMS = deadline.Sub(now).Milliseconds()
 	if call.RemainMS <= 0 {
-		return refusal(wire.ReasonDeadline, 0)
+		return notRunAnswer(wire.ReasonDeadline, 0)
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline.Sub(now))
 	srv.Begin()
@@ -205,17 +205,17 @@
 	} else {
 		a.rest = &cancelReader{ReadCloser: a.rest, cancel: cancel}
 	}
-	n.takeIn(ctx, srv, a)
+	n.recordAttempt(ctx, srv, a)
 	return a
 }
 
-func (n *Node) takeIn(ctx context.Context, srv *routing.Server, a *answer) {
+func (n *Node) recordAttempt(ctx context.Context, srv *routing.Server, a *answer) {
 	now := n.clock.Now()
 	switch {
-	case a.heard:
+	case a.fromDaemon:
 		srv.Answered(now, a.meta)
 		if a.meta.Version > n.snapshot.Load().version() {
-			n.wantFrom(srv.VM)
+			n.requestExchange(srv.VM)
 		}
 	case a.meta.Reason == wire.ReasonNoServer:
 		srv.Failed(now, true)
@@ -225,21 +225,21 @@
 	}
 }
 
-// refuse gives a refusal before any attempt. For a caller's own key the home settles it first, since
+// refuseBeforeAttempt gives a refusal before any attempt. For a caller's own key the home settles it first, since
 // an earlier attempt may have come by another way.
-func (n *Node) refuse(ctx context.Context, s *sending, reason wire.Reason) *answer {
+func (n *Node) refuseBeforeAttempt(ctx context.Context, s *outgoingCall, reason wire.Reason) *answer {
 	if s.call.Key == "" || !s.otherAttempts {
-		return refusal(reason, 0)
+		return notRunAnswer(reason, 0)
 	}
-	reply, err := n.settle(ctx, s)
+	reply, err := n.settleAtHome(ctx, s)
 	if err != nil {
-		return uncertain(reason)
+		return unknownAnswer(reason)
 	}
 	if reply.Outcome == wire.NotRun {
-		return refusal(reason, time.Duration(reply.AfterMS)*time.Millisecond)
+		return notRunAnswer(reason, time.Duration(reply.AfterMS)*time.Millisecond)
 	}
 	// It ran or runs: a repeat would be joined or answered at the home, so let this one through.
-	a := n.sendOnce(ctx, s)
+	a := n.sendOnceOnly(ctx, s)
 	a.meta.OnceOnly = true
 	return a
 }
--- a/pkg/node/call_sender_once.go
+++ b/pkg/node/call_sender_once.go
@@ -17,64 +17,64 @@
 
 // The pauses between attempts to find the home of a key whose range is on the move.
 const (
-	redirectFirst = 20 * time.Millisecond
-	redirectMax   = 200 * time.Millisecond
+	redirectPauseMin = 20 * time.Millisecond
+	redirectPauseMax = 200 * time.Millisecond
 )
 
-// sendOnce leads a call to its key's home. A lost answer is asked for again under the same key, which
+// sendOnceOnly leads a call to its key's home. A lost answer is asked for again under the same key, which
 // the home joins or answers from its record; nothing else is repeated.
-func (n *Node) sendOnce(ctx context.Context, s *sending) *answer {
-	pause := redirectFirst
+func (n *Node) sendOnceOnly(ctx context.Context, s *outgoingCall) *answer {
+	pause := redirectPauseMin
 	for {
-		srv, ok := n.homeOf(s.call.Service, s.call.Key)
+		srv, ok := n.homeServer(s.call.Service, s.call.Key)
 		if !ok {
-			return n.noHome(s)
+			return n.noHomeAnswer(s)
 		}
-		a := n.lendAndAttempt(ctx, s, srv)
+		a := n.attemptWithLoan(ctx, s, srv)
 		s.otherAttempts = s.otherAttempts || a.meta.Outcome == wire.Unknown
 		switch {
 		case ctx.Err() != nil || !n.clock.Now().Before(s.deadline):
-			return n.certain(s, a)
+			return n.outcomeForKey(s, a)
 		case a.meta.Outcome == wire.NotRun && a.meta.Reason == wire.ReasonNotOwner:
-			n.wantFrom(srv.VM)
+			n.requestExchange(srv.VM)
 			if !n.sleep(ctx, n.jitter(pause), s.deadline) {
-				return n.certain(s, a)
+				return n.outcomeForKey(s, a)
 			}
-			pause = min(2*pause, redirectMax)
-		case a.meta.Outcome == wire.Unknown && lostOnTheWay(a):
-			if !n.payRetry(s, srv) || !n.sleep(ctx, n.jitter(pause), s.deadline) {
+			pause = min(2*pause, redirectPauseMax)
+		case a.meta.Outcome == wire.Unknown && answerLost(a):
+			if !n.takeRetryTokens(s, srv) || !n.sleep(ctx, n.jitter(pause), s.deadline) {
 				return a
 			}
-			pause = min(2*pause, redirectMax)
+			pause = min(2*pause, redirectPauseMax)
 		case a.meta.Outcome == wire.NotRun && a.meta.Reason == wire.ReasonNoServer && !s.otherAttempts && onceonly.IsToken(s.call.Key):
 			// The attempt never arrived, and no other can: take another home.
-			if !n.payRetry(s, srv) || !n.renewToken(s) {
+			if !n.takeRetryTokens(s, srv) || !n.renewToken(s) {
 				return a
 			}
 		default:
-			return n.certain(s, a)
+			return n.outcomeForKey(s, a)
 		}
 	}
 }
 
-// lostOnTheWay tells whether the home's own word never came, so that asking it again may bring it.
-func lostOnTheWay(a *answer) bool { return !a.heard && a.meta.Reason == wire.ReasonLost }
+// answerLost tells whether the home's own word never came, so that asking it again may bring it.
+func answerLost(a *answer) bool { return !a.fromDaemon && a.meta.Reason == wire.ReasonLost }
 
-// certain turns a refusal that speaks of one attempt only into "unknown" where other attempts under
+// outcomeForKey turns a refusal that speaks of one attempt only into "unknown" where other attempts under
 // the key may exist; a home's own refusal speaks of the key.
-func (n *Node) certain(s *sending, a *answer) *answer {
+func (n *Node) outcomeForKey(s *outgoingCall, a *answer) *answer {
 	if a.meta.Outcome != wire.NotRun || !s.otherAttempts {
 		return a
 	}
-	if !a.heard || a.meta.Reason == wire.ReasonNotOwner || a.meta.Reason == wire.ReasonBadRequest || a.meta.Reason == wire.ReasonMemory {
+	if !a.fromDaemon || a.meta.Reason == wire.ReasonNotOwner || a.meta.Reason == wire.ReasonBadRequest || a.meta.Reason == wire.ReasonMemory {
 		a.meta.Outcome = wire.Unknown
 	}
 	return a
 }
 
-func (n *Node) noHome(s *sending) *answer {
-	a := refusal(wire.ReasonNoServer, 0)
-	return n.certain(s, a)
+func (n *Node) noHomeAnswer(s *outgoingCall) *answer {
+	a := notRunAnswer(wire.ReasonNoServer, 0)
+	return n.outcomeForKey(s, a)
 }
 
 // sleep waits for d, and reports false if the context or the deadline ends first.
@@ -85,8 +85,8 @@
 	return clock.Sleep(ctx, d)
 }
 
-// homeOf returns the server whose node is the home of the key.
-func (n *Node) homeOf(service, key string) (*routing.Server, bool) {
+// homeServer returns the server whose node is the home of the key.
+func (n *Node) homeServer(service, key string) (*routing.Server, bool) {
 	snap := n.snapshot.Load()
 	vm := ""
 	if onceonly.IsToken(key) {
@@ -115,7 +115,7 @@
 	snap := n.snapshot.Load()
 	var tried []*routing.Server
 	for range 3 {
-		srv, found := n.pick(now, t, p, tried)
+		srv, found := n.pickServer(now, t, p, tried)
 		if found != routing.Picked {
 			return "", false
 		}
@@ -134,7 +134,7 @@
 }
 
 // renewToken gives the call another token, for use where the last one certainly started nothing.
-func (n *Node) renewToken(s *sending) bool {
+func (n *Node) renewToken(s *outgoingCall) bool {
 	key, ok := n.newToken(s.treatment, s.call.Priority)
 	if ok {
 		s.call.Key = key
@@ -142,16 +142,16 @@
 	return ok
 }
 
-// settleTime is the longest time that an entry waits for a home to settle a refusal.
-const settleTime = 200 * time.Millisecond
+// settleTimeout is the longest time that an entry waits for a home to settle a refusal.
+const settleTimeout = 200 * time.Millisecond
 
-// settle asks the key's home what is known of it; an unknown key is closed.
-func (n *Node) settle(ctx context.Context, s *sending) (settleReply, error) {
-	srv, ok := n.homeOf(s.call.Service, s.call.Key)
+// settleAtHome asks the key's home what is known of it; an unknown key is closed.
+func (n *Node) settleAtHome(ctx context.Context, s *outgoingCall) (settleReply, error) {
+	srv, ok := n.homeServer(s.call.Service, s.call.Key)
 	if !ok {
-		return settleReply{}, errNoHome
+		return settleReply{}, errHomeUnavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	in := settleRequest{Service: s.call.Service, Key: s.call.Key, CloseMS: s.treatment.Timeout.Milliseconds()}
 	var out settleReply
--- a/pkg/node/caller_repeat_notes.go
+++ b/pkg/node/caller_retry_notes.go
@@ -8,21 +8,21 @@
 	"github.com/rockspoke/rockspoke/pkg/repeat"
 )
 
-// noteDelay is the time for which notes to other entries are gathered.
-const noteDelay = 5 * time.Millisecond
+// noteBatchDelay is the time for which notes to other entries are gathered.
+const noteBatchDelay = 5 * time.Millisecond
 
-// maxNotes bounds the notes that wait to be sent; more are dropped, and the budget of their requests then
+// maxQueuedNotes bounds the notes that wait to be sent; more are dropped, and the budget of their requests then
 // holds for each entry alone.
-const maxNotes = 4096
+const maxQueuedNotes = 4096
 
-// repeatNotes is the message with which an entry tells others of requests that failed there.
-type repeatNotes struct {
+// retryNotes is the message with which an entry tells others of requests that failed there.
+type retryNotes struct {
 	Notes []repeat.Note `json:"notes"`
 }
 
-// noteRepeat tells the other entries of a request that failed after it was sent on, since its caller may
+// queueRetryNote tells the other entries of a request that failed after it was sent on, since its caller may
 // repeat it through any of them.
-func (n *Node) noteRepeat(key string, e *repeat.Entry) {
+func (n *Node) queueRetryNote(key string, e *repeat.Entry) {
 	left, sent := n.guard.Left(e)
 	if !sent {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// sendNotes gathers notes and sends them to every other entry VM.
-func (n *Node) sendNotes() {
+// broadcastRetryNotes gathers notes and sends them to every other entry VM.
+func (n *Node) broadcastRetryNotes() {
 	for {
 		var batch []repeat.Note
 		select {
@@ -44,7 +44,7 @@
 		case <-n.ctx.Done():
 			return
 		}
-		if !clock.Sleep(n.ctx, noteDelay) {
+		if !clock.Sleep(n.ctx, noteBatchDelay) {
 			return
 		}
 		for more := true; more; {
@@ -55,27 +55,27 @@
 				more = false
 			}
 		}
-		n.shareNotes(repeatNotes{batch})
+		n.sendRetryNotes(retryNotes{batch})
 	}
 }
 
-func (n *Node) shareNotes(msg repeatNotes) {
+func (n *Node) sendRetryNotes(msg retryNotes) {
 	for _, v := range n.snapshot.Load().vms {
 		if v.Service != "" || v.Name == n.cfg.VM {
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(n.ctx, exchangeTime)
+			ctx, cancel := context.WithTimeout(n.ctx, exchangeTimeout)
 			defer cancel()
 			var reply struct{}
-			if err := n.peers.control(ctx, v.Name, v.Peer, pathNotes, msg, &reply); err != nil {
+			if err := n.peers.control(ctx, v.Name, v.Peer, pathRetryNotes, msg, &reply); err != nil {
 				n.log.call.Debug("notes of repeats didn't arrive", "vm", v.Name, "err", err)
 			}
 		}()
 	}
 }
 
-func (n *Node) takeNotes(msg repeatNotes) (struct{}, error) {
+func (n *Node) handleRetryNotes(msg retryNotes) (struct{}, error) {
 	now := n.clock.Now()
 	for _, note := range msg.Notes {
 		n.guard.Learn(now, note)
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -62,48 +62,48 @@
 	}
 	n.running.Add(1)
 	defer n.running.Add(-1)
-	a := n.entry(r)
-	defer a.finish()
+	a := n.handleCaller(r)
+	defer a.discardRest()
 	switch a.meta.Outcome {
 	case wire.NotRun:
 		n.metrics.Inc("entry_refused")
 	case wire.Unknown:
 		n.metrics.Inc("entry_unknown")
 	}
-	n.toCaller(w, a)
+	n.writeToCaller(w, a)
 }
 
-// entry makes a root request out of a caller's request and sends it on.
-func (n *Node) entry(r *http.Request) *answer {
-	timeout, err := callerTimeout(r.Header)
+// handleCaller makes a root request out of a caller's request and sends it on.
+func (n *Node) handleCaller(r *http.Request) *answer {
+	timeout, err := parseTimeout(r.Header)
 	key := r.Header.Get(wire.HeaderKey)
 	if err == nil {
-		err = checkKey(key)
+		err = validateKey(key)
 	}
 	var q *request
 	if err == nil {
 		q, err = readRequest(r, n.cfg.Limits.RequestBytes)
 	}
 	if err != nil {
-		return badRequest(err)
+		return badRequestAnswer(err)
 	}
 	plan := n.snapshot.Load().plan
 	if plan == nil {
-		return refusal(wire.ReasonNoServer, time.Second)
+		return notRunAnswer(wire.ReasonNoServer, time.Second)
 	}
 	t, _ := plan.Route(q.match())
 	if t == nil {
-		return refusal(wire.ReasonNoRoute, 0)
+		return notRunAnswer(wire.ReasonNoRoute, 0)
 	}
 	if timeout == 0 || timeout > t.Timeout {
 		timeout = t.Timeout
 	}
 	q.header.Del(wire.HeaderTimeout)
-	return n.guarded(r.Context(), t, q, key, customerOf(r), timeout)
+	return n.sendGuarded(r.Context(), t, q, key, customerOf(r), timeout)
 }
 
-// guarded meets the caller's repeats before the request goes on.
-func (n *Node) guarded(ctx context.Context, t *config.Treatment, q *request, key, customer string, timeout time.Duration) *answer {
+// sendGuarded meets the caller's repeats before the request goes on.
+func (n *Node) sendGuarded(ctx context.Context, t *config.Treatment, q *request, key, customer string, timeout time.Duration) *answer {
 	now := n.clock.Now()
 	deadline := now.Add(timeout)
 	v, e, flight := n.guard.Begin(now, repeat.Attempt{
@@ -114,10 +114,10 @@
 	}
 	switch v {
 	case repeat.Join:
-		return n.join(ctx, flight, deadline)
+		return n.awaitFlight(ctx, flight, deadline)
 	case repeat.OverShare, repeat.Spent:
 		n.metrics.Inc("entry_repeats_refused")
-		a := refusal(wire.ReasonRetries, n.jitter(2*defaultRetryAfter))
+		a := notRunAnswer(wire.ReasonRetries, n.jitter(2*defaultRetryAfter))
 		if t.OnceOnly || v == repeat.Spent {
 			// What became of the attempts before isn't looked up for one that comes too often.
 			a.meta.Outcome = wire.Unknown
@@ -130,9 +130,9 @@
 	if key != "" {
 		root = onceonly.RootOf(t.Service, key)
 	}
-	s := &sending{
+	s := &outgoingCall{
 		treatment: t, deadline: deadline, req: q, ledger: e.Ledger,
-		sent: func() { n.guard.Sent(e) },
+		onAttempt: func() { n.guard.Sent(e) },
 		call: wire.Call{
 			Root: root, Service: t.Service, Class: t.Class,
 			Priority: priority.New(t.Tier, root, now),
@@ -148,12 +148,12 @@
 	cancel()
 	n.guard.End(n.clock.Now(), e, a)
 	if key != "" && !t.OnceOnly && (a.meta.Outcome != wire.Ran || a.status >= http.StatusInternalServerError) {
-		n.noteRepeat(key, e)
+		n.queueRetryNote(key, e)
 	}
 	return a
 }
 
-func (n *Node) sendRoot(ctx context.Context, s *sending, key string) *answer {
+func (n *Node) sendRoot(ctx context.Context, s *outgoingCall, key string) *answer {
 	if !s.treatment.OnceOnly {
 		return n.send(ctx, s)
 	}
@@ -162,14 +162,14 @@
 	if key == "" {
 		var ok bool
 		if s.call.Key, ok = n.newToken(s.treatment, s.call.Priority); !ok {
-			return refusal(wire.ReasonNoServer, 0)
+			return notRunAnswer(wire.ReasonNoServer, 0)
 		}
 	}
 	return n.send(ctx, s)
 }
 
-// join waits for a running attempt of the same request and shares its answer.
-func (n *Node) join(ctx context.Context, f *repeat.Flight, deadline time.Time) *answer {
+// awaitFlight waits for a running attempt of the same request and shares its answer.
+func (n *Node) awaitFlight(ctx context.Context, f *repeat.Flight, deadline time.Time) *answer {
 	t := time.NewTimer(deadline.Sub(n.clock.Now()))
 	defer t.Stop()
 	select {
@@ -179,15 +179,15 @@
 			shared.header = a.header.Clone()
 			return &shared
 		}
-		return uncertain(wire.ReasonRunning)
+		return unknownAnswer(wire.ReasonRunning)
 	case <-ctx.Done():
 	case <-t.C:
 	}
-	return uncertain(wire.ReasonRunning)
+	return unknownAnswer(wire.ReasonRunning)
 }
 
-func badRequest(err error) *answer {
-	a := refusal(wire.ReasonBadRequest, 0)
+func badRequestAnswer(err error) *answer {
+	a := notRunAnswer(wire.ReasonBadRequest, 0)
 	var bad *RequestError
 	if errors.As(err, &bad) {
 		a.status = bad.Status
@@ -197,8 +197,8 @@
 	return a
 }
 
-// callerTimeout reads the caller's own time limit; the error is a *RequestError.
-func callerTimeout(h http.Header) (time.Duration, error) {
+// parseTimeout reads the caller's own time limit; the error is a *RequestError.
+func parseTimeout(h http.Header) (time.Duration, error) {
 	s := h.Get(wire.HeaderTimeout)
 	if s == "" {
 		return 0, nil
--- a/pkg/node/config_change.go
+++ b/pkg/node/config_change.go
@@ -47,23 +47,23 @@
 // Unwrap returns the cause.
 func (e *InDoubtError) Unwrap() error { return e.Cause }
 
-// changeTries is how often a commit with a lost answer is settled before the operator is told so.
-const changeTries = 4
+// maxCommitAttempts is how often a commit with a lost answer is settled before the operator is told so.
+const maxCommitAttempts = 4
 
 // Change makes an operator's change: accepted means committed in the platform's table. The error is a
 // *config.InvalidError, *config.NoObjectError, *RaceError, *InDoubtError or *store.RefusedError.
 func (n *Node) Change(ctx context.Context, ch config.Change) (*config.Document, error) {
-	base, err := n.newest(ctx)
+	base, err := n.newestDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if v, err := n.acceptedAs(ctx, ch.ID); err == nil && v > 0 {
-		return n.acceptedDocument(ctx, v)
+	if v, err := n.versionOfChange(ctx, ch.ID); err == nil && v > 0 {
+		return n.applyAcceptedVersion(ctx, v)
 	}
 	if base.Version != ch.Base {
-		return nil, n.race(ctx, ch.Base, base)
+		return nil, n.raceError(ctx, ch.Base, base)
 	}
-	objs, err := config.Apply(base, n.resolve(ch, base))
+	objs, err := config.Apply(base, n.resolveSelector(ch, base))
 	if err != nil {
 		return nil, err
 	}
@@ -74,8 +74,8 @@
 	return n.commitDocument(ctx, doc)
 }
 
-// newest returns the newest configuration of the table, or an empty one.
-func (n *Node) newest(ctx context.Context) (*config.Document, error) {
+// newestDocument returns the newestDocument configuration of the table, or an empty one.
+func (n *Node) newestDocument(ctx context.Context) (*config.Document, error) {
 	doc, err := n.readDocument(ctx, 0)
 	if err != nil {
 		return nil, &store.RefusedError{Reason: "the newest configuration can't be read: " + err.Error()}
@@ -86,8 +86,8 @@
 	return doc, nil
 }
 
-// resolve turns a selector of VMs or other objects into names.
-func (n *Node) resolve(ch config.Change, base *config.Document) config.Change {
+// resolveSelector turns a selector of VMs or other objects into names.
+func (n *Node) resolveSelector(ch config.Change, base *config.Document) config.Change {
 	if ch.Label == nil || ch.Label.Selector == "" {
 		return ch
 	}
@@ -121,8 +121,8 @@
 	tx := documentTx(doc)
 	var last error
 	doubt := false
-	for range changeTries {
-		pctx, cancel := n.platformTime(ctx)
+	for range maxCommitAttempts {
+		pctx, cancel := n.withPlatformTimeout(ctx)
 		last = n.platform.Commit(pctx, tx)
 		cancel()
 		var (
@@ -131,9 +131,9 @@
 		)
 		switch {
 		case last == nil:
-			return doc, n.accept(ctx, doc)
+			return doc, n.applyAccepted(ctx, doc)
 		case errors.As(last, &conflict):
-			return n.settleConflict(ctx, doc)
+			return n.resolveConflict(ctx, doc)
 		case !errors.As(last, &refused):
 			doubt = true
 		}
@@ -147,25 +147,25 @@
 	return nil, &InDoubtError{doc.ChangeID, last}
 }
 
-// settleConflict tells an own earlier commit from another operator's.
-func (n *Node) settleConflict(ctx context.Context, doc *config.Document) (*config.Document, error) {
-	v, err := n.acceptedAs(ctx, doc.ChangeID)
+// resolveConflict tells an own earlier commit from another operator's.
+func (n *Node) resolveConflict(ctx context.Context, doc *config.Document) (*config.Document, error) {
+	v, err := n.versionOfChange(ctx, doc.ChangeID)
 	if err != nil {
 		return nil, &InDoubtError{doc.ChangeID, err}
 	}
 	if v > 0 {
-		return n.acceptedDocument(ctx, v)
+		return n.applyAcceptedVersion(ctx, v)
 	}
-	now, err := n.newest(ctx)
+	now, err := n.newestDocument(ctx)
 	if err != nil {
 		return nil, &RaceError{Base: doc.Version - 1, Have: doc.Version, By: "another operator"}
 	}
-	return nil, n.race(ctx, doc.Version-1, now)
+	return nil, n.raceError(ctx, doc.Version-1, now)
 }
 
-// acceptedAs returns the version that a change became, or 0 if it wasn't accepted.
-func (n *Node) acceptedAs(ctx context.Context, id string) (int64, error) {
-	ctx, cancel := n.platformTime(ctx)
+// versionOfChange returns the version that a change became, or 0 if it wasn't accepted.
+func (n *Node) versionOfChange(ctx context.Context, id string) (int64, error) {
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	rows, err := n.platform.Read(ctx, []string{keyChange + id})
 	if err != nil {
@@ -178,23 +178,23 @@
 	return strconv.ParseInt(string(row.Value), 10, 64)
 }
 
-func (n *Node) acceptedDocument(ctx context.Context, version int64) (*config.Document, error) {
+func (n *Node) applyAcceptedVersion(ctx context.Context, version int64) (*config.Document, error) {
 	doc, err := n.DocumentVersion(ctx, version)
 	if err != nil {
 		return nil, err
 	}
-	return doc, n.accept(ctx, doc)
+	return doc, n.applyAccepted(ctx, doc)
 }
 
-// accept puts a committed version in force here, tells the neighbours, and keeps a copy in the object store.
-func (n *Node) accept(ctx context.Context, doc *config.Document) error {
-	err := n.onControl(ctx, func(s *controlState) {
-		s.take(exchange{Doc: doc})
-		s.spread()
-		s.dirty = false
+// applyAccepted puts a committed version in force here, tells the neighbours, and keeps a copy in the object store.
+func (n *Node) applyAccepted(ctx context.Context, doc *config.Document) error {
+	err := n.runOnControl(ctx, func(s *controlState) {
+		s.merge(exchange{Doc: doc})
+		s.exchangeWithNeighbors()
+		s.changed = false
 	})
 	go func() {
-		pctx, cancel := n.platformTime(n.ctx)
+		pctx, cancel := n.withPlatformTimeout(n.ctx)
 		defer cancel()
 		if err := n.platform.PutObject(pctx, objectDocument, marshal(doc)); err != nil {
 			n.log.control.Warn("snapshot object can't be written", "err", err)
@@ -203,7 +203,7 @@
 	return err
 }
 
-func (n *Node) race(ctx context.Context, base int64, now *config.Document) error {
+func (n *Node) raceError(ctx context.Context, base int64, now *config.Document) error {
 	e := &RaceError{Base: base, Have: now.Version, By: now.Author}
 	if old, err := n.DocumentVersion(ctx, base); err == nil {
 		for _, d := range config.Diff(old.Objects, now.Objects) {
@@ -218,13 +218,15 @@
 	if version == 0 {
 		return &config.Document{}, nil
 	}
-	ctx, cancel := n.platformTime(ctx)
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	return n.readVersion(ctx, version)
 }
 
 // ChangeVersion tells what became of a change: the version that it was accepted as, or 0 if it wasn't.
-func (n *Node) ChangeVersion(ctx context.Context, id string) (int64, error) { return n.acceptedAs(ctx, id) }
+func (n *Node) ChangeVersion(ctx context.Context, id string) (int64, error) {
+	return n.versionOfChange(ctx, id)
+}
 
 // Document returns the configuration in force here.
 func (n *Node) Document() *config.Document {
@@ -236,11 +238,11 @@
 
 // Preview returns what a change would do, without making it.
 func (n *Node) Preview(ctx context.Context, ch config.Change) ([]config.Difference, []config.Object, error) {
-	base, err := n.newest(ctx)
+	base, err := n.newestDocument(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	objs, err := config.Apply(base, n.resolve(ch, base))
+	objs, err := config.Apply(base, n.resolveSelector(ch, base))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/pkg/node/control_exchange.go
+++ b/pkg/node/control_exchange.go
@@ -28,8 +28,8 @@
 	Probe bool `json:"probe,omitempty"`
 }
 
-// exchangeTime is the longest time for one exchange.
-const exchangeTime = 2 * time.Second
+// exchangeTimeout is the longest time for one exchange.
+const exchangeTimeout = 2 * time.Second
 
 func (s *controlState) digest() digest {
 	d := digest{Config: s.register.Version(), Rows: map[string]int64{}, Nodes: s.roster.Digest()}
@@ -39,8 +39,8 @@
 	return d
 }
 
-// take merges what a message brings and publishes it.
-func (s *controlState) take(in exchange) {
+// merge merges what a message brings and publishes it.
+func (s *controlState) merge(in exchange) {
 	now := s.n.clock.Now()
 	news := s.offerDocument(in.Doc)
 	for _, row := range in.Rows {
@@ -53,12 +53,12 @@
 		news = s.mergeNode(now, info) || news
 	}
 	if news {
-		s.n.publish(s)
+		s.n.publishSnapshot(s)
 	}
 }
 
-// lacking collects what a daemon with the digest lacks. Its nodes are compared whole only on request.
-func (s *controlState) lacking(d digest, wholeNodes bool) exchange {
+// updatesFor collects what a daemon with the digest lacks. Its nodes are compared whole only on request.
+func (s *controlState) updatesFor(d digest, wholeNodes bool) exchange {
 	out := exchange{From: s.n.cfg.VM, Digest: s.digest()}
 	if s.register.Version() > d.Config {
 		out.Doc = s.register.Document()
@@ -75,7 +75,7 @@
 		out.Nodes = s.roster.Nodes()
 		return out
 	}
-	for vm := range s.recent {
+	for vm := range s.recentNodes {
 		if info, ok := s.roster.Node(vm); ok {
 			out.Nodes = append(out.Nodes, info)
 		}
@@ -83,27 +83,27 @@
 	return out
 }
 
-// takeExchange answers a control message of another daemon.
-func (n *Node) takeExchange(ctx context.Context, in exchange) (out exchange, err error) {
-	err = n.onControl(ctx, func(s *controlState) {
+// handleExchange answers a control message of another daemon.
+func (n *Node) handleExchange(ctx context.Context, in exchange) (out exchange, err error) {
+	err = n.runOnControl(ctx, func(s *controlState) {
 		if in.Probe {
 			out = exchange{From: n.cfg.VM, Digest: s.digest()}
 			return
 		}
-		s.take(in)
-		out = s.lacking(in.Digest, true)
+		s.merge(in)
+		out = s.updatesFor(in.Digest, true)
 	})
 	return out, err
 }
 
 // exchangeWith compares state with another daemon: a digest and recent news first, then what it lacks.
 func (n *Node) exchangeWith(ctx context.Context, vm, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var msg, reply exchange
-	if err := n.onControl(ctx, func(s *controlState) {
+	if err := n.runOnControl(ctx, func(s *controlState) {
 		// Towards an unknown state only news of nodes is sent along; the rest goes by digest.
-		msg = s.lacking(digest{Config: s.register.Version(), Rows: s.digest().Rows}, false)
+		msg = s.updatesFor(digest{Config: s.register.Version(), Rows: s.digest().Rows}, false)
 	}); err != nil {
 		return err
 	}
@@ -111,9 +111,9 @@
 		return err
 	}
 	var more exchange
-	if err := n.onControl(ctx, func(s *controlState) {
-		s.take(reply)
-		more = s.lacking(reply.Digest, true)
+	if err := n.runOnControl(ctx, func(s *controlState) {
+		s.merge(reply)
+		more = s.updatesFor(reply.Digest, true)
 	}); err != nil {
 		return err
 	}
@@ -123,74 +123,74 @@
 	return n.peers.control(ctx, vm, addr, pathExchange, more, &reply)
 }
 
-// spread tells every neighbour at once that there is news.
-func (s *controlState) spread() {
+// exchangeWithNeighbors tells every neighbour at once that there is news.
+func (s *controlState) exchangeWithNeighbors() {
 	for _, v := range s.n.snapshot.Load().neighbors {
-		s.exchangeSoon(v.Name, v.Peer)
+		s.startExchange(v.Name, v.Peer)
 	}
 }
 
-// exchangeNext keeps in step with one neighbour after the other, whether there is news or not.
-func (s *controlState) exchangeNext() {
+// exchangeWithNext keeps in step with one neighbour after the other, whether there is news or not.
+func (s *controlState) exchangeWithNext() {
 	list := s.n.snapshot.Load().neighbors
 	if len(list) == 0 {
 		return
 	}
-	s.turn++
-	v := list[s.turn%len(list)]
-	s.exchangeSoon(v.Name, v.Peer)
+	s.neighborIndex++
+	v := list[s.neighborIndex%len(list)]
+	s.startExchange(v.Name, v.Peer)
 }
 
-// exchangeSoon starts an exchange unless one with the same daemon is under way; then another follows it.
-func (s *controlState) exchangeSoon(vm, addr string) {
+// startExchange starts an exchange unless one with the same daemon is under way; then another follows it.
+func (s *controlState) startExchange(vm, addr string) {
 	name := "exchange/" + vm
-	if s.busy[name] {
-		s.busy[name+"/again"] = true
+	if s.running[name] {
+		s.running[name+"/again"] = true
 		return
 	}
-	s.busy[name] = true
+	s.running[name] = true
 	n := s.n
 	go func() {
 		if err := n.exchangeWith(n.ctx, vm, addr); err != nil && n.ctx.Err() == nil {
 			n.log.peer.Debug("exchange failed", "vm", vm, "err", err)
 		}
-		n.toControl(func(s *controlState) {
-			delete(s.busy, name)
-			if s.busy[name+"/again"] {
-				delete(s.busy, name+"/again")
-				s.exchangeSoon(vm, addr)
+		n.enqueueControl(func(s *controlState) {
+			delete(s.running, name)
+			if s.running[name+"/again"] {
+				delete(s.running, name+"/again")
+				s.startExchange(vm, addr)
 			}
 		})
 	}()
 }
 
-// wantFrom asks a daemon for its state, since an answer showed that it knows more.
-func (n *Node) wantFrom(vm string) {
+// requestExchange asks a daemon for its state, since an answer showed that it knows more.
+func (n *Node) requestExchange(vm string) {
 	v, ok := n.snapshot.Load().vms[vm]
 	if !ok {
 		return
 	}
 	// Calls must not wait for control, so a full queue drops the wish; the next answer renews it.
 	select {
-	case n.control <- func(s *controlState) { s.exchangeSoon(v.Name, v.Peer) }:
+	case n.control <- func(s *controlState) { s.startExchange(v.Name, v.Peer) }:
 	default:
 	}
 }
 
 // VersionReport tells how far a configuration version has come.
 type VersionReport struct {
-	Version int64            `json:"version"`
-	InForce []string         `json:"in_force"`
-	Behind  map[string]int64 `json:"behind,omitempty"`
-	Unresponsive  []string         `json:"silent,omitempty"`
+	Version      int64            `json:"version"`
+	InForce      []string         `json:"in_force"`
+	Behind       map[string]int64 `json:"behind,omitempty"`
+	Unresponsive []string         `json:"silent,omitempty"`
 }
 
-// probeParallel bounds the probes of one report that are under way at once.
-const probeParallel = 32
+// maxConcurrentProbes bounds the probes of one report that are under way at once.
+const maxConcurrentProbes = 32
 
 // VersionReport asks every daemon which configuration version it has in force.
 func (n *Node) VersionReport(ctx context.Context, want int64) VersionReport {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	type result struct {
 		vm      string
@@ -199,7 +199,7 @@
 	}
 	vms := maps.Clone(n.snapshot.Load().vms)
 	results := make(chan result, len(vms))
-	slots := make(chan struct{}, probeParallel)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	for _, v := range vms {
 		go func() {
 			slots <- struct{}{}
--- a/pkg/node/control_leaving.go
+++ b/pkg/node/control_leaving.go
@@ -21,15 +21,15 @@
 	go n.leave()
 }
 
-// drainPeriod is the time between looks at whether the backend server drains, and drainTime the longest look.
+// drainPollPeriod is the time between looks at whether the backend server drains, and drainPollTimeout the longest look.
 const (
-	drainPeriod = time.Second
-	drainTime   = 500 * time.Millisecond
+	drainPollPeriod  = time.Second
+	drainPollTimeout = 500 * time.Millisecond
 )
 
 // pollDrain asks the backend server whether it drains; only its clear word counts, since health endpoints mislead.
 func (n *Node) pollDrain(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, drainTime)
+	ctx, cancel := context.WithTimeout(ctx, drainPollTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.cfg.Backend.Address+n.cfg.Backend.DrainPath, nil)
 	if err != nil {
@@ -46,24 +46,24 @@
 }
 
 func (n *Node) leave() {
-	err := n.onControl(n.ctx, func(s *controlState) {
-		s.mergeNode(n.clock.Now(), s.self())
-		n.publish(s)
-		s.spread()
+	err := n.runOnControl(n.ctx, func(s *controlState) {
+		s.mergeNode(n.clock.Now(), s.localInfo())
+		n.publishSnapshot(s)
+		s.exchangeWithNeighbors()
 	})
 	if err != nil {
 		return
 	}
-	for !n.giveRangesAway(n.ctx) {
-		if !clock.Sleep(n.ctx, waitTime/2) {
+	for !n.handOverOwnedRanges(n.ctx) {
+		if !clock.Sleep(n.ctx, platformRetryPause/2) {
 			return
 		}
 	}
 	n.log.leave.Info("no key ranges are left here")
 }
 
-// giveRangesAway hands all ranges to other nodes; it reports whether none is left.
-func (n *Node) giveRangesAway(ctx context.Context) bool {
+// handOverOwnedRanges hands all ranges to other nodes; it reports whether none is left.
+func (n *Node) handOverOwnedRanges(ctx context.Context) bool {
 	if n.cfg.Service == "" {
 		return true
 	}
@@ -79,11 +79,11 @@
 	if len(nodes) == 0 {
 		return false
 	}
-	return n.handOverAll(ctx, v.row, mine, nodes)
+	return n.handOverRanges(ctx, v.row, mine, nodes)
 }
 
-// stopGrace is the time between the start of leaving and the closing of listeners, in which peers learn of it.
-const stopGrace = 300 * time.Millisecond
+// leaveNoticeWait is the time between the start of leaving and the closing of listeners, in which peers learn of it.
+const leaveNoticeWait = 300 * time.Millisecond
 
 // Stop leaves, waits until every call in progress has ended and the key ranges are handed over, and
 // then stops. The context or settings bound the wait.
@@ -91,30 +91,30 @@
 	n.Leave("stop")
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.Backend.StopWait)
 	defer cancel()
-	_ = clock.Sleep(ctx, stopGrace) // cut short by the context only
+	_ = clock.Sleep(ctx, leaveNoticeWait) // cut short by the context only
 	for ctx.Err() == nil && n.ownsRanges() {
 		_ = clock.Sleep(ctx, 20*time.Millisecond)
 	}
-	n.drain(ctx, n.callers)
+	n.shutdownServer(ctx, n.callers)
 	// The backend server may still make calls for those in progress, so its listener goes last.
 	for ctx.Err() == nil && n.running.Load() > 0 {
 		_ = clock.Sleep(ctx, 10*time.Millisecond)
 	}
-	n.drain(ctx, n.outbound)
+	n.shutdownServer(ctx, n.outbound)
 	if left := n.running.Load(); left > 0 {
 		n.log.leave.Warn("stop waits no longer for calls in progress", "calls", left)
 	}
 	// The last answers may still be on their way out of the peer socket.
-	_ = clock.Sleep(ctx, lastAnswers)
+	_ = clock.Sleep(ctx, finalAnswerWait)
 	n.log.leave.Info("daemon stops")
 	return n.Close()
 }
 
-// lastAnswers is the time for the last answers to leave before connections are closed.
-const lastAnswers = 150 * time.Millisecond
+// finalAnswerWait is the time for the last answers to leave before connections are closed.
+const finalAnswerWait = 150 * time.Millisecond
 
-// drain closes a listener and waits for its requests in progress.
-func (n *Node) drain(ctx context.Context, s *http.Server) {
+// shutdownServer closes a listener and waits for its requests in progress.
+func (n *Node) shutdownServer(ctx context.Context, s *http.Server) {
 	if s == nil {
 		return
 	}
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -15,40 +15,40 @@
 // controlTick is the period of the control goroutine.
 const controlTick = 50 * time.Millisecond
 
-// recentFor is the time for which news of a node goes along with every exchange.
-const recentFor = 5 * time.Second
+// recentUpdateAge is the time for which news of a node goes along with every exchange.
+const recentUpdateAge = 5 * time.Second
 
 // controlState is what the control goroutine owns.
 type controlState struct {
-	n        *Node
-	register config.Register
-	roster   member.Roster
-	rows     map[string]onceonly.Row
-	recent   map[string]time.Time // when news of a node was taken
+	n           *Node
+	register    config.Register
+	roster      member.Roster
+	rows        map[string]onceonly.Row
+	recentNodes map[string]time.Time // when news of a node was taken
 
-	started      time.Time
-	dirty        bool // something is to be spread
-	turn         int  // neighbour of the next regular exchange
-	nextExchange time.Time
-	nextHead     time.Time
-	nextVMs      time.Time
-	nextRanges   time.Time
-	nextDrain    time.Time
-	busy         map[string]bool // work of which one instance runs at a time
+	started       time.Time
+	changed       bool // something is to be spread
+	neighborIndex int  // neighbour of the next regular exchange
+	nextExchange  time.Time
+	nextHead      time.Time
+	nextVMs       time.Time
+	nextRanges    time.Time
+	nextDrain     time.Time
+	running       map[string]bool // work of which one instance runs at a time
 }
 
 func newControlState(n *Node) *controlState {
 	now := n.clock.Now()
 	s := &controlState{
 		n: n, started: now, rows: map[string]onceonly.Row{},
-		recent: map[string]time.Time{}, busy: map[string]bool{},
+		recentNodes: map[string]time.Time{}, running: map[string]bool{},
 	}
-	s.mergeNode(now, s.self())
+	s.mergeNode(now, s.localInfo())
 	return s
 }
 
-// self is what this node says of itself.
-func (s *controlState) self() member.NodeInfo {
+// localInfo is what this node says of itself.
+func (s *controlState) localInfo() member.NodeInfo {
 	return member.NodeInfo{VM: s.n.cfg.VM, Incarnation: s.n.incarnation, Leaving: s.n.leaving.Load()}
 }
 
@@ -72,8 +72,8 @@
 // errStopped reports that the daemon has stopped.
 var errStopped = errors.New("daemon has stopped")
 
-// onControl runs fn in the control goroutine and waits for it.
-func (n *Node) onControl(ctx context.Context, fn func(*controlState)) error {
+// runOnControl runs fn in the control goroutine and waits for it.
+func (n *Node) runOnControl(ctx context.Context, fn func(*controlState)) error {
 	done := make(chan struct{})
 	select {
 	case n.control <- func(s *controlState) { fn(s); close(done) }:
@@ -91,8 +91,8 @@
 	}
 }
 
-// toControl hands fn to the control goroutine without waiting.
-func (n *Node) toControl(fn func(*controlState)) {
+// enqueueControl hands fn to the control goroutine without waiting.
+func (n *Node) enqueueControl(fn func(*controlState)) {
 	select {
 	case n.control <- fn:
 	case <-n.ctx.Done():
@@ -101,28 +101,28 @@
 
 func (s *controlState) tick(now time.Time) {
 	c := s.n.cfg.Control
-	if s.dirty {
-		s.dirty = false
-		s.spread()
+	if s.changed {
+		s.changed = false
+		s.exchangeWithNeighbors()
 	}
 	if due(now, &s.nextExchange, c.Exchange) {
-		s.exchangeNext()
+		s.exchangeWithNext()
 	}
 	if due(now, &s.nextHead, s.n.jitter(c.PollHead)) {
-		s.work("head", s.n.pollTable)
+		s.startWork("head", s.n.pollTable)
 	}
-	if due(now, &s.nextVMs, s.n.jitter(s.listPeriod())) {
-		s.work("vms", s.n.pollList)
+	if due(now, &s.nextVMs, s.n.jitter(s.vmListPeriod())) {
+		s.startWork("vms", s.n.pollVMList)
 	}
-	if due(now, &s.nextRanges, rangePeriod) && s.n.cfg.Service != "" {
-		s.work("ranges", s.n.keepRanges)
+	if due(now, &s.nextRanges, rangeCheckPeriod) && s.n.cfg.Service != "" {
+		s.startWork("ranges", s.n.reconcileRanges)
 	}
-	if s.n.cfg.Backend.DrainPath != "" && due(now, &s.nextDrain, drainPeriod) {
-		s.work("drain", s.n.pollDrain)
+	if s.n.cfg.Backend.DrainPath != "" && due(now, &s.nextDrain, drainPollPeriod) {
+		s.startWork("drain", s.n.pollDrain)
 	}
-	for vm, at := range s.recent {
-		if now.Sub(at) > recentFor {
-			delete(s.recent, vm)
+	for vm, at := range s.recentNodes {
+		if now.Sub(at) > recentUpdateAge {
+			delete(s.recentNodes, vm)
 		}
 	}
 }
@@ -136,16 +136,16 @@
 	return true
 }
 
-// work runs fn in a goroutine of its own unless the last run of the same name goes on.
-func (s *controlState) work(name string, fn func(context.Context)) {
-	if s.busy[name] {
+// startWork runs fn in a goroutine of its own unless the last run of the same name goes on.
+func (s *controlState) startWork(name string, fn func(context.Context)) {
+	if s.running[name] {
 		return
 	}
-	s.busy[name] = true
+	s.running[name] = true
 	n := s.n
 	go func() {
 		fn(n.ctx)
-		n.toControl(func(s *controlState) { delete(s.busy, name) })
+		n.enqueueControl(func(s *controlState) { delete(s.running, name) })
 	}()
 }
 
@@ -157,7 +157,7 @@
 	}
 	s.n.log.control.Info("configuration in force", "version", doc.Version, "before", old, "change", doc.ChangeID)
 	s.n.metrics.Set("config_version", doc.Version)
-	s.dirty = true
+	s.changed = true
 	return true
 }
 
@@ -171,7 +171,7 @@
 		now := s.n.clock.Now()
 		s.n.home.with(func(h *onceonly.Home) { h.Adopt(now, row) })
 	}
-	s.dirty = true
+	s.changed = true
 	return true
 }
 
@@ -184,18 +184,18 @@
 	if known && old.Incarnation != info.Incarnation {
 		s.n.pool.Renew(info.VM)
 	}
-	s.recent[info.VM] = now
-	s.dirty = true
+	s.recentNodes[info.VM] = now
+	s.changed = true
 	return true
 }
 
-// publish makes a new snapshot for calls.
-func (n *Node) publish(s *controlState) {
+// publishSnapshot makes a new snapshot for calls.
+func (n *Node) publishSnapshot(s *controlState) {
 	old := n.snapshot.Load()
 	snap := &snapshot{
 		plan: s.register.Plan(), doc: s.register.Document(),
 		vms: map[string]member.VM{}, nodes: map[string]member.NodeInfo{},
-		rows: maps.Clone(s.rows), selfTarget: map[*config.Treatment]bool{},
+		rows: maps.Clone(s.rows), localTargets: map[*config.Treatment]bool{},
 	}
 	for _, v := range s.roster.VMs() {
 		c := routing.Candidate{VM: v, Leaving: s.roster.Leaving(v.Name)}
@@ -215,13 +215,13 @@
 		snap.nodes[info.VM] = info
 	}
 	snap.neighbors = n.neighbors(snap)
-	n.markSelf(snap)
+	n.markLocalTargets(snap)
 	n.pool.Keep(func(vm string) bool { _, ok := snap.vms[vm]; return ok })
 	for _, srv := range n.pool.All() {
 		srv.SetLeaving(s.roster.Leaving(srv.VM))
 	}
 	if old.plan != snap.plan {
-		n.followSlots(snap)
+		n.updateGateSlots(snap)
 	}
 	n.snapshot.Store(snap)
 }
@@ -243,21 +243,21 @@
 	return list
 }
 
-// markSelf notes for which treatments of the own service the policy targets this VM.
-func (n *Node) markSelf(snap *snapshot) {
+// markLocalTargets notes for which treatments of the own service the policy targets this VM.
+func (n *Node) markLocalTargets(snap *snapshot) {
 	if snap.plan == nil || n.cfg.Service == "" {
 		return
 	}
-	self, ok := candidate(snap, n.cfg.VM)
+	self, ok := findCandidate(snap, n.cfg.VM)
 	if !ok || self.Leaving {
 		return
 	}
 	for _, t := range snap.plan.Treatments(n.cfg.Service) {
-		snap.selfTarget[t] = t.Takes(self.Labels)
+		snap.localTargets[t] = t.Takes(self.Labels)
 	}
 }
 
-func candidate(snap *snapshot, vm string) (routing.Candidate, bool) {
+func findCandidate(snap *snapshot, vm string) (routing.Candidate, bool) {
 	for _, c := range snap.candidates {
 		if c.VM.Name == vm {
 			return c, true
@@ -266,7 +266,7 @@
 	return routing.Candidate{}, false
 }
 
-func (n *Node) followSlots(snap *snapshot) {
+func (n *Node) updateGateSlots(snap *snapshot) {
 	if snap.plan == nil {
 		return
 	}
--- a/pkg/node/control_platform.go
+++ b/pkg/node/control_platform.go
@@ -28,13 +28,13 @@
 	ChangeID string `json:"change_id"`
 }
 
-func (n *Node) platformTime(ctx context.Context) (context.Context, context.CancelFunc) {
+func (n *Node) withPlatformTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, n.cfg.Platform.Timeout)
 }
 
-// learn fills the control state at start: from the platform, else from its snapshot object and the seeds.
-func (n *Node) learn(ctx context.Context, s *controlState) {
-	if vms, err := n.readVMs(ctx); err == nil {
+// loadState fills the control state at start: from the platform, else from its snapshot object and the seeds.
+func (n *Node) loadState(ctx context.Context, s *controlState) {
+	if vms, err := n.listVMs(ctx); err == nil {
 		s.roster.Refresh(vms)
 	} else {
 		n.log.control.Warn("list of VMs can't be read", "err", err)
@@ -52,20 +52,20 @@
 	if plan == nil {
 		return
 	}
-	for _, row := range n.readRows(ctx, plan.Services()) {
+	for _, row := range n.readRangeRows(ctx, plan.Services()) {
 		s.offerRow(row)
 	}
 }
 
-func (n *Node) readVMs(ctx context.Context) ([]member.VM, error) {
-	ctx, cancel := n.platformTime(ctx)
+func (n *Node) listVMs(ctx context.Context) ([]member.VM, error) {
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	return n.platform.ListVMs(ctx)
 }
 
 // readDocument reads the newest configuration if it is above the version; nil without an error means that there is none.
 func (n *Node) readDocument(ctx context.Context, above int64) (*config.Document, error) {
-	ctx, cancel := n.platformTime(ctx)
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	rows, err := n.platform.Read(ctx, []string{keyHead})
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 func (n *Node) readSnapshotObject(ctx context.Context) *config.Document {
-	ctx, cancel := n.platformTime(ctx)
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	data, err := n.platform.GetObject(ctx, objectDocument)
 	if err != nil {
@@ -117,8 +117,8 @@
 	return &doc
 }
 
-func (n *Node) readRows(ctx context.Context, services []string) []onceonly.Row {
-	ctx, cancel := n.platformTime(ctx)
+func (n *Node) readRangeRows(ctx context.Context, services []string) []onceonly.Row {
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	keys := make([]string, len(services))
 	for i, s := range services {
@@ -150,46 +150,46 @@
 	}
 	var rows []onceonly.Row
 	if n.cfg.Service != "" {
-		rows = n.readRows(ctx, []string{n.cfg.Service})
+		rows = n.readRangeRows(ctx, []string{n.cfg.Service})
 	}
-	n.toControl(func(s *controlState) { s.take(exchange{Doc: doc, Rows: rows}) })
+	n.enqueueControl(func(s *controlState) { s.merge(exchange{Doc: doc, Rows: rows}) })
 }
 
-// pollList looks for changes of the list of VMs. While there is no list, the seeds are asked for state.
-func (n *Node) pollList(ctx context.Context) {
-	vms, err := n.readVMs(ctx)
+// pollVMList looks for changes of the list of VMs. While there is no list, the seeds are asked for state.
+func (n *Node) pollVMList(ctx context.Context) {
+	vms, err := n.listVMs(ctx)
 	if err != nil {
 		n.log.control.Warn("list of VMs can't be read", "err", err)
-		n.askSeeds(ctx)
+		n.exchangeWithSeeds(ctx)
 		return
 	}
-	n.toControl(func(s *controlState) {
+	n.enqueueControl(func(s *controlState) {
 		before := s.roster.Changes()
 		if !s.roster.Refresh(vms) {
 			n.log.control.Warn("list of VMs looks implausible and is set aside", "vms", len(vms))
 			return
 		}
 		if s.roster.Changes() != before {
-			n.publish(s)
+			n.publishSnapshot(s)
 		}
 	})
 }
 
-// listPerVM makes the time between readings of the list of VMs grow with the list, so that the bytes read a
+// vmListPeriodPerVM makes the time between readings of the list of VMs grow with the list, so that the bytes read a
 // second don't.
-const listPerVM = 50 * time.Millisecond
+const vmListPeriodPerVM = 50 * time.Millisecond
 
-// listPeriod is the time until the next reading of the list: short while a VM is missing from the last one.
-func (s *controlState) listPeriod() time.Duration {
+// vmListPeriod is the time until the next reading of the list: short while a VM is missing from the last one.
+func (s *controlState) vmListPeriod() time.Duration {
 	period := s.n.cfg.Control.PollList
 	if s.roster.Doubtful() {
 		return period
 	}
-	return max(period, time.Duration(len(s.n.snapshot.Load().vms))*listPerVM)
+	return max(period, time.Duration(len(s.n.snapshot.Load().vms))*vmListPeriodPerVM)
 }
 
-// askSeeds exchanges state with the seeds, and learns their VMs, while the platform can't be read.
-func (n *Node) askSeeds(ctx context.Context) {
+// exchangeWithSeeds exchanges state with the seeds, and learns their VMs, while the platform can't be read.
+func (n *Node) exchangeWithSeeds(ctx context.Context) {
 	if len(n.snapshot.Load().vms) > 1 && n.snapshot.Load().plan != nil {
 		return
 	}
@@ -197,21 +197,21 @@
 		if err := n.exchangeWith(ctx, "", addr); err != nil {
 			n.log.control.Debug("seed can't be asked", "seed", addr, "err", err)
 		}
-		n.learnVMs(ctx, addr)
+		n.fetchVMList(ctx, addr)
 	}
 }
 
-// learnVMs takes the list of VMs that another daemon goes by.
-func (n *Node) learnVMs(ctx context.Context, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+// fetchVMList takes the list of VMs that another daemon goes by.
+func (n *Node) fetchVMList(ctx context.Context, addr string) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var list vmList
 	if err := n.peers.control(ctx, "", addr, pathVMs, struct{}{}, &list); err != nil || len(list.VMs) == 0 {
 		return
 	}
-	n.toControl(func(s *controlState) {
+	n.enqueueControl(func(s *controlState) {
 		if s.roster.Refresh(list.VMs) {
-			n.publish(s)
+			n.publishSnapshot(s)
 		}
 	})
 }
@@ -221,8 +221,8 @@
 	VMs []member.VM `json:"vms"`
 }
 
-func (n *Node) vmList(ctx context.Context) (list vmList, err error) {
-	err = n.onControl(ctx, func(s *controlState) { list.VMs = s.roster.VMs() })
+func (n *Node) localVMList(ctx context.Context) (list vmList, err error) {
+	err = n.runOnControl(ctx, func(s *controlState) { list.VMs = s.roster.VMs() })
 	return list, err
 }
 
@@ -234,19 +234,19 @@
 		Checks: []store.Check{{Key: key, Version: row.Version - 1}},
 		Writes: []store.Write{{Key: key, Value: marshal(row)}},
 	}
-	pctx, cancel := n.platformTime(ctx)
+	pctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	err := n.platform.Commit(pctx, tx)
 	var conflict *store.ConflictError
 	if err == nil || !errors.As(err, &conflict) {
 		return row, err
 	}
-	rows := n.readRows(ctx, []string{row.Service})
+	rows := n.readRangeRows(ctx, []string{row.Service})
 	if len(rows) == 0 {
 		return onceonly.Row{}, err
 	}
 	return rows[0], nil
 }
 
-// waitTime is the pause between tries of work that waits for the platform.
-const waitTime = time.Second
+// platformRetryPause is the pause between tries of work that waits for the platform.
+const platformRetryPause = time.Second
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -42,17 +42,17 @@
 	snapshot atomic.Pointer[snapshot]
 
 	// What calls share.
-	pool     routing.Pool
-	levels   level.View
-	needs    needTable
-	gate     *gatekeeper
-	home     *homeKeeper
-	guard    repeat.Guard
-	notes    chan repeat.Note
-	inbounds sync.Map // id to *inbound
-	nextID   atomic.Uint64
-	running  atomic.Int64 // calls and runs in progress; a stop waits for none to be left
-	leaving  atomic.Bool
+	pool          routing.Pool
+	levels        level.View
+	latencyFloors latencyFloors
+	gate          *lockedGate
+	home          *lockedHome
+	guard         repeat.Guard
+	notes         chan repeat.Note
+	inbounds      sync.Map // id to *inbound
+	nextID        atomic.Uint64
+	running       atomic.Int64 // calls and runs in progress; a stop waits for none to be left
+	leaving       atomic.Bool
 
 	rndMu sync.Mutex
 	rnd   *rand.Rand
@@ -91,13 +91,13 @@
 	}
 	n := &Node{
 		cfg: cfg, clock: opts.Clock, platform: opts.Platform, keys: opts.Keys,
-		network: opts.Network.fill(), metrics: opts.Metrics,
+		network: opts.Network.withDefaults(), metrics: opts.Metrics,
 		log: logs{
 			call: logger("call"), control: logger("control"), peer: logger("peer"),
 			leave: logger("leave"), once: logger("once-only"),
 		},
 		control: make(chan func(*controlState), 256),
-		notes:   make(chan repeat.Note, maxNotes),
+		notes:   make(chan repeat.Note, maxQueuedNotes),
 		rnd:     rand.New(rand.NewPCG(seed, 1)),
 		stopped: make(chan struct{}),
 	}
@@ -105,7 +105,7 @@
 	if n.metrics == nil {
 		n.metrics = metric.NewSet()
 	}
-	n.home = newHomeKeeper(onceonly.Home{
+	n.home = newLockedHome(onceonly.Home{
 		Service: cfg.Service, VM: cfg.VM, Incarnation: n.incarnation,
 		Memory: onceonly.Memory{
 			Window: cfg.OnceOnly.Window, MaxKeys: cfg.OnceOnly.MaxKeys, AnswerBytes: cfg.OnceOnly.AnswerBytes,
@@ -115,13 +115,13 @@
 	return n, nil
 }
 
-// gateTick is the period at which the gate checks its queue.
-const gateTick = 10 * time.Millisecond
+// gateTickPeriod is the period at which the gate checks its queue.
+const gateTickPeriod = 10 * time.Millisecond
 
 // Start binds the listeners, learns the configuration and begins to serve.
 func (n *Node) Start(ctx context.Context) error {
 	n.ctx, n.stop = context.WithCancel(context.WithoutCancel(ctx))
-	n.gate = newGatekeeper(admission.NewGate(admission.Settings{
+	n.gate = newLockedGate(admission.NewGate(admission.Settings{
 		Slots: 1, Floor: n.cfg.Admission.Floor, Target: n.cfg.Admission.Target,
 		MaxSojourn: n.cfg.Admission.MaxSojourn, Ramp: n.cfg.Backend.Ramp,
 	}, n.clock.Now()))
@@ -132,12 +132,12 @@
 		return err
 	}
 	state := newControlState(n)
-	n.learn(ctx, state)
-	n.publish(state)
+	n.loadState(ctx, state)
+	n.publishSnapshot(state)
 	go n.controlLoop(state)
-	go n.tickGate()
+	go n.runGateTicks()
 	if cfg := n.cfg.Listen; cfg.Callers != "" {
-		go n.sendNotes()
+		go n.broadcastRetryNotes()
 	}
 	if err := n.startHTTP(); err != nil {
 		return errors.Join(err, n.Close())
@@ -147,21 +147,21 @@
 	return nil
 }
 
-func (n *Node) tickGate() {
-	ticks, stop := n.clock.NewTicker(gateTick)
+func (n *Node) runGateTicks() {
+	ticks, stop := n.clock.NewTicker(gateTickPeriod)
 	defer stop()
 	for {
 		select {
 		case <-ticks:
 			n.gate.tick(n.clock.Now())
-			n.publishGate()
+			n.publishGateMetrics()
 		case <-n.ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) publishGate() {
+func (n *Node) publishGateMetrics() {
 	r := n.gate.read(n.clock.Now())
 	n.metrics.Set("limit", int64(r.Limit))
 	n.metrics.Set("running", int64(r.Running))
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// random calls fn with the daemon's random source.
-func (n *Node) random(fn func(*rand.Rand)) {
+// withRand calls fn with the daemon's withRand source.
+func (n *Node) withRand(fn func(*rand.Rand)) {
 	n.rndMu.Lock()
 	defer n.rndMu.Unlock()
 	fn(n.rnd)
@@ -202,7 +202,7 @@
 // jitter returns d spread by half of it to either side.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	var f float64
-	n.random(func(r *rand.Rand) { f = r.Float64() })
+	n.withRand(func(r *rand.Rand) { f = r.Float64() })
 	return time.Duration(float64(d) * (0.5 + f))
 }
 
--- a/pkg/node/node_options.go
+++ b/pkg/node/node_options.go
@@ -20,7 +20,7 @@
 	DialBackend func(ctx context.Context, address string) (net.Conn, error)
 }
 
-func (w Network) fill() Network {
+func (w Network) withDefaults() Network {
 	if w.Listen == nil {
 		w.Listen = func(a string) (net.Listener, error) { return net.Listen("tcp", a) }
 	}
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -41,19 +41,19 @@
 
 // Dump is the whole state of a daemon that helps to see what it does.
 type Dump struct {
-	Status    Status                       `json:"status"`
-	At        time.Time                    `json:"at"`
-	Levels    map[string]priority.Priority `json:"levels"` // learned from answers, by route
-	LatencyFloors     map[string]time.Duration     `json:"needs_ns"`
-	Servers   []routing.Reading            `json:"servers"`
-	Calls     []ActiveCall                `json:"calls"` // in progress, at most maxDumpCalls
-	Keys      onceonly.Counts              `json:"keys"`
-	Ranges    []int                        `json:"ranges"`
-	RangeRows map[string]int64             `json:"range_rows"` // versions by service
-	Neighbors []string                     `json:"neighbors"`
-	Nodes     map[string]member.NodeInfo   `json:"nodes"`
-	PeerConns int                          `json:"peer_connections"`
-	Repeats   int                          `json:"repeat_keys"`
+	Status        Status                       `json:"status"`
+	At            time.Time                    `json:"at"`
+	Levels        map[string]priority.Priority `json:"levels"` // learned from answers, by route
+	LatencyFloors map[string]time.Duration     `json:"needs_ns"`
+	Servers       []routing.Reading            `json:"servers"`
+	Calls         []ActiveCall                 `json:"calls"` // in progress, at most maxDumpCalls
+	Keys          onceonly.Counts              `json:"keys"`
+	Ranges        []int                        `json:"ranges"`
+	RangeRows     map[string]int64             `json:"range_rows"` // versions by service
+	Neighbors     []string                     `json:"neighbors"`
+	Nodes         map[string]member.NodeInfo   `json:"nodes"`
+	PeerConns     int                          `json:"peer_connections"`
+	Repeats       int                          `json:"repeat_keys"`
 }
 
 // ActiveCall is a call in progress.
@@ -75,14 +75,14 @@
 	now := n.clock.Now()
 	snap := n.snapshot.Load()
 	d := Dump{
-		Status: n.Status(), At: now, Levels: n.levels.All(now), LatencyFloors: n.needs.all(),
+		Status: n.Status(), At: now, Levels: n.levels.All(now), LatencyFloors: n.latencyFloors.all(),
 		RangeRows: map[string]int64{}, Nodes: snap.nodes, PeerConns: n.peers.count(), Repeats: n.guard.Len(),
 	}
 	for _, s := range n.pool.All() {
 		d.Servers = append(d.Servers, s.Read(now))
 	}
 	n.inbounds.Range(func(_, x any) bool {
-		d.Calls = append(d.Calls, x.(*inbound).reading(now))
+		d.Calls = append(d.Calls, x.(*inbound).activeCall(now))
 		return len(d.Calls) < maxDumpCalls
 	})
 	n.home.with(func(h *onceonly.Home) {
@@ -98,18 +98,18 @@
 	return d
 }
 
-func (in *inbound) reading(now time.Time) ActiveCall {
-	r := in.read(now)
+func (in *inbound) activeCall(now time.Time) ActiveCall {
+	r := in.stats(now)
 	return ActiveCall{
 		ID: in.id, Root: in.call.Root, Class: in.call.Class, Priority: in.call.Priority,
 		Tokens: in.ledger.Balance(), LeftMS: in.deadline.Sub(now).Milliseconds(), Outbound: r.outbound,
 	}
 }
 
-func (t *needTable) all() map[string]time.Duration {
+func (t *latencyFloors) all() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	t.routes.Range(func(k, x any) bool {
-		out[k.(string)] = time.Duration(x.(*need).current.Load())
+		out[k.(string)] = time.Duration(x.(*routeLatency).floor.Load())
 		return true
 	})
 	return out
@@ -240,7 +240,7 @@
 			count++
 		}
 	}
-	if !n.changeRow(ctx, row, "released by an operator") {
+	if !n.commitAndAdoptRow(ctx, row, "released by an operator") {
 		return 0, &HandoverError{"the row couldn't be changed; ask again"}
 	}
 	return count, nil
--- a/pkg/node/outbound_server.go
+++ b/pkg/node/outbound_server.go
@@ -23,53 +23,53 @@
 	wire.StripInternal(r.Header)
 	q, err := readRequest(r, n.cfg.Limits.RequestBytes)
 	if err == nil {
-		err = checkKey(q.header.Get(wire.HeaderKey))
+		err = validateKey(q.header.Get(wire.HeaderKey))
 	}
 	if err != nil {
-		n.toCaller(w, badRequest(err))
+		n.writeToCaller(w, badRequestAnswer(err))
 		return
 	}
 	plan := n.snapshot.Load().plan
 	if plan == nil {
-		n.toCaller(w, refusal(wire.ReasonNoServer, time.Second))
+		n.writeToCaller(w, notRunAnswer(wire.ReasonNoServer, time.Second))
 		return
 	}
 	t := plan.Call(q.host, q.match())
 	if t == nil {
-		n.toCaller(w, refusal(wire.ReasonNoRoute, 0))
+		n.writeToCaller(w, notRunAnswer(wire.ReasonNoRoute, 0))
 		return
 	}
 	var a *answer
 	if x, ok := n.inbounds.Load(id); ok {
-		a = n.outboundUnder(r.Context(), x.(*inbound), t, q)
+		a = n.sendChild(r.Context(), x.(*inbound), t, q)
 	} else {
-		a = n.outboundRoot(r.Context(), t, q)
+		a = n.sendRootFromBackend(r.Context(), t, q)
 	}
-	defer a.finish()
-	n.toCaller(w, a)
+	defer a.discardRest()
+	n.writeToCaller(w, a)
 }
 
-// outboundUnder sends a call that belongs to an inbound one: with its priority, its deadline and its tokens.
-func (n *Node) outboundUnder(ctx context.Context, in *inbound, t *config.Treatment, q *request) *answer {
+// sendChild sends a call that belongs to an inbound one: with its priority, its deadline and its tokens.
+func (n *Node) sendChild(ctx context.Context, in *inbound, t *config.Treatment, q *request) *answer {
 	signature := q.signature(t.Service)
 	if !in.ledger.Begin(signature) {
 		n.metrics.Inc("retries_denied")
-		return refusal(wire.ReasonRetries, 0)
+		return notRunAnswer(wire.ReasonRetries, 0)
 	}
-	in.begin(n.clock.Now())
+	in.beginOutbound(n.clock.Now())
 	// The call ends when the backend server gives it up, and when the inbound call itself ends.
 	ctx, cancel := context.WithCancel(ctx)
 	defer context.AfterFunc(in.ctx, cancel)()
-	s := &sending{treatment: t, deadline: in.deadline, req: q, ledger: in.ledger, call: in.call}
+	s := &outgoingCall{treatment: t, deadline: in.deadline, req: q, ledger: in.ledger, call: in.call}
 	s.call.Service, s.call.Class, s.call.Delegated, s.call.Key = t.Service, t.Class, false, ""
 	var a *answer
-	if ok := n.keyUnder(in, s, signature); ok {
+	if ok := n.setChildKey(in, s, signature); ok {
 		a = n.send(ctx, s)
 	} else {
-		a = refusal(wire.ReasonNoServer, 0)
+		a = notRunAnswer(wire.ReasonNoServer, 0)
 	}
 	in.ledger.End(signature, a.meta.Outcome != wire.Ran || a.status >= 500)
-	in.end(n.clock.Now(), signature, a.meta)
+	in.endOutbound(n.clock.Now(), signature, a.meta)
 	if a.rest != nil {
 		a.rest = &cancelReader{ReadCloser: a.rest, cancel: cancel}
 	} else {
@@ -78,9 +78,9 @@
 	return a
 }
 
-// keyUnder gives a once-only call its key: the backend server's own, or, under once-only work, which
+// setChildKey gives a once-only call its key: the backend server's own, or, under once-only work, which
 // runs at most once itself, a token; otherwise one that a retried parent derives again.
-func (n *Node) keyUnder(in *inbound, s *sending, signature uint64) bool {
+func (n *Node) setChildKey(in *inbound, s *outgoingCall, signature uint64) bool {
 	if !s.treatment.OnceOnly {
 		return true
 	}
@@ -89,25 +89,25 @@
 		s.otherAttempts = true
 		return true
 	}
-	place := in.place(signature)
+	place := in.successCount(signature)
 	if in.call.Key == "" {
 		s.call.Key = onceonly.DeriveKey(in.call.Root, "", signature, place)
 		s.otherAttempts = true
 		return true
 	}
 	var ok bool
-	s.call.Key, ok = in.token(signature+uint64(place), func() (string, bool) {
+	s.call.Key, ok = in.onceToken(signature+uint64(place), func() (string, bool) {
 		return n.newToken(s.treatment, s.call.Priority)
 	})
 	return ok
 }
 
-// outboundRoot sends a call that belongs to no inbound one, such as a backend server's own job.
-func (n *Node) outboundRoot(ctx context.Context, t *config.Treatment, q *request) *answer {
+// sendRootFromBackend sends a call that belongs to no inbound one, such as a backend server's own job.
+func (n *Node) sendRootFromBackend(ctx context.Context, t *config.Treatment, q *request) *answer {
 	now := n.clock.Now()
 	key := q.header.Get(wire.HeaderKey)
 	root := uuid.NewString()
-	s := &sending{
+	s := &outgoingCall{
 		treatment: t, deadline: now.Add(t.Timeout), req: q, ledger: ledger.New(t.Retries),
 		call: wire.Call{
 			Root: root, Service: t.Service, Class: t.Class,
--- a/pkg/node/peer_client.go
+++ b/pkg/node/peer_client.go
@@ -23,11 +23,11 @@
 
 // The bounds of connections between daemons.
 const (
-	peerIdle      = 20 * time.Second
-	peerHandshake = 2 * time.Second
-	peerDial      = 3 * time.Second
-	// maxControl bounds a control message in bytes.
-	maxControl = 16 << 20
+	peerIdleTimeout      = 20 * time.Second
+	peerHandshakeTimeout = 2 * time.Second
+	peerDialTimeout      = 3 * time.Second
+	// maxControlBytes bounds a control message in bytes.
+	maxControlBytes = 16 << 20
 )
 
 // DialError reports that no connection to a peer could be made, so that nothing was sent.
@@ -121,7 +121,7 @@
 
 func (p *peerClients) dial(c *peerConn, key, vm, addr string) {
 	defer close(c.ready)
-	ctx, cancel := context.WithTimeout(context.Background(), peerDial)
+	ctx, cancel := context.WithTimeout(context.Background(), peerDialTimeout)
 	defer cancel()
 	var ap netip.AddrPort
 	ap, c.err = netip.ParseAddrPort(addr)
@@ -173,31 +173,31 @@
 func (p *peerClients) call(ctx context.Context, srv *routing.Server, call wire.Call, q *request) *answer {
 	c, err := p.get(ctx, srv.VM, srv.Peer)
 	if err != nil {
-		return refusal(wire.ReasonNoServer, 0)
+		return notRunAnswer(wire.ReasonNoServer, 0)
 	}
 	req, err := http.NewRequestWithContext(ctx, q.method, "https://"+srv.Peer+q.uri, bytes.NewReader(q.body))
 	if err != nil {
-		return refusal(wire.ReasonBadRequest, 0)
+		return notRunAnswer(wire.ReasonBadRequest, 0)
 	}
 	req.Host = q.host
 	req.Header = q.header.Clone()
 	wire.EncodeCall(req.Header, call)
 	resp, err := c.client.RoundTrip(req)
 	if err != nil {
-		return uncertain(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonLost)
 	}
 	meta, err := wire.DecodeAnswer(resp.Header)
 	if err != nil {
 		_ = resp.Body.Close() // not an answer of a daemon
-		return uncertain(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonLost)
 	}
-	a := &answer{meta: meta, header: resp.Header, heard: true}
+	a := &answer{meta: meta, header: resp.Header, fromDaemon: true}
 	if meta.Outcome == wire.Ran {
 		a.status = resp.StatusCode
 	}
 	wire.StripInternal(a.header)
 	if err := a.readBody(resp.Body); err != nil {
-		return uncertain(wire.ReasonLost)
+		return unknownAnswer(wire.ReasonLost)
 	}
 	return a
 }
@@ -219,7 +219,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControl))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlBytes))
 	if err != nil {
 		return err
 	}
--- a/pkg/node/peer_server.go
+++ b/pkg/node/peer_server.go
@@ -19,11 +19,11 @@
 
 // The paths of control messages between daemons; a request with a call header is a call, whatever its path.
 const (
-	pathExchange = "/.rockspoke/exchange"
-	pathSettle   = "/.rockspoke/settle"
-	pathHandover = "/.rockspoke/handover"
-	pathNotes    = "/.rockspoke/repeats"
-	pathVMs      = "/.rockspoke/vms"
+	pathExchange   = "/.rockspoke/exchange"
+	pathSettle     = "/.rockspoke/settle"
+	pathHandover   = "/.rockspoke/handover"
+	pathRetryNotes = "/.rockspoke/repeats"
+	pathVMs        = "/.rockspoke/vms"
 )
 
 // startPeers binds the peer socket, which serves other daemons and calls them.
@@ -37,7 +37,7 @@
 	reset := quic.StatelessResetKey(sha256.Sum256(append([]byte("reset/"+n.cfg.VM+"/"), n.keys.Current().Secret...)))
 	transport := &quic.Transport{Conn: conn, StatelessResetKey: &reset}
 	cfg := &quic.Config{
-		MaxIdleTimeout: peerIdle, HandshakeIdleTimeout: peerHandshake,
+		MaxIdleTimeout: peerIdleTimeout, HandshakeIdleTimeout: peerHandshakeTimeout,
 		MaxIncomingStreams: n.cfg.Limits.Streams,
 	}
 	n.peers = newPeerClients(transport, n.keys, cfg, n.metrics)
@@ -64,15 +64,15 @@
 	}
 	switch r.URL.Path {
 	case pathExchange:
-		serveControl(n, w, r, func(in exchange) (exchange, error) { return n.takeExchange(r.Context(), in) })
+		serveControl(n, w, r, func(in exchange) (exchange, error) { return n.handleExchange(r.Context(), in) })
 	case pathSettle:
-		serveControl(n, w, r, func(in settleRequest) (settleReply, error) { return n.settleHere(in), nil })
+		serveControl(n, w, r, func(in settleRequest) (settleReply, error) { return n.settleKey(in), nil })
 	case pathHandover:
-		serveControl(n, w, r, n.takeHandover)
-	case pathNotes:
-		serveControl(n, w, r, n.takeNotes)
+		serveControl(n, w, r, n.handleHandover)
+	case pathRetryNotes:
+		serveControl(n, w, r, n.handleRetryNotes)
 	case pathVMs:
-		serveControl(n, w, r, func(struct{}) (vmList, error) { return n.vmList(r.Context()) })
+		serveControl(n, w, r, func(struct{}) (vmList, error) { return n.localVMList(r.Context()) })
 	default:
 		http.Error(w, "no such control message", http.StatusNotFound)
 	}
@@ -81,7 +81,7 @@
 // serveControl reads a control message, has it taken, and writes the reply.
 func serveControl[In, Out any](n *Node, w http.ResponseWriter, r *http.Request, take func(In) (Out, error)) {
 	var in In
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxControl))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxControlBytes))
 	if err == nil {
 		err = json.Unmarshal(data, &in)
 	}
@@ -108,12 +108,12 @@
 	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
 		n.log.peer.Warn("call header refused", "err", err)
-		n.answerPeer(w, refusal(wire.ReasonBadRequest, 0), call.Tokens)
+		n.writePeerAnswer(w, notRunAnswer(wire.ReasonBadRequest, 0), call.Tokens)
 		return
 	}
 	q, err := readRequest(r, n.cfg.Limits.RequestBytes)
 	if err != nil {
-		n.answerPeer(w, refusal(wire.ReasonBadRequest, 0), call.Tokens)
+		n.writePeerAnswer(w, notRunAnswer(wire.ReasonBadRequest, 0), call.Tokens)
 		return
 	}
 	n.running.Add(1)
@@ -128,17 +128,17 @@
 	} else {
 		a = n.runLocal(ctx, in, q)
 	}
-	defer a.finish()
+	defer a.discardRest()
 	tokens := 0
 	if !in.detached {
 		tokens = n.endInbound(in)
 	}
 	n.metrics.Observe("call_time", n.clock.Now().Sub(arrived).Microseconds())
-	n.answerPeer(w, a, tokens)
+	n.writePeerAnswer(w, a, tokens)
 }
 
-func (n *Node) answerPeer(w http.ResponseWriter, a *answer, tokens int) {
-	n.stamp(a, tokens)
+func (n *Node) writePeerAnswer(w http.ResponseWriter, a *answer, tokens int) {
+	n.addNodeState(a, tokens)
 	wire.EncodeAnswer(w.Header(), a.meta)
 	a.writeTo(w)
 }
@@ -154,8 +154,8 @@
 	Taken int `json:"taken"`
 }
 
-// takeHandover takes the memory of key ranges from their owner.
-func (n *Node) takeHandover(h onceonly.Handover) (handoverReply, error) {
+// handleHandover takes the memory of key ranges from their owner.
+func (n *Node) handleHandover(h onceonly.Handover) (handoverReply, error) {
 	switch {
 	case h.Service != n.cfg.Service:
 		return handoverReply{}, &HandoverError{"this node serves " + n.cfg.Service}
--- a/pkg/node/snapshot.go
+++ b/pkg/node/snapshot.go
@@ -11,14 +11,14 @@
 
 // snapshot is the control state as calls see it; it never changes after it is published.
 type snapshot struct {
-	plan       *config.Plan
-	doc        *config.Document
-	candidates []routing.Candidate
-	vms        map[string]member.VM
-	nodes      map[string]member.NodeInfo
-	rows       map[string]onceonly.Row
-	neighbors  []member.VM
-	selfTarget map[*config.Treatment]bool
+	plan         *config.Plan
+	doc          *config.Document
+	candidates   []routing.Candidate
+	vms          map[string]member.VM
+	nodes        map[string]member.NodeInfo
+	rows         map[string]onceonly.Row
+	neighbors    []member.VM
+	localTargets map[*config.Treatment]bool
 
 	groups sync.Map // *config.Treatment to []routing.Group, worked out at first use
 }
@@ -43,6 +43,6 @@
 	return routing.Choice{Self: n.cfg.VM, Zone: n.cfg.Zone, Subset: n.cfg.Control.Subset}
 }
 
-func (n *Node) groups(t *config.Treatment) []routing.Group {
+func (n *Node) serverGroups(t *config.Treatment) []routing.Group {
 	return n.snapshot.Load().groupsOf(n.choice(), &n.pool, t)
 }
