--- a/pkg/node/backend_client.go
+++ b/pkg/node/backend_client.go
@@ -12,12 +12,13 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// headerDrain is set to "true" by a backend server that drains.
+// headerDrain is the header that a draining backend server sets to "true".
 const headerDrain = "Rockspoke-Drain"
 
-// backendIdleTimeout is the time for which an unused connection to the backend server is kept.
+// backendIdleTimeout is the time after which an unused connection to the backend server is closed.
 const backendIdleTimeout = 30 * time.Second
 
+// newBackendTransport returns the HTTP transport to the local backend server.
 func (n *Node) newBackendTransport() *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -29,8 +30,8 @@
 	}
 }
 
-// nonRewindableBody is a body that the HTTP client can't rewind. Without it the client would send a request
-// with an Idempotency-Key, or without a body, a second time when a kept-alive connection breaks.
+// nonRewindableBody is a request body that the HTTP client can't rewind. With a rewindable or empty body, the client would
+// send a request with an Idempotency-Key a second time when a keep-alive connection breaks.
 type nonRewindableBody struct {
 	data []byte
 }
@@ -48,8 +49,7 @@
 // Close does nothing.
 func (r *nonRewindableBody) Close() error { return nil }
 
-// callBackend hands a call to this VM's backend server. From the moment that it has a connection, the
-// call counts as possibly run.
+// callBackend sends a call to the local backend server. Once it has a connection, the call counts as possibly run.
 func (n *Node) callBackend(ctx context.Context, in *inbound, q *request) *answer {
 	u := &url.URL{Scheme: "http", Host: n.cfg.Backend.Address}
 	req, err := http.NewRequestWithContext(ctx, q.method, u.String()+q.uri, &nonRewindableBody{data: q.body})
@@ -80,7 +80,7 @@
 	return a
 }
 
-// backendErrorAnswer tells a connection that was never made from an answer that was lost.
+// backendErrorAnswer returns "not run" if no connection was made, else "unknown", since the answer was lost.
 func backendErrorAnswer(err error) *answer {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -89,8 +89,8 @@
 	return unknownAnswer(wire.ReasonLost)
 }
 
-// isServerRefusal tells whether the answer is the backend server's own documented refusal: that it is
-// too busy, and when to come back.
+// isServerRefusal tells whether the answer is the backend server's documented refusal: status 503 or 429 with a
+// Retry-After header.
 func isServerRefusal(a *answer) bool {
 	if a.status != http.StatusServiceUnavailable && a.status != http.StatusTooManyRequests {
 		return false
--- a/pkg/node/backend_client_test.go
+++ b/pkg/node/backend_client_test.go
@@ -17,9 +17,9 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// TestRequestIsSentOnceToABackendServer breaks kept-alive connections after the request was read, which makes
-// Go's client send a request with an Idempotency-Key again by itself, unless it is kept from that.
-func TestRequestIsSentOnceToABackendServer(t *testing.T) {
+// TestRequestIsSentOnceAfterBrokenKeepAlive closes keep-alive connections after the request was read. Go's HTTP client then
+// resends a request with an Idempotency-Key by itself, unless its body can't be rewound.
+func TestRequestIsSentOnceAfterBrokenKeepAlive(t *testing.T) {
 	c := qt.New(t)
 	var got atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,7 @@
 		in := &inbound{id: "1", call: wire.Call{Key: "k"}}
 		return n.callBackend(context.Background(), in, &request{method: http.MethodPost, uri: "/", header: http.Header{}, body: body})
 	}
-	c.Assert(send(nil).meta.Outcome, qt.Equals, wire.Ran, qt.Commentf("the first leaves a connection behind"))
+	c.Assert(send(nil).meta.Outcome, qt.Equals, wire.Ran, qt.Commentf("the first request leaves an idle connection"))
 	for _, body := range [][]byte{nil, []byte("charge")} {
 		before := got.Load()
 		a := send(body)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestConnectionThatWasNeverMadeIsNotRun(t *testing.T) {
+func TestFailedDialIsNotRun(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -56,7 +56,7 @@
 	c.Assert(a.meta.Outcome, qt.Equals, wire.NotRun)
 }
 
-func TestRefusalOfAServerThatCalledOnIsNotBelieved(t *testing.T) {
+func TestRefusalAfterOutboundCallsCountsAsRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := &Node{clock: clock.NewManual(now), metrics: metric.NewSet()}
--- a/pkg/node/call_answer.go
+++ b/pkg/node/call_answer.go
@@ -12,28 +12,30 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// maxBufferedAnswer is the size in bytes up to which an answer is held whole; a longer one is streamed on.
+// maxBufferedAnswer is the size in bytes up to which an answer is buffered; a longer one is streamed.
 const maxBufferedAnswer = 64 << 10
 
-// answer is what became of one attempt.
+// answer is the result of one attempt.
 type answer struct {
 	meta       wire.Answer
-	status     int // 0 where no backend server answered
+	status     int // 0 if no backend server answered
 	header     http.Header
 	body       []byte
 	rest       io.ReadCloser // what follows body, or nil
-	fromDaemon bool          // a daemon sent it; without, the attempt never arrived or its answer was lost
+	fromDaemon bool          // false if the attempt never arrived or its answer was lost
 }
 
+// notRunAnswer returns an answer for a call that certainly didn't run, with the time after which the client may retry.
 func notRunAnswer(reason wire.Reason, after time.Duration) *answer {
 	return &answer{meta: wire.Answer{Outcome: wire.NotRun, Reason: reason, AfterMS: after.Milliseconds()}}
 }
 
+// unknownAnswer returns an answer for a call that may have run.
 func unknownAnswer(reason wire.Reason) *answer {
 	return &answer{meta: wire.Answer{Outcome: wire.Unknown, Reason: reason}}
 }
 
-// readBody takes in the answer's body, whole if it is short.
+// readBody reads the start of the body, and closes it if that is all; otherwise rest streams what follows.
 func (a *answer) readBody(body io.ReadCloser) error {
 	buf := make([]byte, 0, 512)
 	w := bytes.NewBuffer(buf)
@@ -43,22 +45,22 @@
 		return body.Close()
 	}
 	if err != nil {
-		_ = body.Close() // the reading error says more
+		_ = body.Close() // the read error matters more
 		return err
 	}
 	a.rest = body
 	return nil
 }
 
-// discardRest releases what is left of a streamed answer that nobody will read.
+// discardRest closes a streamed answer that nobody will read.
 func (a *answer) discardRest() {
 	if a.rest != nil {
-		_ = a.rest.Close() // it was not wanted
+		_ = a.rest.Close() // nobody reads it, so its error doesn't matter
 		a.rest = nil
 	}
 }
 
-// toRecorded is the form in which a home keeps the answer, or nil if it is too long.
+// toRecorded returns the answer in the form that a home stores, or nil if it is streamed or no backend server gave it.
 func (a *answer) toRecorded() *onceonly.Recorded {
 	if a.rest != nil || a.status == 0 {
 		return nil
@@ -66,16 +68,16 @@
 	return &onceonly.Recorded{Status: a.status, Header: a.header, Body: a.body}
 }
 
-// answerFromRecord makes an answer out of a home's record.
+// answerFromRecord returns the answer that a home stored, or status 409 if it stored none.
 func answerFromRecord(rec *onceonly.Recorded) *answer {
 	if rec == nil || !rec.Kept {
-		// The work ran, and its answer is no longer here: say so rather than send half of it.
+		// The work ran, but its answer isn't stored: report that instead of a partial answer.
 		return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: http.StatusConflict, header: http.Header{}}
 	}
 	return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: rec.Status, header: rec.Header.Clone(), body: rec.Body}
 }
 
-// httpStatus gives the status of an answer that no backend server gave.
+// httpStatus returns the HTTP status of an answer, derived from its reason and outcome if no backend server gave it.
 func httpStatus(a *answer) int {
 	switch {
 	case a.status != 0:
@@ -95,7 +97,8 @@
 	}
 }
 
-// writeTo sends the answer. A body that breaks off breaks the connection, so that it is never taken for whole.
+// writeTo sends the answer. If a streamed body breaks off, it aborts the connection, so that the client can't take the
+// answer for complete.
 func (a *answer) writeTo(w http.ResponseWriter) {
 	h := w.Header()
 	for k, v := range a.header {
@@ -118,7 +121,7 @@
 	}
 }
 
-// Headers that tell a caller when to come back: the standard one in whole seconds, and ours in milliseconds.
+// Headers that tell a caller when to retry: the standard one in whole seconds, and Rockspoke's in milliseconds.
 const (
 	headerRetryAfter   = "Retry-After"
 	headerRetryAfterMS = "Rockspoke-Retry-After-Ms"
@@ -142,5 +145,5 @@
 	a.writeTo(w)
 }
 
-// defaultRetryAfter is the middle of the jittered time after which a refused caller is asked to come back.
+// defaultRetryAfter is the middle of the jittered time after which a refused caller may retry.
 const defaultRetryAfter = 500 * time.Millisecond
--- a/pkg/node/call_gate.go
+++ b/pkg/node/call_gate.go
@@ -10,7 +10,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// lockedGate lets goroutines share the Gate before this VM's backend server.
+// lockedGate guards the local backend server's Gate with a mutex.
 type lockedGate struct {
 	mu   sync.Mutex
 	gate *admission.Gate
@@ -18,7 +18,7 @@
 
 func newLockedGate(g *admission.Gate) *lockedGate { return &lockedGate{gate: g} }
 
-// enter waits until the call may start; it returns the reason if it may not.
+// enter waits until the call may start and returns ReasonNone, or else the reason for its rejection.
 func (k *lockedGate) enter(ctx context.Context, now time.Time, p priority.Priority, deadline time.Time) wire.Reason {
 	verdicts := make(chan admission.Verdict, 1)
 	t := &admission.Ticket{Priority: p, Deadline: deadline, Notify: func(v admission.Verdict) { verdicts <- v }}
@@ -39,7 +39,8 @@
 	}
 }
 
-// cancel takes a ticket back whose caller has left; one that just started is let go on, and the call's context ends it.
+// cancel removes the ticket of a call whose context has ended. A ticket that was admitted meanwhile stays admitted, and
+// the call then ends by its context.
 func (k *lockedGate) cancel(t *admission.Ticket, verdicts <-chan admission.Verdict) wire.Reason {
 	k.mu.Lock()
 	queued := k.gate.Cancel(t)
@@ -50,6 +51,8 @@
 	return (<-verdicts).Reason
 }
 
+// done frees the call's slot, with its slot hold time and the part of it spent in the backend server itself. If counted
+// is false, the gate doesn't learn from the times.
 func (k *lockedGate) done(now time.Time, held, own time.Duration, counted bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,7 +71,7 @@
 	return k.gate.Read(now)
 }
 
-// setSlots follows a change of the service's slots.
+// setSlots sets the number of the backend server's slots.
 func (k *lockedGate) setSlots(slots int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/node/call_gate_test.go
+++ b/pkg/node/call_gate_test.go
@@ -13,9 +13,9 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// TestGatekeeperWithManyGoroutines runs calls through the gate in virtual time: each gets a verdict, no more than
-// the limit run at once, and one whose caller leaves the queue never starts.
-func TestGatekeeperWithManyGoroutines(t *testing.T) {
+// TestLockedGateWithConcurrentCalls runs calls through the gate in virtual time: each gets a verdict, no more than the
+// limit run at once, and a queued call whose context is canceled never starts.
+func TestLockedGateWithConcurrentCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		k := newLockedGate(admission.NewGate(admission.Settings{Slots: 2, QueueLen: 10, MaxSojourn: time.Second}, time.Now()))
@@ -48,16 +48,16 @@
 	})
 }
 
-func TestNeedIsTheLeastTimeOfRecentAnswers(t *testing.T) {
+func TestLatencyFloorIsTheMinimumOfRecentAnswers(t *testing.T) {
 	c := qt.New(t)
-	var table latencyFloors
+	var table latencyFloorTable
 	at := time.Unix(1_000_000, 0)
 	c.Assert(table.floor("r"), qt.Equals, time.Duration(0))
 	table.observe(at, "r", 30*time.Millisecond)
 	table.observe(at, "r", 20*time.Millisecond)
 	c.Assert(table.floor("r"), qt.Equals, 20*time.Millisecond)
 	table.observe(at.Add(latencyWindow), "r", 50*time.Millisecond)
-	c.Assert(table.floor("r"), qt.Equals, 20*time.Millisecond, qt.Commentf("the window before still counts"))
+	c.Assert(table.floor("r"), qt.Equals, 20*time.Millisecond, qt.Commentf("the previous window still counts"))
 	table.observe(at.Add(3*latencyWindow), "r", 50*time.Millisecond)
 	c.Assert(table.floor("r"), qt.Equals, 50*time.Millisecond)
 }
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -14,7 +14,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// lockedHome lets goroutines share this node's Home.
+// lockedHome guards this node's Home with a mutex.
 type lockedHome struct {
 	mu   sync.Mutex
 	home onceonly.Home
@@ -29,67 +29,69 @@
 	fn(&k.home)
 }
 
-// keyCloseMargin is added to a class's time-out for attempts that are still under way when a key is closed.
+// keyCloseMargin is added to a class's timeout when a key is closed, for attempts still in flight.
 const keyCloseMargin = 250 * time.Millisecond
 
-// keyCheck is what the home knows of a key before it looks into its memory.
+// keyCheck is what is known of a key before its record is looked up.
 type keyCheck struct {
 	hash      onceonly.Hash
 	provenNew bool
-	refused   *answer // set if this node can't decide about the key
+	refused   *answer // set if this node can't handle the key
 }
 
-// checkHomeKey checks that this node is the key's home.
+// checkHomeKey checks that this node is the key's home, and that a token is valid and either recent or in memory.
 func (n *Node) checkHomeKey(now time.Time, key string) keyCheck {
-	w := keyCheck{hash: onceonly.HashKey(n.cfg.Service, key)}
+	check := keyCheck{hash: onceonly.HashKey(n.cfg.Service, key)}
 	if !onceonly.IsToken(key) {
 		n.home.with(func(h *onceonly.Home) {
-			if !h.Owns(w.hash.Range()) {
-				w.refused = notRunAnswer(wire.ReasonNotOwner, 0)
+			if !h.Owns(check.hash.Range()) {
+				check.refused = notRunAnswer(wire.ReasonNotOwner, 0)
 			}
 		})
-		return w
+		return check
 	}
 	t, err := onceonly.ParseToken(n.keys.Current().Secret, key)
 	switch {
 	case err != nil:
-		w.refused = notRunAnswer(wire.ReasonBadRequest, 0)
+		check.refused = notRunAnswer(wire.ReasonBadRequest, 0)
 	case t.VM != n.cfg.VM || t.Service != n.cfg.Service:
-		w.refused = notRunAnswer(wire.ReasonNotOwner, 0)
+		check.refused = notRunAnswer(wire.ReasonNotOwner, 0)
 	case t.Incarnation != n.incarnation:
-		w.refused = unknownAnswer(wire.ReasonQuiet)
+		check.refused = unknownAnswer(wire.ReasonQuiet)
 	default:
-		w.provenNew = t.Fresh(now, n.cfg.OnceOnly.TokenLife)
-		if !w.provenNew && !n.hasRecord(w.hash) {
-			w.refused = unknownAnswer(wire.ReasonLost)
+		check.provenNew = t.Fresh(now, n.cfg.OnceOnly.TokenLife)
+		if !check.provenNew && !n.hasRecord(check.hash) {
+			check.refused = unknownAnswer(wire.ReasonLost)
 		}
 	}
-	return w
+	return check
 }
 
+// hasRecord tells whether the home's memory holds the key.
 func (n *Node) hasRecord(key onceonly.Hash) (known bool) {
 	n.home.with(func(h *onceonly.Home) { known = h.Memory.Knows(key) })
 	return known
 }
 
-// serveHome decides about an attempt under a key whose home this node is.
+// serveHome handles an attempt under a key whose home is this node: it runs the work, joins a run in progress, replays
+// its answer or refuses it.
 func (n *Node) serveHome(ctx context.Context, in *inbound, q *request) *answer {
 	now := n.clock.Now()
-	w := n.checkHomeKey(now, in.call.Key)
-	if w.refused != nil {
-		return w.refused
+	check := n.checkHomeKey(now, in.call.Key)
+	if check.refused != nil {
+		return check.refused
 	}
 	done := make(chan onceonly.Record, 1)
 	var d onceonly.Decision
 	owner := true
 	n.home.with(func(h *onceonly.Home) {
-		// Ownership is looked at again, together with the decision: the range may have closed in between.
-		if owner = onceonly.IsToken(in.call.Key) || h.Owns(w.hash.Range()); !owner {
+		// Check ownership again under the same lock as the decision: the range may have closed since checkHomeKey.
+		if owner = onceonly.IsToken(in.call.Key) || h.Owns(check.hash.Range()); !owner {
 			return
 		}
-		d = h.Memory.Begin(now, w.hash, fingerprint(q), w.provenNew)
+		d = h.Memory.Begin(now, check.hash, fingerprint(q), check.provenNew)
 		if d.Action == onceonly.Join {
-			h.Memory.Wait(w.hash, func(rec onceonly.Record) { done <- rec })
+			h.Memory.Wait(check.hash, func(rec onceonly.Record) { done <- rec })
 		}
 	})
 	if !owner {
@@ -97,7 +99,7 @@
 	}
 	switch d.Action {
 	case onceonly.Run:
-		return n.runOnce(ctx, in, q, w.hash)
+		return n.runOnce(ctx, in, q, check.hash)
 	case onceonly.Join:
 		n.metrics.Inc("once_joined")
 		return awaitRecord(ctx, done)
@@ -112,6 +114,7 @@
 	}
 }
 
+// awaitRecord waits for the run in progress under the key and returns its answer.
 func awaitRecord(ctx context.Context, done <-chan onceonly.Record) *answer {
 	select {
 	case rec := <-done:
@@ -128,8 +131,8 @@
 	}
 }
 
-// runOnce runs the work under the key. It goes on when the caller leaves, so that its end is recorded
-// for the caller's repeat; only its deadline ends it.
+// runOnce runs the work under the key. The run continues if the caller leaves, so that its result is recorded for the
+// caller's retry; only its deadline ends it.
 func (n *Node) runOnce(ctx context.Context, in *inbound, q *request, key onceonly.Hash) *answer {
 	n.metrics.Inc("once_runs")
 	runCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), in.deadline.Sub(n.clock.Now()))
@@ -151,7 +154,7 @@
 	case a := <-result:
 		return a
 	case <-ctx.Done():
-		// What the backend server calls until the end still belongs to this call.
+		// Outbound calls of the run still belong to this call until the run ends.
 		in.detached = true
 		go func() {
 			<-result
@@ -161,7 +164,7 @@
 	}
 }
 
-// keyCloseDuration returns how long a refused key stays closed: as long as any attempt may still be under way.
+// keyCloseDuration returns how long a refused key stays closed: as long as any attempt may still be in flight.
 func (n *Node) keyCloseDuration(call wire.Call, q *request) time.Duration {
 	longest := call.Remain()
 	if plan := n.snapshot.Load().plan; plan != nil {
@@ -172,7 +175,7 @@
 	return longest + keyCloseMargin
 }
 
-// runOrDelegate runs once-only work here, or hands it to another backend server where this one can't take it.
+// runOrDelegate runs once-only work here, or delegates it to another backend server if this one can't admit it.
 func (n *Node) runOrDelegate(ctx context.Context, in *inbound, q *request) *answer {
 	plan := n.snapshot.Load().plan
 	if plan == nil {
@@ -189,10 +192,11 @@
 	return n.delegate(ctx, in, q, t, a)
 }
 
-// maxDelegates is how many other servers a home asks to take one run.
+// maxDelegates limits the other servers to which a home sends one run.
 const maxDelegates = 2
 
-// delegate hands a run to other backend servers as long as they certainly don't take it.
+// delegate sends a run to other backend servers, one after the other, as long as each certainly didn't run it. It
+// returns the last answer, or a if there is no other server.
 func (n *Node) delegate(ctx context.Context, in *inbound, q *request, t *config.Treatment, a *answer) *answer {
 	tried := n.localServers()
 	for range maxDelegates {
@@ -216,6 +220,7 @@
 	return a
 }
 
+// localServers returns the local backend server as a list, empty if its VM isn't listed.
 func (n *Node) localServers() []*routing.Server {
 	if vm, ok := n.snapshot.Load().vms[n.cfg.VM]; ok {
 		return []*routing.Server{n.pool.Get(vm)}
@@ -223,7 +228,7 @@
 	return nil
 }
 
-// fingerprint tells requests apart that come under the same key.
+// fingerprint hashes the request's method, URI and body, to detect different requests under the same key.
 func fingerprint(q *request) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{q.method, q.uri} {
@@ -234,34 +239,35 @@
 	return d.Sum64()
 }
 
-// settleRequest asks a key's home to settle a refusal.
+// settleRequest asks a key's home whether a call may be refused.
 type settleRequest struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
 	CloseMS int64  `json:"close_ms"`
 }
 
-// settleReply is the home's word on the key.
+// settleReply is what the home knows of the key.
 type settleReply struct {
 	Outcome wire.Outcome `json:"outcome"`
 	Reason  wire.Reason  `json:"reason"`
 	AfterMS int64        `json:"after_ms,omitempty"`
 }
 
-// errHomeUnavailable reports that a key's home can't be asked.
-var errHomeUnavailable = errors.New("the home of the key can't be asked")
+// errHomeUnavailable reports that a key's home isn't known or listed.
+var errHomeUnavailable = errors.New("the home of the key isn't available")
 
-// settleKey closes a key that an entry is about to refuse, or says what is known of it.
+// settleKey returns what this home knows of a key that an entry is about to refuse; it closes an unknown key, so that
+// the refusal holds for all attempts.
 func (n *Node) settleKey(in settleRequest) settleReply {
 	now := n.clock.Now()
-	w := n.checkHomeKey(now, in.Key)
-	if w.refused != nil || in.Service != n.cfg.Service {
+	check := n.checkHomeKey(now, in.Key)
+	if check.refused != nil || in.Service != n.cfg.Service {
 		return settleReply{Outcome: wire.Unknown, Reason: wire.ReasonNotOwner}
 	}
 	var d onceonly.Decision
 	n.home.with(func(h *onceonly.Home) {
 		closeFor := time.Duration(in.CloseMS)*time.Millisecond + keyCloseMargin
-		d = h.Memory.Settle(now, w.hash, w.provenNew, now.Add(closeFor))
+		d = h.Memory.Settle(now, check.hash, check.provenNew, now.Add(closeFor))
 	})
 	if d.Action == onceonly.Replay {
 		return settleReply{Outcome: wire.Ran}
--- a/pkg/node/call_inbound.go
+++ b/pkg/node/call_inbound.go
@@ -11,18 +11,18 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// inbound is a call in progress at this node, under which its backend server makes calls of its own.
+// inbound is a call in progress at this node; outbound calls of the backend server belong to it.
 type inbound struct {
 	id       string
 	ctx      context.Context
 	call     wire.Call
 	deadline time.Time
 	ledger   *ledger.Ledger
-	detached bool // once-only work that goes on after its caller left; its end ends the inbound call
+	detached bool // the run continues after its caller left, and ends the inbound call when it ends
 
 	mu           sync.Mutex
-	successes    map[uint64]int    // calls that ended well, by signature
-	tokens       map[uint64]string // tokens of once-only calls under once-only work, by signature
+	successes    map[uint64]int    // number of calls that ran, by signature
+	tokens       map[uint64]string // tokens of once-only calls made by once-only work, by signature and successCount
 	openOutbound int
 	openSince    time.Time
 	waited       time.Duration
@@ -31,7 +31,7 @@
 	onceBelow    bool
 }
 
-// newInbound registers a call so that outbound calls find it by its id.
+// newInbound registers a call, so that outbound calls find it by its ID.
 func (n *Node) newInbound(ctx context.Context, call wire.Call, deadline time.Time) *inbound {
 	in := &inbound{
 		id:  strconv.FormatUint(n.nextID.Add(1), 36) + "-" + n.incarnation[len(n.incarnation)-8:],
@@ -41,13 +41,13 @@
 	return in
 }
 
-// endInbound forgets the call and returns the tokens that go back with its answer.
+// endInbound removes the call and returns the retry tokens that go back with its answer.
 func (n *Node) endInbound(in *inbound) int {
 	n.inbounds.Delete(in.id)
 	return in.ledger.Close()
 }
 
-// beginOutbound notes that an outbound call has started.
+// beginOutbound records the start of an outbound call.
 func (in *inbound) beginOutbound(now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -58,7 +58,7 @@
 	in.outbound++
 }
 
-// endOutbound notes that an outbound call has ended with the answer.
+// endOutbound records the answer of an outbound call.
 func (in *inbound) endOutbound(now time.Time, signature uint64, a wire.Answer) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -76,14 +76,15 @@
 	}
 }
 
-// successCount returns how many calls of the signature ended well before.
+// successCount returns how many outbound calls with the signature have run so far.
 func (in *inbound) successCount(signature uint64) int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.successes[signature]
 }
 
-// onceToken returns the onceToken for the signature, made by issue at its first use.
+// onceToken returns the once-only token for the signature. The first use takes it from issue; the result is false if that
+// issued none.
 func (in *inbound) onceToken(signature uint64, issue func() (string, bool)) (string, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -101,7 +102,7 @@
 	return t, true
 }
 
-// callStats is what the end of a call shows of what it did.
+// callStats summarizes the outbound calls of an inbound call.
 type callStats struct {
 	waited    time.Duration
 	outbound  int
@@ -109,6 +110,7 @@
 	onceBelow bool
 }
 
+// stats returns the call's statistics up to now.
 func (in *inbound) stats(now time.Time) callStats {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/pkg/node/call_latency_floor.go
+++ b/pkg/node/call_latency_floor.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// latencyWindow is the time over which a route's least time is learned; two of them are kept.
+// latencyWindow is the period over which a route's minimum latency is tracked; the last two windows count.
 const latencyWindow = 5 * time.Second
 
-// latencyFloors learns the least time in which each route has been seen to answer; its zero value is ready.
-type latencyFloors struct{ routes sync.Map }
+// latencyFloorTable tracks the minimum latency of each route's answers; its zero value is ready to use.
+type latencyFloorTable struct{ routes sync.Map }
 
+// routeLatency tracks one route's minimum latency over the current and the previous window.
 type routeLatency struct {
 	mu            sync.Mutex
 	start         time.Time
-	windowMin     time.Duration // least in the window that runs, 0 if none
-	prevWindowMin time.Duration // least in the window before
+	windowMin     time.Duration // minimum in the current window, 0 if none
+	prevWindowMin time.Duration // minimum in the previous window, 0 if none
 	floor         atomic.Int64
 }
 
-// observe notes the time that an answered call took.
-func (t *latencyFloors) observe(now time.Time, route string, d time.Duration) {
+// observe records the latency of an answered call.
+func (t *latencyFloorTable) observe(now time.Time, route string, d time.Duration) {
 	x, ok := t.routes.Load(route)
 	if !ok {
 		x, _ = t.routes.LoadOrStore(route, &routeLatency{start: now})
 	}
-	nd := x.(*routeLatency)
-	nd.mu.Lock()
-	defer nd.mu.Unlock()
-	if age := now.Sub(nd.start); age >= latencyWindow {
-		nd.prevWindowMin = nd.windowMin
+	rl := x.(*routeLatency)
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	if age := now.Sub(rl.start); age >= latencyWindow {
+		rl.prevWindowMin = rl.windowMin
 		if age >= 2*latencyWindow {
-			nd.prevWindowMin = 0
+			rl.prevWindowMin = 0
 		}
-		nd.start, nd.windowMin = now, 0
+		rl.start, rl.windowMin = now, 0
 	}
-	if nd.windowMin == 0 || d < nd.windowMin {
-		nd.windowMin = d
+	if rl.windowMin == 0 || d < rl.windowMin {
+		rl.windowMin = d
 	}
-	least := nd.windowMin
-	if nd.prevWindowMin != 0 {
-		least = min(least, nd.prevWindowMin)
+	least := rl.windowMin
+	if rl.prevWindowMin != 0 {
+		least = min(least, rl.prevWindowMin)
 	}
-	nd.floor.Store(int64(least))
+	rl.floor.Store(int64(least))
 }
 
-// floor returns the time below which the route has not been seen to answer, or 0.
-func (t *latencyFloors) floor(route string) time.Duration {
+// floor returns the minimum latency seen recently on the route, or 0 if none is known.
+func (t *latencyFloorTable) floor(route string) time.Duration {
 	x, ok := t.routes.Load(route)
 	if !ok {
 		return 0
--- a/pkg/node/call_request.go
+++ b/pkg/node/call_request.go
@@ -14,7 +14,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// request is a call's content, held whole so that it can be sent again.
+// request is a call's content, buffered whole so that it can be sent again.
 type request struct {
 	method string
 	host   string // without a port
@@ -24,16 +24,16 @@
 	body   []byte
 }
 
-// RequestError reports a request that can't be taken, with the HTTP status to answer.
+// RequestError reports a request that can't be served, with the HTTP status to return.
 type RequestError struct {
 	Status int
 	Reason string
 }
 
 // Error gives the reason.
-func (e *RequestError) Error() string { return fmt.Sprintf("request refused: %s", e.Reason) }
+func (e *RequestError) Error() string { return fmt.Sprintf("invalid request: %s", e.Reason) }
 
-// readRequest takes a request in, up to limit bytes of body; the error is a *RequestError.
+// readRequest reads a request with a body of at most limit bytes; the error is a *RequestError.
 func readRequest(r *http.Request, limit int64) (*request, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	if err != nil {
@@ -41,7 +41,7 @@
 		if errors.As(err, &tooLong) {
 			return nil, &RequestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", limit)}
 		}
-		return nil, &RequestError{http.StatusBadRequest, "body broke off"}
+		return nil, &RequestError{http.StatusBadRequest, "body ended early or can't be read"}
 	}
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
@@ -52,12 +52,12 @@
 	return &request{method: r.Method, host: host, uri: r.URL.RequestURI(), path: r.URL.Path, header: h, body: body}, nil
 }
 
-// match is what routes and classes look at.
+// match returns the fields by which routes and classes match the request.
 func (q *request) match() config.Match {
 	return config.Match{Host: q.host, Method: q.method, Path: q.path}
 }
 
-// signature tells calls of the same content to the same service apart from others.
+// signature returns a hash of the request's content and the service, by which retries are recognized.
 func (q *request) signature(service string) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{q.method, service, q.uri, q.header.Get(wire.HeaderKey)} {
--- a/pkg/node/call_runner.go
+++ b/pkg/node/call_runner.go
@@ -8,7 +8,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// runLocal takes a call through the gate to this VM's backend server.
+// runLocal admits a call through the gate and sends it to the local backend server; it returns the server's answer or the
+// reason for a rejection.
 func (n *Node) runLocal(ctx context.Context, in *inbound, q *request) *answer {
 	if n.cfg.Backend.Address == "" || in.call.Service != n.cfg.Service {
 		return notRunAnswer(wire.ReasonNoServer, 0)
@@ -42,14 +43,16 @@
 	return n.classifyAnswer(in, a, route, started)
 }
 
-// releaseSlot gives the slot back with the time that the call spent in the backend server itself.
+// releaseSlot frees the call's slot and tells the gate its slot hold time, and the part of it that was spent in the
+// backend server itself rather than in outbound calls.
 func (n *Node) releaseSlot(in *inbound, started time.Time, counted bool) {
 	now := n.clock.Now()
 	held := now.Sub(started)
 	n.gate.done(now, held, max(held-in.stats(now).waited, 0), counted)
 }
 
-// classifyAnswer settles the outcome: a server's own refusal is believed only where nothing was called under it.
+// classifyAnswer sets the final outcome of a run. It counts a server's own refusal as not run only if the server made no
+// outbound calls for the call, since otherwise part of the work may be done.
 func (n *Node) classifyAnswer(in *inbound, a *answer, route string, started time.Time) *answer {
 	now := n.clock.Now()
 	r := in.stats(now)
@@ -72,6 +75,7 @@
 	return a
 }
 
+// countRejection counts a rejection by the gate under its reason.
 func (n *Node) countRejection(reason wire.Reason) {
 	switch reason {
 	case wire.ReasonLevel:
@@ -83,14 +87,14 @@
 	}
 }
 
-// slotReader gives the backend server's slot back when a streamed answer ends.
+// slotReader frees the backend server's slot when a streamed answer ends.
 type slotReader struct {
 	io.ReadCloser
 	release func()
 	closed  bool
 }
 
-// Close closes the stream and gives the slot back once.
+// Close closes the stream and frees the slot once.
 func (r *slotReader) Close() error {
 	if !r.closed {
 		r.closed = true
@@ -99,7 +103,8 @@
 	return r.ReadCloser.Close()
 }
 
-// addNodeState adds what this node shows of itself to an answer on its way back.
+// addNodeState adds this node's load, level, leaving state and configuration version, and the retry tokens to return, to
+// an answer.
 func (n *Node) addNodeState(a *answer, tokens int) {
 	r := n.gate.read(n.clock.Now())
 	a.meta.Own = r.Level
--- a/pkg/node/call_sender.go
+++ b/pkg/node/call_sender.go
@@ -13,27 +13,29 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// outgoingCall is a call on its way out, with all of its attempts.
+// outgoingCall is a call that this node sends, with the state of all its attempts.
 type outgoingCall struct {
 	treatment *config.Treatment
 	call      wire.Call
 	deadline  time.Time
 	req       *request
 	ledger    *ledger.Ledger
-	// otherAttempts says that attempts under the key may exist besides the one in hand.
+	// otherAttempts says that attempts under the key may exist besides the current one.
 	otherAttempts bool
-	// onAttempt is called when the first attempt leaves.
+	// onAttempt, if set, is called before each attempt.
 	onAttempt func()
 }
 
-// latencyRoute is the name under which times of the call are learned, and route that for levels.
+// latencyRoute returns the route under which the call's latency is tracked.
 func (s *outgoingCall) latencyRoute() string { return s.treatment.Service + "/" + s.treatment.Class }
 
+// levelRoute returns the route under which the call's admission level is tracked.
 func (s *outgoingCall) levelRoute() level.Route {
 	return level.Route{Service: s.treatment.Service, Class: s.treatment.Class}
 }
 
-// send makes the attempts of a call and returns the last answer.
+// send makes the attempts of a call and returns the last answer. It refuses a call that its remaining time or its
+// priority doesn't allow.
 func (n *Node) send(ctx context.Context, s *outgoingCall) *answer {
 	now := n.clock.Now()
 	route := s.latencyRoute()
@@ -55,7 +57,7 @@
 		a.meta.OnceOnly = true
 	}
 	end := n.clock.Now()
-	// What this very call met goes up, not what other calls met some time ago.
+	// Report the level that this call met, not a level that earlier calls met.
 	a.meta.Below = max(a.meta.Below, n.lowestLevel(end, s.treatment))
 	if a.meta.Outcome == wire.Ran && a.status < 500 {
 		n.latencyFloors.observe(end, route, end.Sub(now))
@@ -63,19 +65,19 @@
 	return a
 }
 
-// routeLevel is the level that the call meets: the lowest among the servers that it may go to, since
-// any of them will do, or the highest seen below them.
+// routeLevel returns the admission level that the call must reach: the lowest among the servers that may run it, since one
+// of them is enough, or the level seen in the services below them if that is higher.
 func (n *Node) routeLevel(now time.Time, s *outgoingCall) priority.Priority {
 	return max(n.lowestLevel(now, s.treatment), n.levels.Current(now, s.levelRoute()))
 }
 
-// sendRetryable tries servers until one answers or the tokens are spent.
+// sendRetryable tries servers until an answer needs no retry or the retry tokens are spent.
 func (n *Node) sendRetryable(ctx context.Context, s *outgoingCall) *answer {
 	var tried []*routing.Server
 	a := notRunAnswer(wire.ReasonNoServer, 0)
 	lost := false
 	defer func() {
-		// A refusal of the last attempt says nothing of one whose answer was lost.
+		// That the last attempt didn't run says nothing of one whose answer was lost.
 		if lost && a.meta.Outcome == wire.NotRun {
 			a.meta.Outcome = wire.Unknown
 		}
@@ -104,7 +106,8 @@
 	}
 }
 
-// takeRetryTokens takes a token of the request and of the target; without both there is no retry.
+// takeRetryTokens takes one retry token of the request and one of the server; it reports false, and takes none of the
+// request, unless both have one.
 func (n *Node) takeRetryTokens(s *outgoingCall, srv *routing.Server) bool {
 	if s.ledger.Balance() == 0 || !srv.TakeRetry() || !s.ledger.Spend() {
 		n.metrics.Inc("retries_denied")
@@ -114,7 +117,7 @@
 	return true
 }
 
-// shouldRetry tells whether another attempt is safe and sensible.
+// shouldRetry tells whether another attempt is safe and useful.
 func (n *Node) shouldRetry(ctx context.Context, s *outgoingCall, a *answer) bool {
 	if ctx.Err() != nil || !n.clock.Now().Before(s.deadline) {
 		return false
@@ -129,7 +132,7 @@
 	}
 }
 
-// attemptWithLoan makes one attempt with a share of the tokens.
+// attemptWithLoan makes one attempt, with a part of the retry tokens lent to it, and settles the loan.
 func (n *Node) attemptWithLoan(ctx context.Context, s *outgoingCall, srv *routing.Server) *answer {
 	if s.onAttempt != nil {
 		s.onAttempt()
@@ -143,6 +146,8 @@
 	return a
 }
 
+// settleLoan returns to the ledger the tokens that an attempt gave back: all of them if it certainly didn't run, none if
+// its answer was lost.
 func (n *Node) settleLoan(l *ledger.Ledger, lent int, a *answer) {
 	switch {
 	case a.fromDaemon:
@@ -154,7 +159,7 @@
 	}
 }
 
-// observeLevel learns from answers of daemons; an attempt that got none teaches nothing.
+// observeLevel learns the admission level from a daemon's answer; other answers carry none.
 func (n *Node) observeLevel(s *outgoingCall, a *answer) {
 	if !a.fromDaemon {
 		return
@@ -162,34 +167,35 @@
 	n.levels.Observe(n.clock.Now(), s.levelRoute(), a.meta.Below)
 }
 
+// pickServer chooses a server for a call of priority p among those that aren't in tried.
 func (n *Node) pickServer(now time.Time, t *config.Treatment, p priority.Priority, tried []*routing.Server) (s *routing.Server, o routing.Outcome) {
 	groups := n.serverGroups(t)
 	n.withRand(func(r *rand.Rand) { s, o = routing.Pick(now, r, groups, p, tried) })
 	return s, o
 }
 
-// lowestLevel returns the lowest level among the servers of the treatment, 0 if there are none.
+// lowestLevel returns the lowest admission level among the treatment's servers, 0 if there are none.
 func (n *Node) lowestLevel(now time.Time, t *config.Treatment) priority.Priority {
 	low := priority.Max
-	any := false
+	found := false
 	for _, g := range n.serverGroups(t) {
 		if g.Weight == 0 {
 			continue
 		}
 		for _, list := range [][]*routing.Server{g.Near, g.Far} {
 			for _, s := range list {
-				any = true
+				found = true
 				low = min(low, s.Level(now))
 			}
 		}
 	}
-	if !any {
+	if !found {
 		return 0
 	}
 	return low
 }
 
-// attempt sends the call to one server's daemon and takes in what the answer shows of it.
+// attempt sends the call to one server's daemon and records what the answer shows of the server.
 func (n *Node) attempt(ctx context.Context, srv *routing.Server, call wire.Call, deadline time.Time, q *request) *answer {
 	now := n.clock.Now()
 	call.RemainMS = deadline.Sub(now).Milliseconds()
@@ -209,6 +215,7 @@
 	return a
 }
 
+// recordAttempt records an attempt's result for the server: the state that its answer carries, or a failure.
 func (n *Node) recordAttempt(ctx context.Context, srv *routing.Server, a *answer) {
 	now := n.clock.Now()
 	switch {
@@ -225,8 +232,8 @@
 	}
 }
 
-// refuseBeforeAttempt gives a refusal before any attempt. For a caller's own key the home settles it first, since
-// an earlier attempt may have come by another way.
+// refuseBeforeAttempt refuses a call that this node hasn't sent. If earlier attempts under its key may exist, as another
+// entry may have sent one, the key's home settles the key first.
 func (n *Node) refuseBeforeAttempt(ctx context.Context, s *outgoingCall, reason wire.Reason) *answer {
 	if s.call.Key == "" || !s.otherAttempts {
 		return notRunAnswer(reason, 0)
@@ -238,7 +245,7 @@
 	if reply.Outcome == wire.NotRun {
 		return notRunAnswer(reason, time.Duration(reply.AfterMS)*time.Millisecond)
 	}
-	// It ran or runs: a repeat would be joined or answered at the home, so let this one through.
+	// The work ran or is running, so the home would join the call or replay its answer: send it.
 	a := n.sendOnceOnly(ctx, s)
 	a.meta.OnceOnly = true
 	return a
--- a/pkg/node/call_sender_once.go
+++ b/pkg/node/call_sender_once.go
@@ -15,14 +15,14 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The pauses between attempts to find the home of a key whose range is on the move.
+// The shortest and the longest pause between attempts to reach the home of a key; the pause doubles each time.
 const (
 	redirectPauseMin = 20 * time.Millisecond
 	redirectPauseMax = 200 * time.Millisecond
 )
 
-// sendOnceOnly leads a call to its key's home. A lost answer is asked for again under the same key, which
-// the home joins or answers from its record; nothing else is repeated.
+// sendOnceOnly sends a call to its key's home. If the answer is lost, it retries under the same key, and the home joins the
+// run or replays its answer. Besides, it retries if the home moved, or if no home was reached and the key can change.
 func (n *Node) sendOnceOnly(ctx context.Context, s *outgoingCall) *answer {
 	pause := redirectPauseMin
 	for {
@@ -47,7 +47,7 @@
 			}
 			pause = min(2*pause, redirectPauseMax)
 		case a.meta.Outcome == wire.NotRun && a.meta.Reason == wire.ReasonNoServer && !s.otherAttempts && onceonly.IsToken(s.call.Key):
-			// The attempt never arrived, and no other can: take another home.
+			// This attempt never arrived, and no other exists: issue a token with another home.
 			if !n.takeRetryTokens(s, srv) || !n.renewToken(s) {
 				return a
 			}
@@ -57,11 +57,11 @@
 	}
 }
 
-// answerLost tells whether the home's own word never came, so that asking it again may bring it.
+// answerLost tells whether no answer of the home arrived, so that a retry may bring it.
 func answerLost(a *answer) bool { return !a.fromDaemon && a.meta.Reason == wire.ReasonLost }
 
-// outcomeForKey turns a refusal that speaks of one attempt only into "unknown" where other attempts under
-// the key may exist; a home's own refusal speaks of the key.
+// outcomeForKey turns the outcome "not run" of one attempt into "unknown" if other attempts under the key may exist. A
+// refusal by the home itself holds for the key and stays.
 func (n *Node) outcomeForKey(s *outgoingCall, a *answer) *answer {
 	if a.meta.Outcome != wire.NotRun || !s.otherAttempts {
 		return a
@@ -72,12 +72,13 @@
 	return a
 }
 
+// noHomeAnswer returns the answer for a call whose key's home isn't known or listed.
 func (n *Node) noHomeAnswer(s *outgoingCall) *answer {
 	a := notRunAnswer(wire.ReasonNoServer, 0)
 	return n.outcomeForKey(s, a)
 }
 
-// sleep waits for d, and reports false if the context or the deadline ends first.
+// sleep waits for d. It reports false if the context ends first, and at once if the deadline comes first.
 func (n *Node) sleep(ctx context.Context, d time.Duration, deadline time.Time) bool {
 	if n.clock.Now().Add(d).After(deadline) {
 		return false
@@ -85,7 +86,7 @@
 	return clock.Sleep(ctx, d)
 }
 
-// homeServer returns the server whose node is the home of the key.
+// homeServer returns the server whose node is the home of the key; it reports false if that isn't known or listed.
 func (n *Node) homeServer(service, key string) (*routing.Server, bool) {
 	snap := n.snapshot.Load()
 	vm := ""
@@ -109,7 +110,7 @@
 	return n.pool.Get(v), true
 }
 
-// newToken issues a token at a server that would take the call; it reports false if there is none.
+// newToken issues a token whose home is a server that would admit the call; it reports false if there is none.
 func (n *Node) newToken(t *config.Treatment, p priority.Priority) (string, bool) {
 	now := n.clock.Now()
 	snap := n.snapshot.Load()
@@ -133,7 +134,7 @@
 	return "", false
 }
 
-// renewToken gives the call another token, for use where the last one certainly started nothing.
+// renewToken replaces the call's token, to be used only if certainly nothing ran under the last one.
 func (n *Node) renewToken(s *outgoingCall) bool {
 	key, ok := n.newToken(s.treatment, s.call.Priority)
 	if ok {
@@ -145,7 +146,8 @@
 // settleTimeout is the longest time that an entry waits for a home to settle a refusal.
 const settleTimeout = 200 * time.Millisecond
 
-// settleAtHome asks the key's home what is known of it; an unknown key is closed.
+// settleAtHome asks the key's home what it knows of the key; the home closes an unknown key. The error is
+// errHomeUnavailable or that of the message.
 func (n *Node) settleAtHome(ctx context.Context, s *outgoingCall) (settleReply, error) {
 	srv, ok := n.homeServer(s.call.Service, s.call.Key)
 	if !ok {
@@ -161,7 +163,7 @@
 	return out, nil
 }
 
-// marshal turns a control message into JSON.
+// marshal encodes a control message as JSON.
 func marshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/pkg/node/caller_retry_notes.go
+++ b/pkg/node/caller_retry_notes.go
@@ -8,20 +8,20 @@
 	"github.com/rockspoke/rockspoke/pkg/repeat"
 )
 
-// noteBatchDelay is the time for which notes to other entries are gathered.
+// noteBatchDelay is the time for which notes to other entries are batched.
 const noteBatchDelay = 5 * time.Millisecond
 
-// maxQueuedNotes bounds the notes that wait to be sent; more are dropped, and the budget of their requests then
-// holds for each entry alone.
+// maxQueuedNotes limits the notes that wait to be sent. Further ones are dropped; each entry then applies the retry
+// budget of their requests on its own.
 const maxQueuedNotes = 4096
 
-// retryNotes is the message with which an entry tells others of requests that failed there.
+// retryNotes is the message by which an entry tells others of requests that failed there.
 type retryNotes struct {
 	Notes []repeat.Note `json:"notes"`
 }
 
-// queueRetryNote tells the other entries of a request that failed after it was sent on, since its caller may
-// repeat it through any of them.
+// queueRetryNote queues a note to the other entries on a request that failed after it was sent, since the caller may
+// retry through any of them.
 func (n *Node) queueRetryNote(key string, e *repeat.Entry) {
 	left, sent := n.guard.Left(e)
 	if !sent {
@@ -30,11 +30,11 @@
 	select {
 	case n.notes <- repeat.Note{Key: key, Left: left}:
 	default:
-		n.log.call.Warn("notes of repeats are dropped")
+		n.log.call.Warn("retry note dropped: the queue is full")
 	}
 }
 
-// broadcastRetryNotes gathers notes and sends them to every other entry VM.
+// broadcastRetryNotes batches queued notes and sends them to every other entry VM, until the daemon stops.
 func (n *Node) broadcastRetryNotes() {
 	for {
 		var batch []repeat.Note
@@ -59,6 +59,7 @@
 	}
 }
 
+// sendRetryNotes sends a batch of notes to every other entry VM, without waiting for replies.
 func (n *Node) sendRetryNotes(msg retryNotes) {
 	for _, v := range n.snapshot.Load().vms {
 		if v.Service != "" || v.Name == n.cfg.VM {
@@ -69,12 +70,13 @@
 			defer cancel()
 			var reply struct{}
 			if err := n.peers.control(ctx, v.Name, v.Peer, pathRetryNotes, msg, &reply); err != nil {
-				n.log.call.Debug("notes of repeats didn't arrive", "vm", v.Name, "err", err)
+				n.log.call.Debug("retry notes not delivered", "vm", v.Name, "err", err)
 			}
 		}()
 	}
 }
 
+// handleRetryNotes adopts another entry's notes; the error is always nil.
 func (n *Node) handleRetryNotes(msg retryNotes) (struct{}, error) {
 	now := n.clock.Now()
 	for _, note := range msg.Notes {
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -18,7 +18,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// pathToken is where a caller gets a token for its once-only request; the query names the service.
+// pathToken is where a caller gets a token for a once-only request; the query names the service.
 const pathToken = "/.rockspoke/token"
 
 // startHTTP binds the listeners for callers and for the backend server's outbound calls.
@@ -34,6 +34,7 @@
 	return err
 }
 
+// serveHTTP binds a listener and serves it; field is the setting that names its address.
 func (n *Node) serveHTTP(field, address string, h http.HandlerFunc) (*http.Server, error) {
 	ln, err := n.network.Listen(address)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return s, nil
 }
 
-// serveCaller takes a request from a caller.
+// serveCaller handles a caller's HTTP request.
 func (n *Node) serveCaller(w http.ResponseWriter, r *http.Request) {
 	n.metrics.Inc("entry_requests")
 	wire.StripInternalExcept(r.Header, wire.HeaderTimeout)
@@ -73,7 +74,7 @@
 	n.writeToCaller(w, a)
 }
 
-// handleCaller makes a root request out of a caller's request and sends it on.
+// handleCaller validates a caller's request, finds its route and sends it as a root request.
 func (n *Node) handleCaller(r *http.Request) *answer {
 	timeout, err := parseTimeout(r.Header)
 	key := r.Header.Get(wire.HeaderKey)
@@ -102,7 +103,8 @@
 	return n.sendGuarded(r.Context(), t, q, key, customerOf(r), timeout)
 }
 
-// sendGuarded meets the caller's repeats before the request goes on.
+// sendGuarded sends a root request unless it is a retry by the caller that joins an attempt in flight or exceeds the
+// retry budget.
 func (n *Node) sendGuarded(ctx context.Context, t *config.Treatment, q *request, key, customer string, timeout time.Duration) *answer {
 	now := n.clock.Now()
 	deadline := now.Add(timeout)
@@ -119,13 +121,13 @@
 		n.metrics.Inc("entry_repeats_refused")
 		a := notRunAnswer(wire.ReasonRetries, n.jitter(2*defaultRetryAfter))
 		if t.OnceOnly || v == repeat.Spent {
-			// What became of the attempts before isn't looked up for one that comes too often.
+			// The outcome of earlier attempts isn't looked up for a retry over the budget.
 			a.meta.Outcome = wire.Unknown
 		}
 		return a
 	}
-	// A repeat is the same root request, through whichever entry it comes: it has the same rank, and
-	// the once-only calls below it derive the same keys.
+	// A caller's retry is the same root request, through whichever entry it comes: it gets the same rank, and the
+	// once-only calls below it derive the same keys.
 	root := uuid.NewString()
 	if key != "" {
 		root = onceonly.RootOf(t.Service, key)
@@ -153,6 +155,7 @@
 	return a
 }
 
+// sendRoot sends a root request; once-only work without the caller's key gets a token.
 func (n *Node) sendRoot(ctx context.Context, s *outgoingCall, key string) *answer {
 	if !s.treatment.OnceOnly {
 		return n.send(ctx, s)
@@ -168,7 +171,7 @@
 	return n.send(ctx, s)
 }
 
-// awaitFlight waits for a running attempt of the same request and shares its answer.
+// awaitFlight waits for an attempt of the same request that is in flight and returns a copy of its answer.
 func (n *Node) awaitFlight(ctx context.Context, f *repeat.Flight, deadline time.Time) *answer {
 	t := time.NewTimer(deadline.Sub(n.clock.Now()))
 	defer t.Stop()
@@ -186,6 +189,7 @@
 	return unknownAnswer(wire.ReasonRunning)
 }
 
+// badRequestAnswer returns the answer to an invalid request, with the status of a *RequestError.
 func badRequestAnswer(err error) *answer {
 	a := notRunAnswer(wire.ReasonBadRequest, 0)
 	var bad *RequestError
@@ -197,7 +201,7 @@
 	return a
 }
 
-// parseTimeout reads the caller's own time limit; the error is a *RequestError.
+// parseTimeout returns the time limit in the caller's headers, 0 if there is none; the error is a *RequestError.
 func parseTimeout(h http.Header) (time.Duration, error) {
 	s := h.Get(wire.HeaderTimeout)
 	if s == "" {
@@ -210,7 +214,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// customerOf names the customer by its credentials, or by its address where it shows none.
+// customerOf identifies the customer by its credentials, or by its address if it sends none.
 func customerOf(r *http.Request) string {
 	if c := r.Header.Get("Authorization"); c != "" {
 		return c
@@ -222,7 +226,7 @@
 	return host
 }
 
-// serveToken issues a token for one once-only request, which may be sent by any entry.
+// serveToken issues a token for one once-only request, which may be sent through any entry.
 func (n *Node) serveToken(w http.ResponseWriter, r *http.Request) {
 	plan := n.snapshot.Load().plan
 	service := r.URL.Query().Get("service")
@@ -234,9 +238,9 @@
 	token, ok := n.newToken(t, priority.Max)
 	if !ok {
 		w.Header().Set(headerRetryAfter, "1")
-		http.Error(w, "no backend server can be a home now", http.StatusServiceUnavailable)
+		http.Error(w, "no backend server can be the home of a token now", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = fmt.Fprintln(w, token) // a caller that left needs none
+	_, _ = fmt.Fprintln(w, token) // a caller that disconnected needs no token
 }
--- a/pkg/node/config_change.go
+++ b/pkg/node/config_change.go
@@ -18,28 +18,30 @@
 type NoVersionError struct{ Version int64 }
 
 // Error names the version.
-func (e *NoVersionError) Error() string { return fmt.Sprintf("there is no version %d", e.Version) }
+func (e *NoVersionError) Error() string {
+	return fmt.Sprintf("configuration version %d doesn't exist", e.Version)
+}
 
-// RaceError reports a change that lost against another operator's: it was not accepted.
+// RaceError reports a change that wasn't accepted, since another operator's change came first.
 type RaceError struct {
-	Base    int64    // version that the change was made for
-	Have    int64    // version in force
+	Base    int64    // version that the change was based on
+	Have    int64    // newest version in the table
 	By      string   // author of the newest change
 	Changed []string // objects that differ between Base and Have
 }
 
-// Error says what changed meanwhile.
+// Error names both versions, and the author and the objects of the other change.
 func (e *RaceError) Error() string {
 	return fmt.Sprintf("version is %d, not %d: %s changed %v meanwhile", e.Have, e.Base, e.By, e.Changed)
 }
 
-// InDoubtError reports a change of which it isn't known whether it was accepted.
+// InDoubtError reports a change that may or may not have been accepted.
 type InDoubtError struct {
 	ID    string
 	Cause error
 }
 
-// Error names the change.
+// Error names the change and the cause.
 func (e *InDoubtError) Error() string {
 	return fmt.Sprintf("it is unknown whether change %s was accepted: %v", e.ID, e.Cause)
 }
@@ -47,10 +49,10 @@
 // Unwrap returns the cause.
 func (e *InDoubtError) Unwrap() error { return e.Cause }
 
-// maxCommitAttempts is how often a commit with a lost answer is settled before the operator is told so.
+// maxCommitAttempts limits the commits of one change before the operator gets the error.
 const maxCommitAttempts = 4
 
-// Change makes an operator's change: accepted means committed in the platform's table. The error is a
+// Change commits an operator's change to the platform's table and returns the new version. The error is a
 // *config.InvalidError, *config.NoObjectError, *RaceError, *InDoubtError or *store.RefusedError.
 func (n *Node) Change(ctx context.Context, ch config.Change) (*config.Document, error) {
 	base, err := n.newestDocument(ctx)
@@ -74,7 +76,8 @@
 	return n.commitDocument(ctx, doc)
 }
 
-// newestDocument returns the newestDocument configuration of the table, or an empty one.
+// newestDocument returns the newest configuration in the table, or an empty one if there is none; the error is a
+// *store.RefusedError.
 func (n *Node) newestDocument(ctx context.Context) (*config.Document, error) {
 	doc, err := n.readDocument(ctx, 0)
 	if err != nil {
@@ -86,7 +89,7 @@
 	return doc, nil
 }
 
-// resolveSelector turns a selector of VMs or other objects into names.
+// resolveSelector returns the change with a label edit's selector replaced by the names of matching VMs or objects.
 func (n *Node) resolveSelector(ch config.Change, base *config.Document) config.Change {
 	if ch.Label == nil || ch.Label.Selector == "" {
 		return ch
@@ -114,13 +117,13 @@
 	return ch
 }
 
-// commitDocument writes a version by compare-and-set on the head row. A commit whose answer was lost is
-// made again: the check lets it through only if the first had no effect, and the change's own row tells
+// commitDocument writes a version by compare-and-set on the head row. It retries a commit whose answer was lost:
+// the check lets the retry through only if the first commit had no effect, and the row of the change ID tells
 // whether it had.
 func (n *Node) commitDocument(ctx context.Context, doc *config.Document) (*config.Document, error) {
 	tx := documentTx(doc)
 	var last error
-	doubt := false
+	inDoubt := false
 	for range maxCommitAttempts {
 		pctx, cancel := n.withPlatformTimeout(ctx)
 		last = n.platform.Commit(pctx, tx)
@@ -135,19 +138,20 @@
 		case errors.As(last, &conflict):
 			return n.resolveConflict(ctx, doc)
 		case !errors.As(last, &refused):
-			doubt = true
+			inDoubt = true
 		}
 		if !clock.Sleep(ctx, n.jitter(100*time.Millisecond)) {
 			break
 		}
 	}
-	if !doubt {
+	if !inDoubt {
 		return nil, last
 	}
 	return nil, &InDoubtError{doc.ChangeID, last}
 }
 
-// resolveConflict tells an own earlier commit from another operator's.
+// resolveConflict returns the document if an earlier attempt committed it, and a *RaceError if another operator's
+// change came first.
 func (n *Node) resolveConflict(ctx context.Context, doc *config.Document) (*config.Document, error) {
 	v, err := n.versionOfChange(ctx, doc.ChangeID)
 	if err != nil {
@@ -163,7 +167,7 @@
 	return nil, n.raceError(ctx, doc.Version-1, now)
 }
 
-// versionOfChange returns the version that a change became, or 0 if it wasn't accepted.
+// versionOfChange returns the version that a change was accepted as, or 0 if it wasn't accepted.
 func (n *Node) versionOfChange(ctx context.Context, id string) (int64, error) {
 	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
@@ -178,6 +182,7 @@
 	return strconv.ParseInt(string(row.Value), 10, 64)
 }
 
+// applyAcceptedVersion reads an accepted version and puts it in force here.
 func (n *Node) applyAcceptedVersion(ctx context.Context, version int64) (*config.Document, error) {
 	doc, err := n.DocumentVersion(ctx, version)
 	if err != nil {
@@ -186,7 +191,7 @@
 	return doc, n.applyAccepted(ctx, doc)
 }
 
-// applyAccepted puts a committed version in force here, tells the neighbours, and keeps a copy in the object store.
+// applyAccepted puts a committed version in force here, sends it to the neighbors and copies it to the object store.
 func (n *Node) applyAccepted(ctx context.Context, doc *config.Document) error {
 	err := n.runOnControl(ctx, func(s *controlState) {
 		s.merge(exchange{Doc: doc})
@@ -203,6 +208,7 @@
 	return err
 }
 
+// raceError returns a *RaceError for a change made for version base; now is the newest configuration.
 func (n *Node) raceError(ctx context.Context, base int64, now *config.Document) error {
 	e := &RaceError{Base: base, Have: now.Version, By: now.Author}
 	if old, err := n.DocumentVersion(ctx, base); err == nil {
@@ -223,12 +229,12 @@
 	return n.readVersion(ctx, version)
 }
 
-// ChangeVersion tells what became of a change: the version that it was accepted as, or 0 if it wasn't.
+// ChangeVersion returns the version that a change was accepted as, or 0 if it wasn't accepted.
 func (n *Node) ChangeVersion(ctx context.Context, id string) (int64, error) {
 	return n.versionOfChange(ctx, id)
 }
 
-// Document returns the configuration in force here.
+// Document returns the configuration in force here, or an empty one.
 func (n *Node) Document() *config.Document {
 	if doc := n.snapshot.Load().doc; doc != nil {
 		return doc
@@ -236,7 +242,7 @@
 	return &config.Document{}
 }
 
-// Preview returns what a change would do, without making it.
+// Preview returns the differences that a change would make and the resulting objects, without making the change.
 func (n *Node) Preview(ctx context.Context, ch config.Change) ([]config.Difference, []config.Object, error) {
 	base, err := n.newestDocument(ctx)
 	if err != nil {
@@ -249,12 +255,12 @@
 	return config.Diff(base.Objects, objs), objs, nil
 }
 
-// WriteInitialDocument writes the first configuration into an empty platform, as a first change would.
+// WriteInitialDocument writes the first configuration into an empty platform.
 func WriteInitialDocument(ctx context.Context, p store.Platform, doc config.Document) error {
 	return p.Commit(ctx, documentTx(&doc))
 }
 
-// documentTx is the transaction that makes a document the newest version.
+// documentTx returns the transaction that makes a document the newest version.
 func documentTx(doc *config.Document) store.Tx {
 	return store.Tx{
 		Checks: []store.Check{
--- a/pkg/node/control_exchange.go
+++ b/pkg/node/control_exchange.go
@@ -10,27 +10,29 @@
 	"github.com/rockspoke/rockspoke/pkg/onceonly"
 )
 
-// digest sums up what a daemon knows, so that another sees what it lacks.
+// digest summarizes the versions that a daemon holds, so that a peer can tell what it lacks.
 type digest struct {
 	Config int64            `json:"c"`
 	Rows   map[string]int64 `json:"r,omitempty"`
 	Nodes  uint64           `json:"n"`
 }
 
-// exchange is the control message between daemons: a digest, and what the other is known or likely to lack.
+// exchange is the control message between daemons: the sender's digest and the updates that the receiver lacks or
+// probably lacks.
 type exchange struct {
 	From   string            `json:"from"`
 	Digest digest            `json:"d"`
 	Doc    *config.Document  `json:"doc,omitempty"`
 	Rows   []onceonly.Row    `json:"rows,omitempty"`
 	Nodes  []member.NodeInfo `json:"nodes,omitempty"`
-	// Probe asks for the digest only; it is how operators' queries see versions.
+	// Probe requests only the digest; operators' version queries set it.
 	Probe bool `json:"probe,omitempty"`
 }
 
-// exchangeTimeout is the longest time for one exchange.
+// exchangeTimeout is the timeout of one exchange.
 const exchangeTimeout = 2 * time.Second
 
+// digest returns the digest of this daemon's state.
 func (s *controlState) digest() digest {
 	d := digest{Config: s.register.Version(), Rows: map[string]int64{}, Nodes: s.roster.Digest()}
 	for name, row := range s.rows {
@@ -39,26 +41,27 @@
 	return d
 }
 
-// merge merges what a message brings and publishes it.
+// merge adopts the newer parts of a message and publishes a snapshot if any were newer.
 func (s *controlState) merge(in exchange) {
 	now := s.n.clock.Now()
-	news := s.offerDocument(in.Doc)
+	changed := s.offerDocument(in.Doc)
 	for _, row := range in.Rows {
-		news = s.offerRow(row) || news
+		changed = s.offerRow(row) || changed
 	}
 	for _, info := range in.Nodes {
 		if info.VM == s.n.cfg.VM && info.Incarnation < s.n.incarnation {
 			continue
 		}
-		news = s.mergeNode(now, info) || news
+		changed = s.mergeNode(now, info) || changed
 	}
-	if news {
+	if changed {
 		s.n.publishSnapshot(s)
 	}
 }
 
-// updatesFor collects what a daemon with the digest lacks. Its nodes are compared whole only on request.
-func (s *controlState) updatesFor(d digest, wholeNodes bool) exchange {
+// updatesFor returns what a daemon with digest d lacks. If the digests of nodes differ, it includes all nodes if
+// allNodes is set, else only those with recent updates.
+func (s *controlState) updatesFor(d digest, allNodes bool) exchange {
 	out := exchange{From: s.n.cfg.VM, Digest: s.digest()}
 	if s.register.Version() > d.Config {
 		out.Doc = s.register.Document()
@@ -71,7 +74,7 @@
 	if out.Digest.Nodes == d.Nodes {
 		return out
 	}
-	if wholeNodes {
+	if allNodes {
 		out.Nodes = s.roster.Nodes()
 		return out
 	}
@@ -83,7 +86,7 @@
 	return out
 }
 
-// handleExchange answers a control message of another daemon.
+// handleExchange merges another daemon's message and returns what that daemon lacks, or the digest for a probe.
 func (n *Node) handleExchange(ctx context.Context, in exchange) (out exchange, err error) {
 	err = n.runOnControl(ctx, func(s *controlState) {
 		if in.Probe {
@@ -96,13 +99,14 @@
 	return out, err
 }
 
-// exchangeWith compares state with another daemon: a digest and recent news first, then what it lacks.
+// exchangeWith runs anti-entropy with another daemon: it sends a digest and recent updates, merges the reply and then
+// sends what the other daemon lacks.
 func (n *Node) exchangeWith(ctx context.Context, vm, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var msg, reply exchange
 	if err := n.runOnControl(ctx, func(s *controlState) {
-		// Towards an unknown state only news of nodes is sent along; the rest goes by digest.
+		// The peer's state is unknown yet, so only recent updates of nodes go along with the digest.
 		msg = s.updatesFor(digest{Config: s.register.Version(), Rows: s.digest().Rows}, false)
 	}); err != nil {
 		return err
@@ -123,14 +127,14 @@
 	return n.peers.control(ctx, vm, addr, pathExchange, more, &reply)
 }
 
-// exchangeWithNeighbors tells every neighbour at once that there is news.
+// exchangeWithNeighbors starts an exchange with every neighbor at once.
 func (s *controlState) exchangeWithNeighbors() {
 	for _, v := range s.n.snapshot.Load().neighbors {
 		s.startExchange(v.Name, v.Peer)
 	}
 }
 
-// exchangeWithNext keeps in step with one neighbour after the other, whether there is news or not.
+// exchangeWithNext starts an exchange with the next neighbor in turn, whether there are updates or not.
 func (s *controlState) exchangeWithNext() {
 	list := s.n.snapshot.Load().neighbors
 	if len(list) == 0 {
@@ -141,7 +145,7 @@
 	s.startExchange(v.Name, v.Peer)
 }
 
-// startExchange starts an exchange unless one with the same daemon is under way; then another follows it.
+// startExchange starts an exchange unless one with the same daemon is in progress; then another follows it.
 func (s *controlState) startExchange(vm, addr string) {
 	name := "exchange/" + vm
 	if s.running[name] {
@@ -164,20 +168,20 @@
 	}()
 }
 
-// requestExchange asks a daemon for its state, since an answer showed that it knows more.
+// requestExchange starts an exchange with a daemon whose answer showed that it has newer state.
 func (n *Node) requestExchange(vm string) {
 	v, ok := n.snapshot.Load().vms[vm]
 	if !ok {
 		return
 	}
-	// Calls must not wait for control, so a full queue drops the wish; the next answer renews it.
+	// Calls must not wait for the control goroutine: a full queue drops the request, and the next answer repeats it.
 	select {
 	case n.control <- func(s *controlState) { s.startExchange(v.Name, v.Peer) }:
 	default:
 	}
 }
 
-// VersionReport tells how far a configuration version has come.
+// VersionReport lists which daemons have a configuration version in force, which are behind and which didn't respond.
 type VersionReport struct {
 	Version      int64            `json:"version"`
 	InForce      []string         `json:"in_force"`
@@ -185,10 +189,10 @@
 	Unresponsive []string         `json:"silent,omitempty"`
 }
 
-// maxConcurrentProbes bounds the probes of one report that are under way at once.
+// maxConcurrentProbes limits the probes of one report that are in flight.
 const maxConcurrentProbes = 32
 
-// VersionReport asks every daemon which configuration version it has in force.
+// VersionReport queries every daemon for its configuration version and compares it with want.
 func (n *Node) VersionReport(ctx context.Context, want int64) VersionReport {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
--- a/pkg/node/control_leaving.go
+++ b/pkg/node/control_leaving.go
@@ -11,8 +11,8 @@
 	"github.com/rockspoke/rockspoke/pkg/onceonly"
 )
 
-// Leave makes the daemon take no new work; it tells its peers, hands its key ranges over and goes on
-// with the calls in progress. It can't be taken back in this life.
+// Leave stops admitting new work: the daemon informs its peers, hands over its key ranges and finishes the calls in
+// progress. It can't be undone in this incarnation.
 func (n *Node) Leave(reason string) {
 	if n.leaving.Swap(true) {
 		return
@@ -21,13 +21,13 @@
 	go n.leave()
 }
 
-// drainPollPeriod is the time between looks at whether the backend server drains, and drainPollTimeout the longest look.
+// drainPollPeriod is the time between queries whether the backend server drains, and drainPollTimeout their timeout.
 const (
 	drainPollPeriod  = time.Second
 	drainPollTimeout = 500 * time.Millisecond
 )
 
-// pollDrain asks the backend server whether it drains; only its clear word counts, since health endpoints mislead.
+// pollDrain queries the backend server's drain path. Only the drain header counts, since health endpoints mislead.
 func (n *Node) pollDrain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, drainPollTimeout)
 	defer cancel()
@@ -45,6 +45,7 @@
 	}
 }
 
+// leave sends the leaving state to the neighbors and retries until all key ranges are handed over.
 func (n *Node) leave() {
 	err := n.runOnControl(n.ctx, func(s *controlState) {
 		s.mergeNode(n.clock.Now(), s.localInfo())
@@ -62,7 +63,7 @@
 	n.log.leave.Info("no key ranges are left here")
 }
 
-// handOverOwnedRanges hands all ranges to other nodes; it reports whether none is left.
+// handOverOwnedRanges hands all owned ranges to other nodes; it reports whether none is left.
 func (n *Node) handOverOwnedRanges(ctx context.Context) bool {
 	if n.cfg.Service == "" {
 		return true
@@ -82,21 +83,21 @@
 	return n.handOverRanges(ctx, v.row, mine, nodes)
 }
 
-// leaveNoticeWait is the time between the start of leaving and the closing of listeners, in which peers learn of it.
+// leaveNoticeWait is the time from the start of leaving to the closing of listeners, in which peers learn of it.
 const leaveNoticeWait = 300 * time.Millisecond
 
-// Stop leaves, waits until every call in progress has ended and the key ranges are handed over, and
-// then stops. The context or settings bound the wait.
+// Stop leaves, waits until every call in progress has ended and the key ranges are handed over, and then closes the
+// daemon. The context and the setting backend.stopWait bound the wait.
 func (n *Node) Stop(ctx context.Context) error {
 	n.Leave("stop")
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.Backend.StopWait)
 	defer cancel()
-	_ = clock.Sleep(ctx, leaveNoticeWait) // cut short by the context only
-	for ctx.Err() == nil && n.ownsRanges() {
+	_ = clock.Sleep(ctx, leaveNoticeWait) // only the context ends it early
+	for ctx.Err() == nil && n.ownsKeyRanges() {
 		_ = clock.Sleep(ctx, 20*time.Millisecond)
 	}
 	n.shutdownServer(ctx, n.callers)
-	// The backend server may still make calls for those in progress, so its listener goes last.
+	// The backend server may still make outbound calls for those in progress, so that listener closes last.
 	for ctx.Err() == nil && n.running.Load() > 0 {
 		_ = clock.Sleep(ctx, 10*time.Millisecond)
 	}
@@ -104,7 +105,7 @@
 	if left := n.running.Load(); left > 0 {
 		n.log.leave.Warn("stop waits no longer for calls in progress", "calls", left)
 	}
-	// The last answers may still be on their way out of the peer socket.
+	// The peer socket may still be sending the last answers.
 	_ = clock.Sleep(ctx, finalAnswerWait)
 	n.log.leave.Info("daemon stops")
 	return n.Close()
@@ -113,7 +114,7 @@
 // finalAnswerWait is the time for the last answers to leave before connections are closed.
 const finalAnswerWait = 150 * time.Millisecond
 
-// shutdownServer closes a listener and waits for its requests in progress.
+// shutdownServer closes a listener and waits for its requests in progress; s may be nil.
 func (n *Node) shutdownServer(ctx context.Context, s *http.Server) {
 	if s == nil {
 		return
@@ -123,7 +124,8 @@
 	}
 }
 
-func (n *Node) ownsRanges() bool {
+// ownsKeyRanges tells whether this node owns any key range, by the newest row.
+func (n *Node) ownsKeyRanges() bool {
 	owns := false
 	n.home.with(func(h *onceonly.Home) {
 		row := h.Row()
@@ -132,5 +134,5 @@
 	return owns
 }
 
-// Leaving tells whether the daemon takes no new work.
+// Leaving tells whether the daemon admits no new work.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -15,26 +15,26 @@
 // controlTick is the period of the control goroutine.
 const controlTick = 50 * time.Millisecond
 
-// recentUpdateAge is the time for which news of a node goes along with every exchange.
+// recentUpdateAge is the age up to which an update of a node goes along with every exchange.
 const recentUpdateAge = 5 * time.Second
 
-// controlState is what the control goroutine owns.
+// controlState is the state that only the control goroutine reads and writes.
 type controlState struct {
 	n           *Node
 	register    config.Register
 	roster      member.Roster
 	rows        map[string]onceonly.Row
-	recentNodes map[string]time.Time // when news of a node was taken
+	recentNodes map[string]time.Time // when a node's last update was adopted, by VM
 
 	started       time.Time
-	changed       bool // something is to be spread
-	neighborIndex int  // neighbour of the next regular exchange
+	changed       bool // the next tick sends updates to all neighbors
+	neighborIndex int  // index of the neighbor of the last regular exchange
 	nextExchange  time.Time
 	nextHead      time.Time
 	nextVMs       time.Time
 	nextRanges    time.Time
 	nextDrain     time.Time
-	running       map[string]bool // work of which one instance runs at a time
+	running       map[string]bool // names of the work in progress, one run of each at a time
 }
 
 func newControlState(n *Node) *controlState {
@@ -47,12 +47,12 @@
 	return s
 }
 
-// localInfo is what this node says of itself.
+// localInfo returns this node's own record.
 func (s *controlState) localInfo() member.NodeInfo {
 	return member.NodeInfo{VM: s.n.cfg.VM, Incarnation: s.n.incarnation, Leaving: s.n.leaving.Load()}
 }
 
-// controlLoop runs what others ask of the control state, and its own periodic work.
+// controlLoop runs functions queued for the control goroutine, and its periodic work, until the daemon stops.
 func (n *Node) controlLoop(s *controlState) {
 	defer close(n.stopped)
 	ticks, stop := n.clock.NewTicker(controlTick)
@@ -72,7 +72,7 @@
 // errStopped reports that the daemon has stopped.
 var errStopped = errors.New("daemon has stopped")
 
-// runOnControl runs fn in the control goroutine and waits for it.
+// runOnControl runs fn in the control goroutine and waits for it; the error is the context's or errStopped.
 func (n *Node) runOnControl(ctx context.Context, fn func(*controlState)) error {
 	done := make(chan struct{})
 	select {
@@ -82,7 +82,7 @@
 	case <-n.ctx.Done():
 		return errStopped
 	}
-	// The loop ends only between two functions, so after that fn can't run any more.
+	// The loop ends only between two functions, so fn can't run any more once it has ended.
 	select {
 	case <-done:
 		return nil
@@ -91,7 +91,7 @@
 	}
 }
 
-// enqueueControl hands fn to the control goroutine without waiting.
+// enqueueControl queues fn for the control goroutine. It waits only for space in the queue.
 func (n *Node) enqueueControl(fn func(*controlState)) {
 	select {
 	case n.control <- fn:
@@ -99,6 +99,7 @@
 	}
 }
 
+// tick starts the periodic work that is due.
 func (s *controlState) tick(now time.Time) {
 	c := s.n.cfg.Control
 	if s.changed {
@@ -127,7 +128,7 @@
 	}
 }
 
-// due tells whether the time has come, and sets the next one.
+// due tells whether next has come; if so, it sets next to now plus the period.
 func due(now time.Time, next *time.Time, period time.Duration) bool {
 	if now.Before(*next) {
 		return false
@@ -136,7 +137,7 @@
 	return true
 }
 
-// startWork runs fn in a goroutine of its own unless the last run of the same name goes on.
+// startWork runs fn in a goroutine unless the last run under the same name is still in progress.
 func (s *controlState) startWork(name string, fn func(context.Context)) {
 	if s.running[name] {
 		return
@@ -149,7 +150,7 @@
 	}()
 }
 
-// offerDocument takes a configuration if it is newer.
+// offerDocument adopts a configuration and reports true if it is newer.
 func (s *controlState) offerDocument(doc *config.Document) bool {
 	old := s.register.Version()
 	if !s.register.Offer(doc) {
@@ -161,7 +162,7 @@
 	return true
 }
 
-// offerRow takes a row of key ranges if it is newer.
+// offerRow adopts a row of key ranges and reports true if it is newer.
 func (s *controlState) offerRow(row onceonly.Row) bool {
 	if row.Version <= s.rows[row.Service].Version {
 		return false
@@ -175,7 +176,7 @@
 	return true
 }
 
-// mergeNode takes what a node says of itself.
+// mergeNode adopts a node's record and reports true if it is newer.
 func (s *controlState) mergeNode(now time.Time, info member.NodeInfo) bool {
 	old, known := s.roster.Node(info.VM)
 	if !s.roster.Merge(info) {
@@ -189,7 +190,7 @@
 	return true
 }
 
-// publishSnapshot makes a new snapshot for calls.
+// publishSnapshot builds a new snapshot from the control state and makes it visible to calls.
 func (n *Node) publishSnapshot(s *controlState) {
 	old := n.snapshot.Load()
 	snap := &snapshot{
@@ -208,7 +209,7 @@
 		snap.candidates = append(snap.candidates, c)
 		snap.vms[v.Name] = v
 		if v.Name == n.cfg.VM && c.Leaving {
-			n.Leave("the platform or an operator says so")
+			n.Leave("marked as leaving by the platform or an operator")
 		}
 	}
 	for _, info := range s.roster.Nodes() {
@@ -226,7 +227,7 @@
 	n.snapshot.Store(snap)
 }
 
-// neighbors are the VMs with which this daemon exchanges control state: few, lasting, and of every zone.
+// neighbors returns the VMs with which this daemon exchanges control state: a small, stable set that covers every zone.
 func (n *Node) neighbors(snap *snapshot) []member.VM {
 	var others []routing.Candidate
 	for _, c := range snap.candidates {
@@ -243,7 +244,7 @@
 	return list
 }
 
-// markLocalTargets notes for which treatments of the own service the policy targets this VM.
+// markLocalTargets marks the treatments of the local service whose policies target this VM.
 func (n *Node) markLocalTargets(snap *snapshot) {
 	if snap.plan == nil || n.cfg.Service == "" {
 		return
@@ -257,6 +258,7 @@
 	}
 }
 
+// findCandidate returns the snapshot's candidate with the VM's name.
 func findCandidate(snap *snapshot, vm string) (routing.Candidate, bool) {
 	for _, c := range snap.candidates {
 		if c.VM.Name == vm {
@@ -266,6 +268,7 @@
 	return routing.Candidate{}, false
 }
 
+// updateGateSlots sets the gate's slots to those that the plan gives the local service.
 func (n *Node) updateGateSlots(snap *snapshot) {
 	if snap.plan == nil {
 		return
--- a/pkg/node/control_platform.go
+++ b/pkg/node/control_platform.go
@@ -13,7 +13,7 @@
 	"github.com/rockspoke/rockspoke/pkg/store"
 )
 
-// The keys of the table and the names of objects.
+// The keys of the platform's table, and the name of the object that holds a copy of the newest configuration.
 const (
 	keyHead        = "config/head"
 	keyVersion     = "config/v/%d"
@@ -28,11 +28,13 @@
 	ChangeID string `json:"change_id"`
 }
 
+// withPlatformTimeout returns the context with the timeout of platform requests.
 func (n *Node) withPlatformTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, n.cfg.Platform.Timeout)
 }
 
-// loadState fills the control state at start: from the platform, else from its snapshot object and the seeds.
+// loadState fills the control state at start from the platform. If the table can't be read, it takes the configuration
+// from the snapshot object.
 func (n *Node) loadState(ctx context.Context, s *controlState) {
 	if vms, err := n.listVMs(ctx); err == nil {
 		s.roster.Refresh(vms)
@@ -57,13 +59,15 @@
 	}
 }
 
+// listVMs reads the list of VMs from the platform.
 func (n *Node) listVMs(ctx context.Context) ([]member.VM, error) {
 	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	return n.platform.ListVMs(ctx)
 }
 
-// readDocument reads the newest configuration if it is above the version; nil without an error means that there is none.
+// readDocument returns the newest configuration in the table, or nil without an error if its version isn't above the
+// given one or there is none.
 func (n *Node) readDocument(ctx context.Context, above int64) (*config.Document, error) {
 	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
@@ -85,6 +89,7 @@
 	return n.readVersion(ctx, h.Version)
 }
 
+// readVersion reads one version from the table; the error is a *NoVersionError if it isn't there.
 func (n *Node) readVersion(ctx context.Context, version int64) (*config.Document, error) {
 	key := fmt.Sprintf(keyVersion, version)
 	rows, err := n.platform.Read(ctx, []string{key})
@@ -102,6 +107,7 @@
 	return &doc, nil
 }
 
+// readSnapshotObject returns the configuration copied to the object store, or nil if it can't be read.
 func (n *Node) readSnapshotObject(ctx context.Context) *config.Document {
 	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
@@ -117,6 +123,7 @@
 	return &doc
 }
 
+// readRangeRows returns the services' rows of key ranges; it leaves out those that are missing or malformed.
 func (n *Node) readRangeRows(ctx context.Context, services []string) []onceonly.Row {
 	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
@@ -141,7 +148,7 @@
 	return rows
 }
 
-// pollTable looks for a newer configuration, and for the own service's key ranges.
+// pollTable reads a newer configuration and the local service's row of key ranges, and merges them.
 func (n *Node) pollTable(ctx context.Context) {
 	doc, err := n.readDocument(ctx, n.snapshot.Load().version())
 	if err != nil {
@@ -155,7 +162,7 @@
 	n.enqueueControl(func(s *controlState) { s.merge(exchange{Doc: doc, Rows: rows}) })
 }
 
-// pollVMList looks for changes of the list of VMs. While there is no list, the seeds are asked for state.
+// pollVMList reads the list of VMs and publishes its changes. If the platform can't be read, it exchanges with the seeds.
 func (n *Node) pollVMList(ctx context.Context) {
 	vms, err := n.listVMs(ctx)
 	if err != nil {
@@ -166,7 +173,7 @@
 	n.enqueueControl(func(s *controlState) {
 		before := s.roster.Changes()
 		if !s.roster.Refresh(vms) {
-			n.log.control.Warn("list of VMs looks implausible and is set aside", "vms", len(vms))
+			n.log.control.Warn("implausible list of VMs is ignored", "vms", len(vms))
 			return
 		}
 		if s.roster.Changes() != before {
@@ -175,11 +182,10 @@
 	})
 }
 
-// vmListPeriodPerVM makes the time between readings of the list of VMs grow with the list, so that the bytes read a
-// second don't.
+// vmListPeriodPerVM makes the polling period grow with the list of VMs, so that the bytes read per second don't.
 const vmListPeriodPerVM = 50 * time.Millisecond
 
-// vmListPeriod is the time until the next reading of the list: short while a VM is missing from the last one.
+// vmListPeriod returns the time until the next poll of the list of VMs. It is short while a VM is missing from the last one.
 func (s *controlState) vmListPeriod() time.Duration {
 	period := s.n.cfg.Control.PollList
 	if s.roster.Doubtful() {
@@ -188,20 +194,21 @@
 	return max(period, time.Duration(len(s.n.snapshot.Load().vms))*vmListPeriodPerVM)
 }
 
-// exchangeWithSeeds exchanges state with the seeds, and learns their VMs, while the platform can't be read.
+// exchangeWithSeeds exchanges state with the seeds and fetches their lists of VMs, unless this node already has a plan
+// and knows other VMs. It replaces the platform while that can't be read.
 func (n *Node) exchangeWithSeeds(ctx context.Context) {
 	if len(n.snapshot.Load().vms) > 1 && n.snapshot.Load().plan != nil {
 		return
 	}
 	for _, addr := range n.cfg.Seeds {
 		if err := n.exchangeWith(ctx, "", addr); err != nil {
-			n.log.control.Debug("seed can't be asked", "seed", addr, "err", err)
+			n.log.control.Debug("exchange with seed failed", "seed", addr, "err", err)
 		}
 		n.fetchVMList(ctx, addr)
 	}
 }
 
-// fetchVMList takes the list of VMs that another daemon goes by.
+// fetchVMList adopts the list of VMs that another daemon uses.
 func (n *Node) fetchVMList(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -216,18 +223,19 @@
 	})
 }
 
-// vmList is the list of VMs that a daemon goes by, for one that can't read it from the platform.
+// vmList is the list of VMs that a daemon uses, sent to one that can't read it from the platform.
 type vmList struct {
 	VMs []member.VM `json:"vms"`
 }
 
+// localVMList returns the list of VMs that this daemon uses.
 func (n *Node) localVMList(ctx context.Context) (list vmList, err error) {
 	err = n.runOnControl(ctx, func(s *controlState) { list.VMs = s.roster.VMs() })
 	return list, err
 }
 
-// commitRow writes a row of key ranges and returns the row that is in the table afterwards. Any error
-// but a *store.RefusedError leaves open whether the row was written, now or later.
+// commitRow writes a row of key ranges and returns the row that is in the table afterwards. After any error but a
+// *store.RefusedError, it is unknown whether the row was written or will be.
 func (n *Node) commitRow(ctx context.Context, row onceonly.Row) (onceonly.Row, error) {
 	key := keyRanges + row.Service
 	tx := store.Tx{
@@ -248,5 +256,5 @@
 	return rows[0], nil
 }
 
-// platformRetryPause is the pause between tries of work that waits for the platform.
+// platformRetryPause is the pause between retries of work that depends on the platform.
 const platformRetryPause = time.Second
--- a/pkg/node/control_ranges.go
+++ b/pkg/node/control_ranges.go
@@ -13,28 +13,30 @@
 	"github.com/rockspoke/rockspoke/pkg/store"
 )
 
-// The periods of the care for key ranges: how often it looks, how long a new service's nodes are waited
-// for, and how much longer each node waits than the one before it in name.
+// The timing of key range changes: the period of checks, the longest wait for all nodes of a new service, and how much
+// longer each node waits than the one before it by name.
 const (
 	rangeCheckPeriod = 500 * time.Millisecond
 	firstRowMaxWait  = 4 * time.Second
 	moveLostDelay    = 3 * time.Second
 )
 
-// rangeCloseTimeout is the longest time that a closing range waits for its runs; what still runs then goes as uncertain.
+// rangeCloseTimeout is the longest time that a closing range waits for its runs; the outcome of those still in progress
+// then goes over as unknown.
 const rangeCloseTimeout = 5 * time.Second
 
-// rangeView is what the care for key ranges looks at.
+// rangeView is the state on which decisions about key ranges are based.
 type rangeView struct {
 	row       onceonly.Row
 	hasRow    bool
-	nodes     []onceonly.Node // of the service, known, there, not leaving, and targeted by its policies
+	nodes     []onceonly.Node // of the service: known, listed, not leaving, and targeted by its policies
 	missing   int             // VMs of the service whose node isn't known yet
 	ownerGone func(onceonly.Owner) bool
 	age       time.Duration // since this node started
-	position  int           // this node's place among nodes, -1 if it isn't there
+	position  int           // this node's index in nodes, -1 if it isn't there
 }
 
+// rangeView returns the current state of the local service's key ranges; the error is that of runOnControl.
 func (n *Node) rangeView(ctx context.Context) (v rangeView, err error) {
 	err = n.runOnControl(ctx, func(s *controlState) {
 		snap := n.snapshot.Load()
@@ -51,7 +53,8 @@
 	return v, err
 }
 
-// serviceNodes returns the nodes that may own key ranges of this node's service.
+// serviceNodes returns the nodes that may own key ranges of the local service, and the number of its VMs whose node
+// isn't known yet.
 func (s *controlState) serviceNodes(snap *snapshot) (nodes []onceonly.Node, missing int) {
 	for _, c := range snap.candidates {
 		if c.VM.Service != s.n.cfg.Service || c.Leaving || !s.isTargeted(snap, c) {
@@ -69,7 +72,7 @@
 	return nodes, missing
 }
 
-// isTargeted tells whether any policy sends calls of the service to the VM.
+// isTargeted tells whether any policy sends calls of the local service to the VM.
 func (s *controlState) isTargeted(snap *snapshot, c routing.Candidate) bool {
 	if snap.plan == nil {
 		return true
@@ -82,7 +85,8 @@
 	return false
 }
 
-// reconcileRanges makes sure that every key range has an owner that is there, and that this node owns a fair share.
+// reconcileRanges makes sure that every key range has a live owner and that this node owns at most about its fair share.
+// It makes one kind of change per call.
 func (n *Node) reconcileRanges(ctx context.Context) {
 	v, err := n.rangeView(ctx)
 	if err != nil || n.snapshot.Load().plan == nil {
@@ -98,14 +102,17 @@
 	}
 }
 
+// createRow deals out a new service's ranges. Only the first node by name does it, once all nodes are known or
+// firstRowMaxWait has passed.
 func (n *Node) createRow(ctx context.Context, v rangeView) {
 	if v.position != 0 || (v.missing > 0 && v.age < firstRowMaxWait) {
 		return
 	}
-	n.commitAndAdoptRow(ctx, onceonly.NewRow(n.cfg.Service, v.nodes), "first dealt out")
+	n.commitAndAdoptRow(ctx, onceonly.NewRow(n.cfg.Service, v.nodes), "assigned for the first time")
 }
 
-// reclaimRanges takes this VM's ranges over from the last life of its node, whose memory is lost.
+// reclaimRanges takes over this VM's ranges from the previous incarnation of its node, whose memory is lost; it reports
+// whether there were any.
 func (n *Node) reclaimRanges(ctx context.Context, v rangeView) bool {
 	row, moved := v.row.Reclaim(onceonly.Node{VM: n.cfg.VM, Incarnation: n.incarnation})
 	if moved {
@@ -114,8 +121,8 @@
 	return moved
 }
 
-// moveLostRanges gives away the ranges of owners whose VMs are gone. The first node by name goes first, the
-// others wait for their turn, so that they don't race each other for nothing.
+// moveLostRanges gives away the ranges of owners whose VMs are gone, and reports whether there were any. Each node waits
+// longer than the one before it by name, so that they don't commit the same change at once.
 func (n *Node) moveLostRanges(ctx context.Context, v rangeView) bool {
 	if v.position < 0 {
 		return false
@@ -131,7 +138,7 @@
 	return true
 }
 
-// commitAndAdoptRow commits a row and takes whatever the table holds afterwards.
+// commitAndAdoptRow commits a row, adopts what the table holds afterwards, and reports whether that is the given row.
 func (n *Node) commitAndAdoptRow(ctx context.Context, row onceonly.Row, why string) bool {
 	have, err := n.commitRow(ctx, row)
 	if err != nil {
@@ -148,14 +155,15 @@
 	return false
 }
 
+// adoptRow merges a row of key ranges into the control state; the error is that of runOnControl.
 func (n *Node) adoptRow(ctx context.Context, row onceonly.Row) error {
 	return n.runOnControl(ctx, func(s *controlState) { s.merge(exchange{Rows: []onceonly.Row{row}}) })
 }
 
-// surplusSlack is how many ranges above its fair share a node keeps, so that they don't wander.
+// surplusSlack is how many ranges above its fair share a node may own, so that ranges don't move back and forth.
 const surplusSlack = 2
 
-// handOverSurplus gives away what this node owns and shouldn't: all where no policy targets it, else what is above its share.
+// handOverSurplus hands over all of this node's ranges if no policy targets it, else those above its fair share.
 func (n *Node) handOverSurplus(ctx context.Context, v rangeView) {
 	mine := v.row.OwnedBy(n.cfg.VM, n.incarnation)
 	if len(mine) == 0 || len(v.nodes) == 0 || n.leaving.Load() {
@@ -173,7 +181,7 @@
 	n.handOverRanges(ctx, v.row, mine[fair:], others)
 }
 
-// handOverRanges gives ranges to the nodes that own the fewest; it reports whether every one was taken.
+// handOverRanges hands ranges over to the nodes that own the fewest; it reports whether all of them were accepted.
 func (n *Node) handOverRanges(ctx context.Context, row onceonly.Row, ranges []int, nodes []onceonly.Node) bool {
 	all := true
 	for to, part := range row.Spread(ranges, nodes) {
@@ -185,12 +193,13 @@
 	return all
 }
 
-// handOverTo closes ranges, sends their memory to the next owner and then changes the row. Until the row
-// is known to have changed, this node stays the owner, and while that is unknown the ranges stay closed.
+// handOverTo closes ranges, sends their memory to the next owner and then changes the row. This node stays the owner
+// until the row is known to have changed, and the ranges stay closed while that is unknown. The error is a
+// *HandoverError, or that of the message or the commit.
 func (n *Node) handOverTo(ctx context.Context, ranges []int, to onceonly.Node) error {
 	vm, ok := n.snapshot.Load().vms[to.VM]
 	if !ok {
-		return &HandoverError{to.VM + " isn't listed"}
+		return &HandoverError{to.VM + " isn't in the list of VMs"}
 	}
 	n.home.with(func(h *onceonly.Home) { h.Close(ranges) })
 	n.awaitRuns(ctx, ranges)
@@ -212,15 +221,15 @@
 	}
 	changed, ok := row.HandOver(ranges, me, next)
 	if !ok {
-		return &HandoverError{"the ranges have another owner by now"}
+		return &HandoverError{"the ranges now have another owner"}
 	}
 	return n.commitHandover(ctx, changed, ranges)
 }
 
-// commitHandover commits the changed row and tries until it is known what the table holds. Only a
-// commit that certainly had no effect, with none in doubt before it, opens the ranges here again.
+// commitHandover commits the changed row and retries until it is known what the table holds. It reopens the ranges here
+// only after a commit that certainly had no effect, if no commit before it is in doubt.
 func (n *Node) commitHandover(ctx context.Context, changed onceonly.Row, ranges []int) error {
-	doubt := false
+	inDoubt := false
 	for {
 		have, err := n.commitRow(ctx, changed)
 		if err == nil {
@@ -228,9 +237,9 @@
 		}
 		var refused *store.RefusedError
 		if !errors.As(err, &refused) {
-			doubt = true
+			inDoubt = true
 		}
-		if !doubt {
+		if !inDoubt {
 			n.home.with(func(h *onceonly.Home) { h.Reopen(ranges) })
 			return fmt.Errorf("row of %s: %w", changed.Service, err)
 		}
@@ -240,6 +249,8 @@
 	}
 }
 
+// finishHandover adopts the row in the table and reopens the ranges; the error is a *HandoverError if another change
+// of the row came first.
 func (n *Node) finishHandover(ctx context.Context, have, changed onceonly.Row, ranges []int) error {
 	if err := n.adoptRow(ctx, have); err != nil {
 		return err
@@ -252,7 +263,7 @@
 	return nil
 }
 
-// awaitRuns waits until nothing runs in the ranges.
+// awaitRuns waits until no run is in progress in the ranges, at most rangeCloseTimeout.
 func (n *Node) awaitRuns(ctx context.Context, ranges []int) {
 	end := n.clock.Now().Add(rangeCloseTimeout)
 	for {
--- a/pkg/node/doc.go
+++ b/pkg/node/doc.go
@@ -1,12 +1,12 @@
-// Package node is one daemon: the shell that carries calls and control
-// messages to the decisions in the other packages and back.
+// Package node implements one daemon: it passes calls and control messages
+// between the network and the decision logic in the other packages.
 //
-// A caller's request comes in at caller_server.go, is given its priority,
-// deadline and retry tokens, and goes out by call_sender.go, which picks a
-// backend server or, for once-only work, the key's home. At the other daemon
-// peer_server.go takes it; call_home.go decides about its key, and
-// call_runner.go about its start at the backend server. What that server calls
-// in turn comes in at outbound_server.go and takes the same way.
+// caller_server.go receives a caller's request and assigns its priority,
+// deadline and retry tokens. call_sender.go sends it to a backend server or,
+// for once-only work, to the key's home. At the other daemon peer_server.go
+// receives it, call_home.go decides by its key whether it runs, and
+// call_runner.go admits it to the backend server. Calls that this server makes
+// in turn arrive at outbound_server.go and follow the same path.
 //
 // One goroutine owns the control state (control_loop.go) and publishes it as
 // an immutable snapshot; calls only read the snapshot.
--- a/pkg/node/limit_listener.go
+++ b/pkg/node/limit_listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// limitListener takes no more connections than its slots at once; others wait in the kernel's queue.
+// limitListener limits its open connections to its slots; further ones wait in the kernel's accept queue.
 type limitListener struct {
 	net.Listener
 	slots chan struct{}
@@ -13,8 +13,9 @@
 	once  sync.Once
 }
 
-func newLimitListener(ln net.Listener, most int) net.Listener {
-	return &limitListener{Listener: ln, slots: make(chan struct{}, most), done: make(chan struct{})}
+// newLimitListener limits a listener to maxConns open connections.
+func newLimitListener(ln net.Listener, maxConns int) net.Listener {
+	return &limitListener{Listener: ln, slots: make(chan struct{}, maxConns), done: make(chan struct{})}
 }
 
 // Accept waits for a free slot and then for a connection.
@@ -38,6 +39,7 @@
 	return l.Listener.Close()
 }
 
+// limitConn is a connection that holds a slot of its listener.
 type limitConn struct {
 	net.Conn
 	once    sync.Once
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -37,21 +37,21 @@
 	metrics     *metric.Set
 	log         logs
 
-	// Control state: written by the control goroutine, read through the snapshot.
+	// Control state: only the control goroutine changes it; calls read the snapshot.
 	control  chan func(*controlState)
 	snapshot atomic.Pointer[snapshot]
 
-	// What calls share.
+	// State that all calls share.
 	pool          routing.Pool
 	levels        level.View
-	latencyFloors latencyFloors
+	latencyFloors latencyFloorTable
 	gate          *lockedGate
 	home          *lockedHome
 	guard         repeat.Guard
 	notes         chan repeat.Note
 	inbounds      sync.Map // id to *inbound
 	nextID        atomic.Uint64
-	running       atomic.Int64 // calls and runs in progress; a stop waits for none to be left
+	running       atomic.Int64 // calls and runs in progress; Stop waits until it is 0
 	leaving       atomic.Bool
 
 	rndMu sync.Mutex
@@ -60,21 +60,22 @@
 	peers   *peerClients
 	backend *http.Transport
 
-	callers  *http.Server // nil unless the settings name a listener
+	callers  *http.Server // nil unless the settings name its address
 	outbound *http.Server // likewise
 	peerHTTP *http3.Server
 	stop     context.CancelFunc
 	ctx      context.Context
-	stopped  chan struct{} // closed when the control goroutine has ended
+	stopped  chan struct{} // closed when the control goroutine returns
 	once     sync.Once
 }
 
-// logs holds the loggers of the parts.
+// logs holds a logger for each part of the daemon.
 type logs struct {
 	call, control, peer, leave, once *slog.Logger
 }
 
-// New makes a daemon that isn't started yet.
+// New returns a daemon that isn't started yet; the error is a *keys.IdentityError if the keys belong to
+// another VM or zone.
 func New(opts Options) (*Node, error) {
 	cfg := opts.Settings
 	cfg.Fill()
@@ -118,7 +119,7 @@
 // gateTickPeriod is the period at which the gate checks its queue.
 const gateTickPeriod = 10 * time.Millisecond
 
-// Start binds the listeners, learns the configuration and begins to serve.
+// Start binds the listeners, loads the configuration and begins to serve.
 func (n *Node) Start(ctx context.Context) error {
 	n.ctx, n.stop = context.WithCancel(context.WithoutCancel(ctx))
 	n.gate = newLockedGate(admission.NewGate(admission.Settings{
@@ -161,6 +162,7 @@
 	}
 }
 
+// publishGateMetrics sets the metrics of the gate's limit, running and queued calls, and level.
 func (n *Node) publishGateMetrics() {
 	r := n.gate.read(n.clock.Now())
 	n.metrics.Set("limit", int64(r.Limit))
@@ -169,13 +171,13 @@
 	n.metrics.Set("level", int64(r.Level))
 }
 
-// Close stops the daemon at once, without leaving first.
+// Close stops the daemon at once: it neither leaves first nor waits for calls in progress.
 func (n *Node) Close() error {
 	n.once.Do(func() {
 		n.stop()
 		for _, s := range []*http.Server{n.callers, n.outbound} {
 			if s != nil {
-				_ = s.Close() // open connections are cut on purpose
+				_ = s.Close() // Close also ends open connections, as intended
 			}
 		}
 		if n.peerHTTP != nil {
@@ -192,21 +194,21 @@
 	return nil
 }
 
-// withRand calls fn with the daemon's withRand source.
+// withRand calls fn with the daemon's random source locked.
 func (n *Node) withRand(fn func(*rand.Rand)) {
 	n.rndMu.Lock()
 	defer n.rndMu.Unlock()
 	fn(n.rnd)
 }
 
-// jitter returns d spread by half of it to either side.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	var f float64
 	n.withRand(func(r *rand.Rand) { f = r.Float64() })
 	return time.Duration(float64(d) * (0.5 + f))
 }
 
-// Incarnation returns the name of this life of the daemon.
+// Incarnation returns the ID of this run of the daemon; a later run's ID sorts after it.
 func (n *Node) Incarnation() string { return n.incarnation }
 
 // VM returns the name of the daemon's VM.
--- a/pkg/node/node_options.go
+++ b/pkg/node/node_options.go
@@ -12,11 +12,11 @@
 	"github.com/rockspoke/rockspoke/pkg/store"
 )
 
-// Network opens a daemon's sockets; its functions are seams for faults. Nil ones use the machine's network.
+// Network opens a daemon's sockets; tests replace its functions to inject faults. Nil functions use the host's network.
 type Network struct {
 	Listen       func(address string) (net.Listener, error)
 	ListenPacket func(address string) (net.PacketConn, error)
-	// DialBackend connects to the backend server on this VM.
+	// DialBackend connects to the local backend server.
 	DialBackend func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -36,7 +36,7 @@
 	return w
 }
 
-// Options is what a daemon is made of; Logger and Seed may be left out.
+// Options configures a daemon; Network, Metrics, Logger and Seed are optional.
 type Options struct {
 	Settings settings.Settings
 	Platform store.Platform
@@ -44,8 +44,8 @@
 	Clock    clock.Clock
 	Network  Network
 	Metrics  *metric.Set
-	// Logger returns the logger of a part.
+	// Logger returns the logger for a part of the daemon; nil discards all logs.
 	Logger func(part string) *slog.Logger
-	// Seed starts the random choices; 0 takes a random one.
+	// Seed seeds the random source; 0 selects a random seed.
 	Seed uint64
 }
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -15,7 +15,7 @@
 	"github.com/rockspoke/rockspoke/pkg/routing"
 )
 
-// Status is a short account of a daemon.
+// Status summarizes a daemon's state.
 type Status struct {
 	VM          string            `json:"vm"`
 	Zone        string            `json:"zone"`
@@ -28,7 +28,7 @@
 	VMs         int               `json:"vms"`
 }
 
-// Status returns a short account of the daemon.
+// Status returns a summary of the daemon's state.
 func (n *Node) Status() Status {
 	snap := n.snapshot.Load()
 	st := Status{
@@ -39,24 +39,24 @@
 	return st
 }
 
-// Dump is the whole state of a daemon that helps to see what it does.
+// Dump holds a daemon's state for debugging.
 type Dump struct {
 	Status        Status                       `json:"status"`
 	At            time.Time                    `json:"at"`
-	Levels        map[string]priority.Priority `json:"levels"` // learned from answers, by route
+	Levels        map[string]priority.Priority `json:"levels"` // learned from answers, by service and class
 	LatencyFloors map[string]time.Duration     `json:"needs_ns"`
 	Servers       []routing.Reading            `json:"servers"`
-	Calls         []ActiveCall                 `json:"calls"` // in progress, at most maxDumpCalls
+	Calls         []ActiveCall                 `json:"calls"` // calls in progress, at most maxDumpCalls
 	Keys          onceonly.Counts              `json:"keys"`
 	Ranges        []int                        `json:"ranges"`
-	RangeRows     map[string]int64             `json:"range_rows"` // versions by service
+	RangeRows     map[string]int64             `json:"range_rows"` // row versions by service
 	Neighbors     []string                     `json:"neighbors"`
 	Nodes         map[string]member.NodeInfo   `json:"nodes"`
 	PeerConns     int                          `json:"peer_connections"`
 	Repeats       int                          `json:"repeat_keys"`
 }
 
-// ActiveCall is a call in progress.
+// ActiveCall describes an inbound call in progress.
 type ActiveCall struct {
 	ID       string            `json:"id"`
 	Root     string            `json:"root"`
@@ -67,7 +67,7 @@
 	Outbound int               `json:"outbound"`
 }
 
-// maxDumpCalls bounds the calls that a dump shows.
+// maxDumpCalls limits the calls that a dump lists.
 const maxDumpCalls = 200
 
 // Dump returns the state of the daemon.
@@ -98,6 +98,7 @@
 	return d
 }
 
+// activeCall returns the call's state for a dump.
 func (in *inbound) activeCall(now time.Time) ActiveCall {
 	r := in.stats(now)
 	return ActiveCall{
@@ -106,7 +107,8 @@
 	}
 }
 
-func (t *latencyFloors) all() map[string]time.Duration {
+// all returns the latency floor of each route.
+func (t *latencyFloorTable) all() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	t.routes.Range(func(k, x any) bool {
 		out[k.(string)] = time.Duration(x.(*routeLatency).floor.Load())
@@ -118,7 +120,7 @@
 // Metrics returns the daemon's metrics.
 func (n *Node) Metrics() *metric.Set { return n.metrics }
 
-// Explanation tells how a request would be treated, and why.
+// Explanation says how a request would be handled, and why.
 type Explanation struct {
 	Route    string        `json:"route,omitempty"`
 	Service  string        `json:"service"`
@@ -132,7 +134,7 @@
 	Why      []string      `json:"why"`
 }
 
-// TargetView is one target of a policy with the VMs that it picks now.
+// TargetView is one target of a policy with the VMs that it selects now.
 type TargetView struct {
 	Selector string   `json:"selector"`
 	Weight   int      `json:"weight"`
@@ -140,7 +142,7 @@
 	Leaving  []string `json:"leaving,omitempty"`
 }
 
-// NoRouteError reports a request that no route takes.
+// NoRouteError reports a request that matches no route.
 type NoRouteError struct{ Match config.Match }
 
 // Error describes the request.
@@ -148,7 +150,7 @@
 	return fmt.Sprintf("no route takes %s %s on host %q", e.Match.Method, e.Match.Path, e.Match.Host)
 }
 
-// Explain tells how a caller's request would be treated; the error is a *NoRouteError.
+// Explain returns how a caller's request would be handled; the error is a *NoRouteError.
 func (n *Node) Explain(m config.Match) (Explanation, error) {
 	snap := n.snapshot.Load()
 	if snap.plan == nil {
@@ -186,10 +188,11 @@
 	return views
 }
 
-func targetView(snap *snapshot, service, selector string, weight int, picks func(routing.Candidate) bool) TargetView {
+// targetView lists the service's VMs that selects accepts, those that leave apart.
+func targetView(snap *snapshot, service, selector string, weight int, selects func(routing.Candidate) bool) TargetView {
 	v := TargetView{Selector: selector, Weight: weight, VMs: []string{}}
 	for _, c := range snap.candidates {
-		if c.VM.Service != service || !picks(c) {
+		if c.VM.Service != service || !selects(c) {
 			continue
 		}
 		if c.Leaving {
@@ -201,10 +204,10 @@
 	return v
 }
 
-// maxHistory bounds a history query in versions.
+// maxHistory limits the versions that History returns.
 const maxHistory = 100
 
-// History returns the newest versions, the newest first.
+// History returns up to most documents, the newest first, starting with the version in force here.
 func (n *Node) History(ctx context.Context, most int) ([]config.Document, error) {
 	var list []config.Document
 	for v := n.snapshot.Load().version(); v > 0 && len(list) < min(most, maxHistory); v-- {
@@ -217,8 +220,8 @@
 	return list, nil
 }
 
-// ReleaseRanges gives a VM's key ranges to others on an operator's word that the VM is gone for good.
-// Its memory counts as lost. It must be asked of a daemon of the same service.
+// ReleaseRanges gives a VM's key ranges to other nodes when an operator states that the VM is gone for good, and
+// returns how many it gave. The ranges' key memory counts as lost. The daemon must serve the VM's service.
 func (n *Node) ReleaseRanges(ctx context.Context, vm string) (int, error) {
 	v, err := n.rangeView(ctx)
 	if err != nil {
@@ -232,7 +235,7 @@
 	}
 	row, moved := v.row.MoveLost(func(o onceonly.Owner) bool { return o.VM == vm }, nodes)
 	if !moved {
-		return 0, &HandoverError{fmt.Sprintf("%s owns no key range of service %s, or there is no other node", vm, n.cfg.Service)}
+		return 0, &HandoverError{fmt.Sprintf("%s owns no key range of service %s, or no other node can own them", vm, n.cfg.Service)}
 	}
 	count := 0
 	for _, o := range v.row.Owners {
@@ -241,7 +244,7 @@
 		}
 	}
 	if !n.commitAndAdoptRow(ctx, row, "released by an operator") {
-		return 0, &HandoverError{"the row couldn't be changed; ask again"}
+		return 0, &HandoverError{"the row of key ranges couldn't be changed; retry"}
 	}
 	return count, nil
 }
--- a/pkg/node/outbound_server.go
+++ b/pkg/node/outbound_server.go
@@ -14,7 +14,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// serveOutbound takes a call that the backend server on this VM makes; the host names the service.
+// serveOutbound handles a call from the local backend server; the host names the service.
 func (n *Node) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	n.metrics.Inc("outbound_calls")
 	n.running.Add(1)
@@ -49,7 +49,7 @@
 	n.writeToCaller(w, a)
 }
 
-// sendChild sends a call that belongs to an inbound one: with its priority, its deadline and its tokens.
+// sendChild sends a call that belongs to an inbound one, with its priority, deadline and retry tokens.
 func (n *Node) sendChild(ctx context.Context, in *inbound, t *config.Treatment, q *request) *answer {
 	signature := q.signature(t.Service)
 	if !in.ledger.Begin(signature) {
@@ -57,7 +57,7 @@
 		return notRunAnswer(wire.ReasonRetries, 0)
 	}
 	in.beginOutbound(n.clock.Now())
-	// The call ends when the backend server gives it up, and when the inbound call itself ends.
+	// The call ends when the backend server cancels it or when the inbound call ends.
 	ctx, cancel := context.WithCancel(ctx)
 	defer context.AfterFunc(in.ctx, cancel)()
 	s := &outgoingCall{treatment: t, deadline: in.deadline, req: q, ledger: in.ledger, call: in.call}
@@ -78,8 +78,9 @@
 	return a
 }
 
-// setChildKey gives a once-only call its key: the backend server's own, or, under once-only work, which
-// runs at most once itself, a token; otherwise one that a retried parent derives again.
+// setChildKey sets the key of a once-only call: the backend server's own if it sent one, else a token if the parent is
+// once-only work, which runs at most once itself, else a key that a retry of the parent derives again. It reports false
+// if no token can be issued.
 func (n *Node) setChildKey(in *inbound, s *outgoingCall, signature uint64) bool {
 	if !s.treatment.OnceOnly {
 		return true
@@ -89,20 +90,21 @@
 		s.otherAttempts = true
 		return true
 	}
-	place := in.successCount(signature)
+	successes := in.successCount(signature)
 	if in.call.Key == "" {
-		s.call.Key = onceonly.DeriveKey(in.call.Root, "", signature, place)
+		s.call.Key = onceonly.DeriveKey(in.call.Root, "", signature, successes)
 		s.otherAttempts = true
 		return true
 	}
 	var ok bool
-	s.call.Key, ok = in.onceToken(signature+uint64(place), func() (string, bool) {
+	s.call.Key, ok = in.onceToken(signature+uint64(successes), func() (string, bool) {
 		return n.newToken(s.treatment, s.call.Priority)
 	})
 	return ok
 }
 
-// sendRootFromBackend sends a call that belongs to no inbound one, such as a backend server's own job.
+// sendRootFromBackend sends a call that belongs to no inbound one, such as one of the backend server's own jobs, as a
+// root request.
 func (n *Node) sendRootFromBackend(ctx context.Context, t *config.Treatment, q *request) *answer {
 	now := n.clock.Now()
 	key := q.header.Get(wire.HeaderKey)
--- a/pkg/node/peer_client.go
+++ b/pkg/node/peer_client.go
@@ -21,16 +21,16 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The bounds of connections between daemons.
+// Limits of connections between daemons.
 const (
 	peerIdleTimeout      = 20 * time.Second
 	peerHandshakeTimeout = 2 * time.Second
 	peerDialTimeout      = 3 * time.Second
-	// maxControlBytes bounds a control message in bytes.
+	// maxControlBytes limits the size of a control message.
 	maxControlBytes = 16 << 20
 )
 
-// DialError reports that no connection to a peer could be made, so that nothing was sent.
+// DialError reports that no connection to a peer was made, so nothing was sent.
 type DialError struct {
 	VM    string
 	Cause error
@@ -42,7 +42,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// ControlError reports a control message that a peer refused.
+// ControlError reports a control message that a peer answered with an error status.
 type ControlError struct {
 	VM     string
 	Status int
@@ -51,8 +51,8 @@
 // Error names the VM and the status.
 func (e *ControlError) Error() string { return fmt.Sprintf("%s answered status %d", e.VM, e.Status) }
 
-// peerClients holds one connection to each peer. It sends every request once: a request that is to be
-// sent again is the caller's decision, so the library's own retries are left out.
+// peerClients holds one connection to each peer. It sends every request exactly once, without the HTTP library's retries,
+// since only the caller can decide whether a retry is safe.
 type peerClients struct {
 	quic    *quic.Transport
 	http    *http3.Transport
@@ -65,7 +65,7 @@
 	done  bool
 }
 
-// peerConn is a connection, or the making of one that others wait for.
+// peerConn is a connection, or one being made that others wait for.
 type peerConn struct {
 	ready  chan struct{}
 	conn   *quic.Conn
@@ -73,6 +73,7 @@
 	err    error
 }
 
+// newPeerClients returns clients that share the transport's socket.
 func newPeerClients(t *quic.Transport, k *keys.Store, cfg *quic.Config, m *metric.Set) *peerClients {
 	return &peerClients{
 		quic: t, http: &http3.Transport{}, keys: k, config: cfg, metrics: m,
@@ -80,7 +81,7 @@
 	}
 }
 
-// get returns a connection to the VM's daemon, made if there is none; the error is a *DialError.
+// get returns the connection to the VM's daemon and makes it if there is none; the error is a *DialError.
 func (p *peerClients) get(ctx context.Context, vm, addr string) (*peerConn, error) {
 	key := vm + "@" + addr
 	p.mu.Lock()
@@ -109,7 +110,7 @@
 	return c, nil
 }
 
-// broken tells whether a finished connection has ended.
+// broken tells whether the connection failed or was closed; it is false while the connection is being made.
 func (c *peerConn) broken() bool {
 	select {
 	case <-c.ready:
@@ -119,6 +120,7 @@
 	return c.err != nil || c.conn.Context().Err() != nil
 }
 
+// dial makes the connection c and closes c.ready when it is made or has failed.
 func (p *peerClients) dial(c *peerConn, key, vm, addr string) {
 	defer close(c.ready)
 	ctx, cancel := context.WithTimeout(context.Background(), peerDialTimeout)
@@ -142,7 +144,7 @@
 	c.client = p.http.NewClientConn(c.conn)
 }
 
-// close ends every connection and the socket.
+// close closes every connection and the socket.
 func (p *peerClients) close() {
 	p.mu.Lock()
 	p.done = true
@@ -153,23 +155,24 @@
 		select {
 		case <-c.ready:
 			if c.err == nil {
-				_ = c.conn.CloseWithError(0, "daemon stops") // the peer learns it either way
+				_ = c.conn.CloseWithError(0, "daemon stops") // the peer detects the closing either way
 			}
 		default:
 		}
 	}
-	_ = p.quic.Close() // the socket goes with it
+	_ = p.quic.Close() // the next line closes the socket
 	_ = p.quic.Conn.Close()
 }
 
-// count returns how many connections there are.
+// count returns the number of connections.
 func (p *peerClients) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// call sends a call to a server's daemon, once.
+// call sends a call to a server's daemon once and returns its answer, or one for a call that wasn't sent or whose answer
+// was lost.
 func (p *peerClients) call(ctx context.Context, srv *routing.Server, call wire.Call, q *request) *answer {
 	c, err := p.get(ctx, srv.VM, srv.Peer)
 	if err != nil {
@@ -188,7 +191,7 @@
 	}
 	meta, err := wire.DecodeAnswer(resp.Header)
 	if err != nil {
-		_ = resp.Body.Close() // not an answer of a daemon
+		_ = resp.Body.Close() // not a daemon's answer
 		return unknownAnswer(wire.ReasonLost)
 	}
 	a := &answer{meta: meta, header: resp.Header, fromDaemon: true}
@@ -202,8 +205,8 @@
 	return a
 }
 
-// control sends a control message and reads the reply into out. The error is a *DialError if nothing
-// was sent, a *ControlError if the peer refused it.
+// control sends a control message and decodes the reply into out. The error is a *DialError if nothing was sent, a
+// *ControlError if the peer answered with an error status.
 func (p *peerClients) control(ctx context.Context, vm, addr, path string, in, out any) error {
 	c, err := p.get(ctx, vm, addr)
 	if err != nil {
@@ -230,13 +233,13 @@
 	return json.Unmarshal(data, out)
 }
 
-// cancelReader ends the context of a streamed answer when it is closed.
+// cancelReader cancels the context of a streamed answer when it is closed.
 type cancelReader struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Close closes the stream and ends its context.
+// Close closes the stream and cancels its context.
 func (r *cancelReader) Close() error {
 	defer r.cancel()
 	return r.ReadCloser.Close()
--- a/pkg/node/peer_server.go
+++ b/pkg/node/peer_server.go
@@ -17,7 +17,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The paths of control messages between daemons; a request with a call header is a call, whatever its path.
+// The paths of control messages between daemons. A request with a call header is a call, whatever its path.
 const (
 	pathExchange   = "/.rockspoke/exchange"
 	pathSettle     = "/.rockspoke/settle"
@@ -26,14 +26,14 @@
 	pathVMs        = "/.rockspoke/vms"
 )
 
-// startPeers binds the peer socket, which serves other daemons and calls them.
+// startPeers binds the peer socket, which both serves other daemons and connects to them.
 func (n *Node) startPeers() error {
 	conn, err := n.network.ListenPacket(n.cfg.Listen.Peers)
 	if err != nil {
 		return fmt.Errorf("listen.peers: %w", err)
 	}
-	// The reset key is the same in every life of this VM's daemon, so that peers learn at once that
-	// the connections to its last life are gone.
+	// The reset key is the same in every incarnation of this VM's daemon, so that peers detect at once that the
+	// connections to the previous one are closed.
 	reset := quic.StatelessResetKey(sha256.Sum256(append([]byte("reset/"+n.cfg.VM+"/"), n.keys.Current().Secret...)))
 	transport := &quic.Transport{Conn: conn, StatelessResetKey: &reset}
 	cfg := &quic.Config{
@@ -43,7 +43,7 @@
 	n.peers = newPeerClients(transport, n.keys, cfg, n.metrics)
 	ln, err := transport.ListenEarly(n.keys.ServerConfig([]string{http3.NextProtoH3}, keys.RoleVM), cfg)
 	if err != nil {
-		_ = conn.Close() // the listening error says more
+		_ = conn.Close() // the listen error matters more
 		return fmt.Errorf("listen.peers: %w", err)
 	}
 	n.peerHTTP = &http3.Server{Handler: http.HandlerFunc(n.servePeer), MaxHeaderBytes: n.cfg.Limits.HeaderBytes + 8<<10}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// servePeer takes what other daemons send.
+// servePeer handles a request from another daemon: a call or a control message.
 func (n *Node) servePeer(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(wire.HeaderCall) != "" {
 		n.servePeerCall(w, r)
@@ -78,8 +78,8 @@
 	}
 }
 
-// serveControl reads a control message, has it taken, and writes the reply.
-func serveControl[In, Out any](n *Node, w http.ResponseWriter, r *http.Request, take func(In) (Out, error)) {
+// serveControl decodes a control message, passes it to handle and writes the reply.
+func serveControl[In, Out any](n *Node, w http.ResponseWriter, r *http.Request, handle func(In) (Out, error)) {
 	var in In
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxControlBytes))
 	if err == nil {
@@ -89,25 +89,25 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	out, err := take(in)
+	out, err := handle(in)
 	if err != nil {
-		n.log.peer.Warn("control message refused", "path", r.URL.Path, "err", err)
+		n.log.peer.Warn("control message rejected", "path", r.URL.Path, "err", err)
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	body := marshal(out)
 	n.metrics.Add("control_bytes", int64(len(data)+len(body)))
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // a peer that left asks again
+	_, _ = w.Write(body) // a peer that disconnected sends its message again
 }
 
-// servePeerCall takes a call from another daemon.
+// servePeerCall handles a call from another daemon.
 func (n *Node) servePeerCall(w http.ResponseWriter, r *http.Request) {
 	n.metrics.Inc("peer_calls")
 	arrived := n.clock.Now()
 	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
-		n.log.peer.Warn("call header refused", "err", err)
+		n.log.peer.Warn("invalid call header", "err", err)
 		n.writePeerAnswer(w, notRunAnswer(wire.ReasonBadRequest, 0), call.Tokens)
 		return
 	}
@@ -137,30 +137,31 @@
 	n.writePeerAnswer(w, a, tokens)
 }
 
+// writePeerAnswer sends the answer to another daemon, with this node's state and the retry tokens to return.
 func (n *Node) writePeerAnswer(w http.ResponseWriter, a *answer, tokens int) {
 	n.addNodeState(a, tokens)
 	wire.EncodeAnswer(w.Header(), a.meta)
 	a.writeTo(w)
 }
 
-// HandoverError reports a hand-over that this node can't take.
+// HandoverError reports a hand-over of key ranges that was refused or couldn't be completed.
 type HandoverError struct{ Reason string }
 
 // Error gives the reason.
 func (e *HandoverError) Error() string { return "hand-over refused: " + e.Reason }
 
-// handoverReply says that a hand-over was taken.
+// handoverReply reports the number of records that a hand-over imported.
 type handoverReply struct {
 	Taken int `json:"taken"`
 }
 
-// handleHandover takes the memory of key ranges from their owner.
+// handleHandover imports the memory of key ranges from their owner; the error contains a *HandoverError.
 func (n *Node) handleHandover(h onceonly.Handover) (handoverReply, error) {
 	switch {
 	case h.Service != n.cfg.Service:
 		return handoverReply{}, &HandoverError{"this node serves " + n.cfg.Service}
 	case !h.To.Is(n.cfg.VM, n.incarnation):
-		return handoverReply{}, &HandoverError{"it is meant for another life of this node"}
+		return handoverReply{}, &HandoverError{"it is addressed to another incarnation of this node"}
 	case n.leaving.Load():
 		return handoverReply{}, &HandoverError{"this node is leaving"}
 	}
@@ -169,6 +170,6 @@
 	if err != nil {
 		return handoverReply{}, errors.Join(&HandoverError{"malformed"}, err)
 	}
-	n.log.once.Info("key ranges taken over", "from", h.From.VM, "ranges", len(h.Ranges), "keys", len(h.Records))
+	n.log.once.Info("key range memory imported", "from", h.From.VM, "ranges", len(h.Ranges), "keys", len(h.Records))
 	return handoverReply{Taken: len(h.Records)}, nil
 }
--- a/pkg/node/snapshot.go
+++ b/pkg/node/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/rockspoke/rockspoke/pkg/routing"
 )
 
-// snapshot is the control state as calls see it; it never changes after it is published.
+// snapshot is the control state that calls read; it is immutable once published, but for the cache of groups.
 type snapshot struct {
 	plan         *config.Plan
 	doc          *config.Document
@@ -20,9 +20,10 @@
 	neighbors    []member.VM
 	localTargets map[*config.Treatment]bool
 
-	groups sync.Map // *config.Treatment to []routing.Group, worked out at first use
+	groups sync.Map // *config.Treatment to []routing.Group, computed at first use
 }
 
+// version returns the configuration version in force, 0 if there is none.
 func (s *snapshot) version() int64 {
 	if s.plan == nil {
 		return 0
@@ -30,7 +31,7 @@
 	return s.plan.Version
 }
 
-// groupsOf returns the servers that the treatment's targets pick, worked out at first use.
+// groupsOf returns the servers that the treatment's targets select, computed at first use.
 func (s *snapshot) groupsOf(choice routing.Choice, pool *routing.Pool, t *config.Treatment) []routing.Group {
 	if g, ok := s.groups.Load(t); ok {
 		return g.([]routing.Group)
@@ -39,10 +40,12 @@
 	return g.([]routing.Group)
 }
 
+// choice returns this node's parameters for selecting servers.
 func (n *Node) choice() routing.Choice {
 	return routing.Choice{Self: n.cfg.VM, Zone: n.cfg.Zone, Subset: n.cfg.Control.Subset}
 }
 
+// serverGroups returns the servers that the treatment's targets select now.
 func (n *Node) serverGroups(t *config.Treatment) []routing.Group {
 	return n.snapshot.Load().groupsOf(n.choice(), &n.pool, t)
 }
