--- a/pkg/lab/capacity_daemons.go
+++ b/pkg/lab/capacity_daemons.go
@@ -133,8 +133,8 @@
 	x.cpu.add(size, 100*(processorTime()-used).Seconds()/daemonIdle.Seconds()/n)
 	x.bytes.add(size, (c.controlTotal()-sent)/daemonIdle.Seconds()/n)
 	before, conns := heap(), c.connections()
-	c.Entries[0].Node.VersionReport(ctx, 1)
-	c.Entries[1].Node.VersionReport(ctx, 1)
+	c.Entries[0].Node.ReportVersions(ctx, 1)
+	c.Entries[1].Node.ReportVersions(ctx, 1)
 	x.conn.add(c.connections()-conns, (heap()-before)/1000)
 	return c.measureChanges(ctx, n, size, &x.change, &x.force)
 }
--- a/pkg/lab/cluster_test.go
+++ b/pkg/lab/cluster_test.go
@@ -225,7 +225,7 @@
 // inForce waits until every daemon has the version.
 func (c *Cluster) inForce(version int64) bool {
 	for range 100 {
-		r := c.Entries[0].Node.VersionReport(context.Background(), version)
+		r := c.Entries[0].Node.ReportVersions(context.Background(), version)
 		if len(r.InForce) == len(c.All()) {
 			return true
 		}
--- a/pkg/node/control_exchange.go
+++ b/pkg/node/control_exchange.go
@@ -192,8 +192,8 @@
 // maxConcurrentProbes limits the probes of one report that are in flight.
 const maxConcurrentProbes = 32
 
-// VersionReport queries every daemon for its configuration version and compares it with want.
-func (n *Node) VersionReport(ctx context.Context, want int64) VersionReport {
+// ReportVersions queries every daemon for its configuration version and compares it with want.
+func (n *Node) ReportVersions(ctx context.Context, want int64) VersionReport {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	type result struct {
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -157,7 +157,7 @@
 		fail(c, &config.InvalidError{Faults: []config.FieldError{{Field: "want", Msg: "isn't a number"}}})
 		return
 	}
-	c.JSON(http.StatusOK, s.Node.VersionReport(c, want))
+	c.JSON(http.StatusOK, s.Node.ReportVersions(c, want))
 }
 
 // defaultHistory is how many versions a history query gives by default.
