--- a/pkg/node/call_gate.go
+++ b/pkg/node/call_gate.go
@@ -16,6 +16,7 @@
 	gate *admission.Gate
 }
 
+// newLockedGate returns a lockedGate that owns g.
 func newLockedGate(g *admission.Gate) *lockedGate { return &lockedGate{gate: g} }
 
 // enter waits until the call may start and returns ReasonNone, or else the reason for its rejection.
@@ -59,12 +60,14 @@
 	k.gate.Done(now, held, own, counted)
 }
 
+// tick updates the limit and the level, and rejects queued calls that have waited too long.
 func (k *lockedGate) tick(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.Tick(now)
 }
 
+// read returns the gate's load, limit and level.
 func (k *lockedGate) read(now time.Time) admission.Reading {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -20,6 +20,7 @@
 	home onceonly.Home
 }
 
+// newLockedHome returns a lockedHome with a copy of h.
 func newLockedHome(h onceonly.Home) *lockedHome { return &lockedHome{home: h} }
 
 // with calls fn with the home locked.
--- a/pkg/node/call_runner.go
+++ b/pkg/node/call_runner.go
@@ -36,7 +36,7 @@
 	}
 	a := n.callBackend(ctx, in, q)
 	if a.rest != nil {
-		a.rest = &slotReader{ReadCloser: a.rest, release: func() { n.releaseSlot(in, started, false) }}
+		a.rest = &slotReader{ReadCloser: a.rest, releaseSlot: func() { n.releaseSlot(in, started, false) }}
 	} else {
 		n.releaseSlot(in, started, a.meta.Outcome == wire.Ran)
 	}
@@ -90,7 +90,7 @@
 // slotReader frees the backend server's slot when a streamed answer ends.
 type slotReader struct {
 	io.ReadCloser
-	release func()
+	releaseSlot func()
 	closed  bool
 }
 
@@ -98,7 +98,7 @@
 func (r *slotReader) Close() error {
 	if !r.closed {
 		r.closed = true
-		r.release()
+		r.releaseSlot()
 	}
 	return r.ReadCloser.Close()
 }
--- a/pkg/node/call_sender.go
+++ b/pkg/node/call_sender.go
@@ -106,8 +106,7 @@
 	}
 }
 
-// takeRetryTokens takes one retry token of the request and one of the server; it reports false, and takes none of the
-// request, unless both have one.
+// takeRetryTokens takes one retry token of the request and one of the server; it reports false unless both have one.
 func (n *Node) takeRetryTokens(s *outgoingCall, srv *routing.Server) bool {
 	if s.ledger.Balance() == 0 || !srv.TakeRetry() || !s.ledger.Spend() {
 		n.metrics.Inc("retries_denied")
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -37,6 +37,7 @@
 	running       map[string]bool // names of the work in progress, one run of each at a time
 }
 
+// newControlState returns a control state that holds only this node's own record.
 func newControlState(n *Node) *controlState {
 	now := n.clock.Now()
 	s := &controlState{
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -148,6 +148,7 @@
 	return nil
 }
 
+// runGateTicks ticks the gate and publishes its metrics until the daemon stops.
 func (n *Node) runGateTicks() {
 	ticks, stop := n.clock.NewTicker(gateTickPeriod)
 	defer stop()
--- a/pkg/node/node_options.go
+++ b/pkg/node/node_options.go
@@ -20,6 +20,7 @@
 	DialBackend func(ctx context.Context, address string) (net.Conn, error)
 }
 
+// withDefaults returns the network with nil functions replaced by those of the host.
 func (w Network) withDefaults() Network {
 	if w.Listen == nil {
 		w.Listen = func(a string) (net.Listener, error) { return net.Listen("tcp", a) }
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -176,6 +176,7 @@
 	return e, nil
 }
 
+// targetViews lists the treatment's targets, or all of the service's VMs as one target if there are none.
 func targetViews(snap *snapshot, t *config.Treatment) []TargetView {
 	if len(t.Targets) == 0 {
 		return []TargetView{targetView(snap, t.Service, "", 1, func(routing.Candidate) bool { return true })}
