--- a/pkg/node/call_runner.go
+++ b/pkg/node/call_runner.go
@@ -91,7 +91,7 @@
 type slotReader struct {
 	io.ReadCloser
 	releaseSlot func()
-	closed  bool
+	closed      bool
 }
 
 // Close closes the stream and frees the slot once.
