--- a/pkg/node/backend_client.go
+++ b/pkg/node/backend_client.go
@@ -12,31 +12,32 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// headerDrain is set to "true" by a backend server that drains.
+// headerDrain is the header that a draining backend server sets to "true".
 const headerDrain = "Rockspoke-Drain"
 
-// idleBackend is the time for which an unused connection to the backend server is kept.
-const idleBackend = 30 * time.Second
+// backendIdleTimeout is the time after which an unused connection to the backend server is closed.
+const backendIdleTimeout = 30 * time.Second
 
+// newBackendTransport returns the HTTP transport to the local backend server.
 func (n *Node) newBackendTransport() *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return n.network.DialBackend(ctx, addr)
 		},
 		MaxIdleConnsPerHost: 1024,
-		IdleConnTimeout:     idleBackend,
+		IdleConnTimeout:     backendIdleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// onceReader is a body that the HTTP client can't rewind. Without it the client would send a request
-// with an Idempotency-Key, or without a body, a second time when a kept-alive connection breaks.
-type onceReader struct {
+// nonRewindableBody is a request body that the HTTP client can't rewind. With a rewindable or empty body, the client would
+// send a request with an Idempotency-Key a second time when a keep-alive connection breaks.
+type nonRewindableBody struct {
 	data []byte
 }
 
 // Read reads the rest of the body.
-func (r *onceReader) Read(p []byte) (int, error) {
+func (r *nonRewindableBody) Read(p []byte) (int, error) {
 	if len(r.data) == 0 {
 		return 0, io.EOF
 	}
@@ -46,15 +47,14 @@
 }
 
 // Close does nothing.
-func (r *onceReader) Close() error { return nil }
+func (r *nonRewindableBody) Close() error { return nil }
 
-// toBackend hands a call to this VM's backend server. From the moment that it has a connection, the
-// call counts as possibly run.
-func (n *Node) toBackend(ctx context.Context, in *inbound, q *request) *answer {
+// callBackend sends a call to the local backend server. Once it has a connection, the call counts as possibly run.
+func (n *Node) callBackend(ctx context.Context, in *inbound, q *request) *answer {
 	u := &url.URL{Scheme: "http", Host: n.cfg.Backend.Address}
-	req, err := http.NewRequestWithContext(ctx, q.method, u.String()+q.uri, &onceReader{data: q.body})
+	req, err := http.NewRequestWithContext(ctx, q.method, u.String()+q.uri, &nonRewindableBody{data: q.body})
 	if err != nil {
-		return refusal(wire.ReasonBadRequest, 0)
+		return notRunAnswer(wire.ReasonBadRequest, 0)
 	}
 	req.ContentLength = int64(len(q.body))
 	req.Header = q.header.Clone()
@@ -66,7 +66,7 @@
 	req.Host = q.host
 	resp, err := n.backend.RoundTrip(req)
 	if err != nil {
-		return backendFailure(err)
+		return backendErrorAnswer(err)
 	}
 	a := &answer{meta: wire.Answer{Outcome: wire.Ran}, status: resp.StatusCode, header: resp.Header}
 	if resp.Header.Get(headerDrain) == "true" {
@@ -75,23 +75,23 @@
 	wire.StripHopByHop(a.header)
 	wire.StripInternal(a.header)
 	if err := a.readBody(resp.Body); err != nil {
-		return uncertain(wire.ReasonAnswerLost)
+		return unknownAnswer(wire.ReasonAnswerLost)
 	}
 	return a
 }
 
-// backendFailure tells a connection that was never made from an answer that was lost.
-func backendFailure(err error) *answer {
+// backendErrorAnswer returns "not run" if no connection was made, else "unknown", since the answer was lost.
+func backendErrorAnswer(err error) *answer {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return refusal(wire.ReasonServerRefused, 0)
+		return notRunAnswer(wire.ReasonServerRefused, 0)
 	}
-	return uncertain(wire.ReasonAnswerLost)
+	return unknownAnswer(wire.ReasonAnswerLost)
 }
 
-// refusedByServer tells whether the answer is the backend server's own documented refusal: that it is
-// too busy, and when to come back.
-func refusedByServer(a *answer) bool {
+// isServerRefusal tells whether the answer is the backend server's documented refusal: status 503 or 429 with a
+// Retry-After header.
+func isServerRefusal(a *answer) bool {
 	if a.status != http.StatusServiceUnavailable && a.status != http.StatusTooManyRequests {
 		return false
 	}
--- a/pkg/node/backend_client_test.go
+++ b/pkg/node/backend_client_test.go
@@ -17,9 +17,9 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// TestRequestIsSentOnceToABackendServer breaks kept-alive connections after the request was read, which makes
-// Go's client send a request with an Idempotency-Key again by itself, unless it is kept from that.
-func TestRequestIsSentOnceToABackendServer(t *testing.T) {
+// TestRequestIsSentOnceAfterBrokenKeepAlive closes keep-alive connections after the request was read. Go's HTTP client then
+// resends a request with an Idempotency-Key by itself, unless its body can't be rewound.
+func TestRequestIsSentOnceAfterBrokenKeepAlive(t *testing.T) {
 	c := qt.New(t)
 	var got atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -28,14 +28,14 @@
 		}
 	}))
 	defer srv.Close()
-	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: srv.Listener.Addr().String()}}, network: Network{}.fill()}
+	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: srv.Listener.Addr().String()}}, network: Network{}.withDefaults()}
 	n.backend = n.newBackendTransport()
 	defer n.backend.CloseIdleConnections()
 	send := func(body []byte) *answer {
 		in := &inbound{id: "1", call: wire.Call{Key: "k"}}
-		return n.toBackend(context.Background(), in, &request{method: http.MethodPost, uri: "/", header: http.Header{}, body: body})
+		return n.callBackend(context.Background(), in, &request{method: http.MethodPost, uri: "/", header: http.Header{}, body: body})
 	}
-	c.Assert(send(nil).meta.Outcome, qt.Equals, wire.Ran, qt.Commentf("the first leaves a connection behind"))
+	c.Assert(send(nil).meta.Outcome, qt.Equals, wire.Ran, qt.Commentf("the first request leaves an idle connection"))
 	for _, body := range [][]byte{nil, []byte("charge")} {
 		before := got.Load()
 		a := send(body)
@@ -44,28 +44,28 @@
 	}
 }
 
-func TestConnectionThatWasNeverMadeIsNotRun(t *testing.T) {
+func TestFailedDialIsNotRun(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	addr := ln.Addr().String()
 	c.Assert(ln.Close(), qt.IsNil)
-	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: addr}}, network: Network{}.fill()}
+	n := &Node{cfg: settings.Settings{Backend: settings.Backend{Address: addr}}, network: Network{}.withDefaults()}
 	n.backend = n.newBackendTransport()
-	a := n.toBackend(context.Background(), &inbound{id: "1"}, &request{method: http.MethodGet, uri: "/", header: http.Header{}})
+	a := n.callBackend(context.Background(), &inbound{id: "1"}, &request{method: http.MethodGet, uri: "/", header: http.Header{}})
 	c.Assert(a.meta.Outcome, qt.Equals, wire.NotRun)
 }
 
-func TestRefusalOfAServerThatCalledOnIsNotBelieved(t *testing.T) {
+func TestRefusalAfterOutboundCallsCountsAsRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	n := &Node{clock: clock.NewManual(now), metrics: metric.NewSet()}
 	busy := func() *answer {
 		return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: http.StatusServiceUnavailable, header: http.Header{"Retry-After": {"1"}}}
 	}
-	c.Assert(n.judge(&inbound{}, busy(), "r", now).meta.Outcome, qt.Equals, wire.NotRun)
+	c.Assert(n.classifyAnswer(&inbound{}, busy(), "r", now).meta.Outcome, qt.Equals, wire.NotRun)
 	called := &inbound{}
-	called.begin(now)
-	called.end(now, 1, wire.Answer{Outcome: wire.Ran})
-	c.Assert(n.judge(called, busy(), "r", now).meta.Outcome, qt.Equals, wire.Ran)
+	called.beginOutbound(now)
+	called.endOutbound(now, 1, wire.Answer{Outcome: wire.Ran})
+	c.Assert(n.classifyAnswer(called, busy(), "r", now).meta.Outcome, qt.Equals, wire.Ran)
 }
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -14,96 +14,99 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// homeKeeper lets goroutines share this node's Home.
-type homeKeeper struct {
+// lockedHome guards this node's Home with a mutex.
+type lockedHome struct {
 	mu   sync.Mutex
 	home onceonly.Home
 }
 
-func newHomeKeeper(h onceonly.Home) *homeKeeper { return &homeKeeper{home: h} }
+// newLockedHome returns a lockedHome with a copy of h.
+func newLockedHome(h onceonly.Home) *lockedHome { return &lockedHome{home: h} }
 
 // with calls fn with the home locked.
-func (k *homeKeeper) with(fn func(*onceonly.Home)) {
+func (k *lockedHome) with(fn func(*onceonly.Home)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	fn(&k.home)
 }
 
-// closeMargin is added to a class's time-out for attempts that are still under way when a key is closed.
-const closeMargin = 250 * time.Millisecond
+// keyCloseMargin is added to a class's timeout when a key is closed, for attempts still in flight.
+const keyCloseMargin = 250 * time.Millisecond
 
-// keyWord is what the home knows of a key before it looks into its memory.
-type keyWord struct {
+// keyCheck is what is known of a key before its record is looked up.
+type keyCheck struct {
 	hash      onceonly.KeyHash
 	provenNew bool
-	refuse    *answer // set if this node can't decide about the key
+	refused   *answer // set if this node can't handle the key
 }
 
-// readKey checks that this node is the key's home.
-func (n *Node) readKey(now time.Time, key string) keyWord {
-	w := keyWord{hash: onceonly.HashKey(n.cfg.Service, key)}
+// checkHomeKey checks that this node is the key's home, and that a token is valid and either recent or in memory.
+func (n *Node) checkHomeKey(now time.Time, key string) keyCheck {
+	check := keyCheck{hash: onceonly.HashKey(n.cfg.Service, key)}
 	if !onceonly.IsToken(key) {
 		n.home.with(func(h *onceonly.Home) {
-			if !h.Owns(w.hash.Range()) {
-				w.refuse = refusal(wire.ReasonNotOwner, 0)
+			if !h.Owns(check.hash.Range()) {
+				check.refused = notRunAnswer(wire.ReasonNotOwner, 0)
 			}
 		})
-		return w
+		return check
 	}
 	t, err := onceonly.ParseToken(n.keys.Current().Secret, key)
 	switch {
 	case err != nil:
-		w.refuse = refusal(wire.ReasonBadRequest, 0)
+		check.refused = notRunAnswer(wire.ReasonBadRequest, 0)
 	case t.VM != n.cfg.VM || t.Service != n.cfg.Service:
-		w.refuse = refusal(wire.ReasonNotOwner, 0)
+		check.refused = notRunAnswer(wire.ReasonNotOwner, 0)
 	case t.Incarnation != n.incarnation:
-		w.refuse = uncertain(wire.ReasonHistoryLost)
+		check.refused = unknownAnswer(wire.ReasonHistoryLost)
 	default:
-		w.provenNew = t.Fresh(now, n.cfg.OnceOnly.TokenLife)
-		if !w.provenNew && !n.remembers(w.hash) {
-			w.refuse = uncertain(wire.ReasonAnswerLost)
+		check.provenNew = t.Fresh(now, n.cfg.OnceOnly.TokenLife)
+		if !check.provenNew && !n.hasRecord(check.hash) {
+			check.refused = unknownAnswer(wire.ReasonAnswerLost)
 		}
 	}
-	return w
+	return check
 }
 
-func (n *Node) remembers(key onceonly.KeyHash) (known bool) {
+// hasRecord tells whether the home's memory holds the key.
+func (n *Node) hasRecord(key onceonly.KeyHash) (known bool) {
 	n.home.with(func(h *onceonly.Home) { known = h.Memory.Knows(key) })
 	return known
 }
 
-// serveHome decides about an attempt under a key whose home this node is.
+// serveHome handles an attempt under a key whose home is this node: it runs the work, joins a run in progress, replays
+// its answer or refuses it.
 func (n *Node) serveHome(ctx context.Context, in *inbound, q *request) *answer {
 	now := n.clock.Now()
-	w := n.readKey(now, in.call.Key)
-	if w.refuse != nil {
-		return w.refuse
+	check := n.checkHomeKey(now, in.call.Key)
+	if check.refused != nil {
+		return check.refused
 	}
 	done := make(chan onceonly.Record, 1)
 	var d onceonly.Decision
 	owner := true
 	n.home.with(func(h *onceonly.Home) {
-		// Ownership is looked at again, together with the decision: the range may have closed in between.
-		if owner = onceonly.IsToken(in.call.Key) || h.Owns(w.hash.Range()); !owner {
+		// Check ownership again under the same lock as the decision: the range may have closed since checkHomeKey.
+		if owner = onceonly.IsToken(in.call.Key) || h.Owns(check.hash.Range()); !owner {
 			return
 		}
-		d = h.Memory.Begin(now, w.hash, fingerprint(q), w.provenNew)
+		d = h.Memory.Begin(now, check.hash, fingerprint(q), check.provenNew)
 		if d.Action == onceonly.Join {
-			h.Memory.Wait(w.hash, func(rec onceonly.Record) { done <- rec })
+			h.Memory.Wait(check.hash, func(rec onceonly.Record) { done <- rec })
 		}
 	})
 	if !owner {
-		return refusal(wire.ReasonNotOwner, 0)
+		return notRunAnswer(wire.ReasonNotOwner, 0)
 	}
 	switch d.Action {
 	case onceonly.Run:
-		return n.runOnce(ctx, in, q, w.hash)
+		return n.runOnce(ctx, in, q, check.hash)
 	case onceonly.Join:
 		n.metrics.Inc("once_joined")
 		return awaitRecord(ctx, done)
 	case onceonly.Replay:
 		n.metrics.Inc("once_replayed")
-		return replayed(d.Answer)
+		return answerFromRecord(d.Answer)
 	default:
 		if d.Outcome == wire.Unknown {
 			n.metrics.Inc("once_unknown")
@@ -112,24 +115,25 @@
 	}
 }
 
+// awaitRecord waits for the run in progress under the key and returns its answer.
 func awaitRecord(ctx context.Context, done <-chan onceonly.Record) *answer {
 	select {
 	case rec := <-done:
 		switch rec.State {
 		case onceonly.Finished:
-			return replayed(rec.Answer)
+			return answerFromRecord(rec.Answer)
 		case onceonly.Closed:
-			return refusal(wire.ReasonKeyClosed, 0)
+			return notRunAnswer(wire.ReasonKeyClosed, 0)
 		default:
-			return uncertain(wire.ReasonAnswerLost)
+			return unknownAnswer(wire.ReasonAnswerLost)
 		}
 	case <-ctx.Done():
-		return uncertain(wire.ReasonInProgress)
+		return unknownAnswer(wire.ReasonInProgress)
 	}
 }
 
-// runOnce runs the work under the key. It goes on when the caller leaves, so that its end is recorded
-// for the caller's repeat; only its deadline ends it.
+// runOnce runs the work under the key. The run continues if the caller leaves, so that its result is recorded for the
+// caller's retry; only its deadline ends it.
 func (n *Node) runOnce(ctx context.Context, in *inbound, q *request, key onceonly.KeyHash) *answer {
 	n.metrics.Inc("once_runs")
 	runCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), in.deadline.Sub(n.clock.Now()))
@@ -139,11 +143,11 @@
 	go func() {
 		defer n.running.Add(-1)
 		defer cancel()
-		a := n.execute(runCtx, in, q)
-		rec := a.recorded()
+		a := n.runOrDelegate(runCtx, in, q)
+		rec := a.toRecorded()
 		now := n.clock.Now()
 		n.home.with(func(h *onceonly.Home) {
-			h.Memory.Finish(now, key, a.meta.Outcome, rec, now.Add(n.closeFor(in.call, q)))
+			h.Memory.Finish(now, key, a.meta.Outcome, rec, now.Add(n.keyCloseDuration(in.call, q)))
 		})
 		result <- a
 	}()
@@ -151,36 +155,36 @@
 	case a := <-result:
 		return a
 	case <-ctx.Done():
-		// What the backend server calls until the end still belongs to this call.
+		// Outbound calls of the run still belong to this call until the run ends.
 		in.detached = true
 		go func() {
 			<-result
 			n.endInbound(in)
 		}()
-		return uncertain(wire.ReasonInProgress)
+		return unknownAnswer(wire.ReasonInProgress)
 	}
 }
 
-// closeFor returns how long a refused key stays closed: as long as any attempt may still be under way.
-func (n *Node) closeFor(call wire.Call, q *request) time.Duration {
+// keyCloseDuration returns how long a refused key stays closed: as long as any attempt may still be in flight.
+func (n *Node) keyCloseDuration(call wire.Call, q *request) time.Duration {
 	longest := call.Remaining()
 	if plan := n.snapshot.Load().plan; plan != nil {
 		if t := plan.CallTreatment(call.Service, q.match()); t != nil {
 			longest = max(longest, t.Timeout)
 		}
 	}
-	return longest + closeMargin
+	return longest + keyCloseMargin
 }
 
-// execute runs once-only work here, or hands it to another backend server where this one can't take it.
-func (n *Node) execute(ctx context.Context, in *inbound, q *request) *answer {
+// runOrDelegate runs once-only work here, or delegates it to another backend server if this one can't admit it.
+func (n *Node) runOrDelegate(ctx context.Context, in *inbound, q *request) *answer {
 	plan := n.snapshot.Load().plan
 	if plan == nil {
-		return refusal(wire.ReasonNoServer, 0)
+		return notRunAnswer(wire.ReasonNoServer, 0)
 	}
 	t := plan.CallTreatment(n.cfg.Service, q.match())
-	a := refusal(wire.ReasonLeaving, 0)
-	if n.snapshot.Load().selfTarget[t] {
+	a := notRunAnswer(wire.ReasonLeaving, 0)
+	if n.snapshot.Load().localTargets[t] {
 		a = n.runLocal(ctx, in, q)
 	}
 	if a.meta.Outcome != wire.NotRun || !a.meta.Reason.OtherServerMayAccept() {
@@ -189,15 +193,16 @@
 	return n.delegate(ctx, in, q, t, a)
 }
 
-// maxDelegates is how many other servers a home asks to take one run.
+// maxDelegates limits the other servers to which a home sends one run.
 const maxDelegates = 2
 
-// delegate hands a run to other backend servers as long as they certainly don't take it.
+// delegate sends a run to other backend servers, one after the other, as long as each certainly didn't run it. It
+// returns the last answer, or a if there is no other server.
 func (n *Node) delegate(ctx context.Context, in *inbound, q *request, t *config.Treatment, a *answer) *answer {
-	tried := n.selfServer()
+	tried := n.localServers()
 	for range maxDelegates {
 		now := n.clock.Now()
-		s, found := n.pick(now, t, in.call.Priority, tried)
+		s, found := n.pickServer(now, t, in.call.Priority, tried)
 		if found != routing.Picked {
 			return a
 		}
@@ -216,14 +221,15 @@
 	return a
 }
 
-func (n *Node) selfServer() []*routing.Server {
+// localServers returns the local backend server as a list, empty if its VM isn't listed.
+func (n *Node) localServers() []*routing.Server {
 	if vm, ok := n.snapshot.Load().vms[n.cfg.VM]; ok {
 		return []*routing.Server{n.pool.Get(vm)}
 	}
 	return nil
 }
 
-// fingerprint tells requests apart that come under the same key.
+// fingerprint hashes the request's method, URI and body, to detect different requests under the same key.
 func fingerprint(q *request) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{q.method, q.uri} {
@@ -234,34 +240,35 @@
 	return d.Sum64()
 }
 
-// settleRequest asks a key's home to settle a refusal.
+// settleRequest asks a key's home whether a call may be refused.
 type settleRequest struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
 	CloseMS int64  `json:"close_ms"`
 }
 
-// settleReply is the home's word on the key.
+// settleReply is what the home knows of the key.
 type settleReply struct {
 	Outcome wire.Outcome `json:"outcome"`
 	Reason  wire.Reason  `json:"reason"`
 	AfterMS int64        `json:"after_ms,omitempty"`
 }
 
-// errNoHome reports that a key's home can't be asked.
-var errNoHome = errors.New("the home of the key can't be asked")
+// errHomeUnavailable reports that a key's home isn't known or listed.
+var errHomeUnavailable = errors.New("the home of the key isn't available")
 
-// settleHere closes a key that an entry is about to refuse, or says what is known of it.
-func (n *Node) settleHere(in settleRequest) settleReply {
+// settleKey returns what this home knows of a key that an entry is about to refuse; it closes an unknown key, so that
+// the refusal holds for all attempts.
+func (n *Node) settleKey(in settleRequest) settleReply {
 	now := n.clock.Now()
-	w := n.readKey(now, in.Key)
-	if w.refuse != nil || in.Service != n.cfg.Service {
+	check := n.checkHomeKey(now, in.Key)
+	if check.refused != nil || in.Service != n.cfg.Service {
 		return settleReply{Outcome: wire.Unknown, Reason: wire.ReasonNotOwner}
 	}
 	var d onceonly.Decision
 	n.home.with(func(h *onceonly.Home) {
-		closeFor := time.Duration(in.CloseMS)*time.Millisecond + closeMargin
-		d = h.Memory.Settle(now, w.hash, w.provenNew, now.Add(closeFor))
+		closeFor := time.Duration(in.CloseMS)*time.Millisecond + keyCloseMargin
+		d = h.Memory.Settle(now, check.hash, check.provenNew, now.Add(closeFor))
 	})
 	if d.Action == onceonly.Replay {
 		return settleReply{Outcome: wire.Ran}
--- a/pkg/node/call_sender_once.go
+++ b/pkg/node/call_sender_once.go
@@ -15,69 +15,70 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// The pauses between attempts to find the home of a key whose range is on the move.
+// The shortest and the longest pause between attempts to reach the home of a key; the pause doubles each time.
 const (
-	redirectFirst = 20 * time.Millisecond
-	redirectMax   = 200 * time.Millisecond
+	redirectPauseMin = 20 * time.Millisecond
+	redirectPauseMax = 200 * time.Millisecond
 )
 
-// sendOnce leads a call to its key's home. A lost answer is asked for again under the same key, which
-// the home joins or answers from its record; nothing else is repeated.
-func (n *Node) sendOnce(ctx context.Context, s *sending) *answer {
-	pause := redirectFirst
+// sendOnceOnly sends a call to its key's home. If the answer is lost, it retries under the same key, and the home joins the
+// run or replays its answer. Besides, it retries if the home moved, or if no home was reached and the key can change.
+func (n *Node) sendOnceOnly(ctx context.Context, s *outgoingCall) *answer {
+	pause := redirectPauseMin
 	for {
-		srv, ok := n.homeOf(s.call.Service, s.call.Key)
+		srv, ok := n.homeServer(s.call.Service, s.call.Key)
 		if !ok {
-			return n.noHome(s)
+			return n.noHomeAnswer(s)
 		}
-		a := n.lendAndAttempt(ctx, s, srv)
+		a := n.attemptWithLoan(ctx, s, srv)
 		s.otherAttempts = s.otherAttempts || a.meta.Outcome == wire.Unknown
 		switch {
 		case ctx.Err() != nil || !n.clock.Now().Before(s.deadline):
-			return n.certain(s, a)
+			return n.outcomeForKey(s, a)
 		case a.meta.Outcome == wire.NotRun && a.meta.Reason == wire.ReasonNotOwner:
-			n.wantFrom(srv.VM)
+			n.requestExchange(srv.VM)
 			if !n.sleep(ctx, n.jitter(pause), s.deadline) {
-				return n.certain(s, a)
+				return n.outcomeForKey(s, a)
 			}
-			pause = min(2*pause, redirectMax)
-		case a.meta.Outcome == wire.Unknown && lostOnTheWay(a):
-			if !n.payRetry(s, srv) || !n.sleep(ctx, n.jitter(pause), s.deadline) {
+			pause = min(2*pause, redirectPauseMax)
+		case a.meta.Outcome == wire.Unknown && answerLost(a):
+			if !n.takeRetryTokens(s, srv) || !n.sleep(ctx, n.jitter(pause), s.deadline) {
 				return a
 			}
-			pause = min(2*pause, redirectMax)
+			pause = min(2*pause, redirectPauseMax)
 		case a.meta.Outcome == wire.NotRun && a.meta.Reason == wire.ReasonNoServer && !s.otherAttempts && onceonly.IsToken(s.call.Key):
-			// The attempt never arrived, and no other can: take another home.
-			if !n.payRetry(s, srv) || !n.renewToken(s) {
+			// This attempt never arrived, and no other exists: issue a token with another home.
+			if !n.takeRetryTokens(s, srv) || !n.renewToken(s) {
 				return a
 			}
 		default:
-			return n.certain(s, a)
+			return n.outcomeForKey(s, a)
 		}
 	}
 }
 
-// lostOnTheWay tells whether the home's own word never came, so that asking it again may bring it.
-func lostOnTheWay(a *answer) bool { return !a.heard && a.meta.Reason == wire.ReasonAnswerLost }
+// answerLost tells whether no answer of the home arrived, so that a retry may bring it.
+func answerLost(a *answer) bool { return !a.fromDaemon && a.meta.Reason == wire.ReasonAnswerLost }
 
-// certain turns a refusal that speaks of one attempt only into "unknown" where other attempts under
-// the key may exist; a home's own refusal speaks of the key.
-func (n *Node) certain(s *sending, a *answer) *answer {
+// outcomeForKey turns the outcome "not run" of one attempt into "unknown" if other attempts under the key may exist. A
+// refusal by the home itself holds for the key and stays.
+func (n *Node) outcomeForKey(s *outgoingCall, a *answer) *answer {
 	if a.meta.Outcome != wire.NotRun || !s.otherAttempts {
 		return a
 	}
-	if !a.heard || a.meta.Reason == wire.ReasonNotOwner || a.meta.Reason == wire.ReasonBadRequest || a.meta.Reason == wire.ReasonKeyMemoryFull {
+	if !a.fromDaemon || a.meta.Reason == wire.ReasonNotOwner || a.meta.Reason == wire.ReasonBadRequest || a.meta.Reason == wire.ReasonKeyMemoryFull {
 		a.meta.Outcome = wire.Unknown
 	}
 	return a
 }
 
-func (n *Node) noHome(s *sending) *answer {
-	a := refusal(wire.ReasonNoServer, 0)
-	return n.certain(s, a)
+// noHomeAnswer returns the answer for a call whose key's home isn't known or listed.
+func (n *Node) noHomeAnswer(s *outgoingCall) *answer {
+	a := notRunAnswer(wire.ReasonNoServer, 0)
+	return n.outcomeForKey(s, a)
 }
 
-// sleep waits for d, and reports false if the context or the deadline ends first.
+// sleep waits for d. It reports false if the context ends first, and at once if the deadline comes first.
 func (n *Node) sleep(ctx context.Context, d time.Duration, deadline time.Time) bool {
 	if n.clock.Now().Add(d).After(deadline) {
 		return false
@@ -85,8 +86,8 @@
 	return clock.Sleep(ctx, d)
 }
 
-// homeOf returns the server whose node is the home of the key.
-func (n *Node) homeOf(service, key string) (*routing.Server, bool) {
+// homeServer returns the server whose node is the home of the key; it reports false if that isn't known or listed.
+func (n *Node) homeServer(service, key string) (*routing.Server, bool) {
 	snap := n.snapshot.Load()
 	vm := ""
 	if onceonly.IsToken(key) {
@@ -109,13 +110,13 @@
 	return n.pool.Get(v), true
 }
 
-// newToken issues a token at a server that would take the call; it reports false if there is none.
+// newToken issues a token whose home is a server that would admit the call; it reports false if there is none.
 func (n *Node) newToken(t *config.Treatment, p priority.Priority) (string, bool) {
 	now := n.clock.Now()
 	snap := n.snapshot.Load()
 	var tried []*routing.Server
 	for range 3 {
-		srv, found := n.pick(now, t, p, tried)
+		srv, found := n.pickServer(now, t, p, tried)
 		if found != routing.Picked {
 			return "", false
 		}
@@ -133,8 +134,8 @@
 	return "", false
 }
 
-// renewToken gives the call another token, for use where the last one certainly started nothing.
-func (n *Node) renewToken(s *sending) bool {
+// renewToken replaces the call's token, to be used only if certainly nothing ran under the last one.
+func (n *Node) renewToken(s *outgoingCall) bool {
 	key, ok := n.newToken(s.treatment, s.call.Priority)
 	if ok {
 		s.call.Key = key
@@ -142,16 +143,17 @@
 	return ok
 }
 
-// settleTime is the longest time that an entry waits for a home to settle a refusal.
-const settleTime = 200 * time.Millisecond
+// settleTimeout is the longest time that an entry waits for a home to settle a refusal.
+const settleTimeout = 200 * time.Millisecond
 
-// settle asks the key's home what is known of it; an unknown key is closed.
-func (n *Node) settle(ctx context.Context, s *sending) (settleReply, error) {
-	srv, ok := n.homeOf(s.call.Service, s.call.Key)
+// settleAtHome asks the key's home what it knows of the key; the home closes an unknown key. The error is
+// errHomeUnavailable or that of the message.
+func (n *Node) settleAtHome(ctx context.Context, s *outgoingCall) (settleReply, error) {
+	srv, ok := n.homeServer(s.call.Service, s.call.Key)
 	if !ok {
-		return settleReply{}, errNoHome
+		return settleReply{}, errHomeUnavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	in := settleRequest{Service: s.call.Service, Key: s.call.Key, CloseMS: s.treatment.Timeout.Milliseconds()}
 	var out settleReply
@@ -161,7 +163,7 @@
 	return out, nil
 }
 
-// marshal turns a control message into JSON.
+// marshal encodes a control message as JSON.
 func marshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/pkg/node/control_exchange.go
+++ b/pkg/node/control_exchange.go
@@ -10,27 +10,29 @@
 	"github.com/rockspoke/rockspoke/pkg/onceonly"
 )
 
-// digest sums up what a daemon knows, so that another sees what it lacks.
+// digest summarizes the versions that a daemon holds, so that a peer can tell what it lacks.
 type digest struct {
 	Config int64            `json:"c"`
 	Rows   map[string]int64 `json:"r,omitempty"`
 	Nodes  uint64           `json:"n"`
 }
 
-// exchange is the control message between daemons: a digest, and what the other is known or likely to lack.
+// exchange is the control message between daemons: the sender's digest and the updates that the receiver lacks or
+// probably lacks.
 type exchange struct {
 	From   string              `json:"from"`
 	Digest digest              `json:"d"`
 	Doc    *config.Document    `json:"doc,omitempty"`
 	Rows   []onceonly.OwnerRow `json:"rows,omitempty"`
 	Nodes  []member.NodeInfo   `json:"nodes,omitempty"`
-	// Probe asks for the digest only; it is how operators' queries see versions.
+	// Probe requests only the digest; operators' version queries set it.
 	Probe bool `json:"probe,omitempty"`
 }
 
-// exchangeTime is the longest time for one exchange.
-const exchangeTime = 2 * time.Second
+// exchangeTimeout is the timeout of one exchange.
+const exchangeTimeout = 2 * time.Second
 
+// digest returns the digest of this daemon's state.
 func (s *controlState) digest() digest {
 	d := digest{Config: s.register.Version(), Rows: map[string]int64{}, Nodes: s.roster.Digest()}
 	for name, row := range s.rows {
@@ -39,26 +41,27 @@
 	return d
 }
 
-// take merges what a message brings and publishes it.
-func (s *controlState) take(in exchange) {
+// merge adopts the newer parts of a message and publishes a snapshot if any were newer.
+func (s *controlState) merge(in exchange) {
 	now := s.n.clock.Now()
-	news := s.offerDocument(in.Doc)
+	changed := s.offerDocument(in.Doc)
 	for _, row := range in.Rows {
-		news = s.offerRow(row) || news
+		changed = s.offerRow(row) || changed
 	}
 	for _, info := range in.Nodes {
 		if info.VM == s.n.cfg.VM && info.Incarnation < s.n.incarnation {
 			continue
 		}
-		news = s.mergeNode(now, info) || news
+		changed = s.mergeNode(now, info) || changed
 	}
-	if news {
-		s.n.publish(s)
+	if changed {
+		s.n.publishSnapshot(s)
 	}
 }
 
-// lacking collects what a daemon with the digest lacks. Its nodes are compared whole only on request.
-func (s *controlState) lacking(d digest, wholeNodes bool) exchange {
+// updatesFor returns what a daemon with digest d lacks. If the digests of nodes differ, it includes all nodes if
+// allNodes is set, else only those with recent updates.
+func (s *controlState) updatesFor(d digest, allNodes bool) exchange {
 	out := exchange{From: s.n.cfg.VM, Digest: s.digest()}
 	if s.register.Version() > d.Config {
 		out.Doc = s.register.Document()
@@ -71,11 +74,11 @@
 	if out.Digest.Nodes == d.Nodes {
 		return out
 	}
-	if wholeNodes {
+	if allNodes {
 		out.Nodes = s.roster.Nodes()
 		return out
 	}
-	for vm := range s.recent {
+	for vm := range s.recentNodes {
 		if info, ok := s.roster.Node(vm); ok {
 			out.Nodes = append(out.Nodes, info)
 		}
@@ -83,27 +86,28 @@
 	return out
 }
 
-// takeExchange answers a control message of another daemon.
-func (n *Node) takeExchange(ctx context.Context, in exchange) (out exchange, err error) {
-	err = n.onControl(ctx, func(s *controlState) {
+// handleExchange merges another daemon's message and returns what that daemon lacks, or the digest for a probe.
+func (n *Node) handleExchange(ctx context.Context, in exchange) (out exchange, err error) {
+	err = n.runOnControl(ctx, func(s *controlState) {
 		if in.Probe {
 			out = exchange{From: n.cfg.VM, Digest: s.digest()}
 			return
 		}
-		s.take(in)
-		out = s.lacking(in.Digest, true)
+		s.merge(in)
+		out = s.updatesFor(in.Digest, true)
 	})
 	return out, err
 }
 
-// exchangeWith compares state with another daemon: a digest and recent news first, then what it lacks.
+// exchangeWith runs anti-entropy with another daemon: it sends a digest and recent updates, merges the reply and then
+// sends what the other daemon lacks.
 func (n *Node) exchangeWith(ctx context.Context, vm, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var msg, reply exchange
-	if err := n.onControl(ctx, func(s *controlState) {
-		// Towards an unknown state only news of nodes is sent along; the rest goes by digest.
-		msg = s.lacking(digest{Config: s.register.Version(), Rows: s.digest().Rows}, false)
+	if err := n.runOnControl(ctx, func(s *controlState) {
+		// The peer's state is unknown yet, so only recent updates of nodes go along with the digest.
+		msg = s.updatesFor(digest{Config: s.register.Version(), Rows: s.digest().Rows}, false)
 	}); err != nil {
 		return err
 	}
@@ -111,9 +115,9 @@
 		return err
 	}
 	var more exchange
-	if err := n.onControl(ctx, func(s *controlState) {
-		s.take(reply)
-		more = s.lacking(reply.Digest, true)
+	if err := n.runOnControl(ctx, func(s *controlState) {
+		s.merge(reply)
+		more = s.updatesFor(reply.Digest, true)
 	}); err != nil {
 		return err
 	}
@@ -123,74 +127,74 @@
 	return n.peers.control(ctx, vm, addr, pathExchange, more, &reply)
 }
 
-// spread tells every neighbour at once that there is news.
-func (s *controlState) spread() {
+// exchangeWithNeighbors starts an exchange with every neighbor at once.
+func (s *controlState) exchangeWithNeighbors() {
 	for _, v := range s.n.snapshot.Load().neighbors {
-		s.exchangeSoon(v.Name, v.Peer)
+		s.startExchange(v.Name, v.Peer)
 	}
 }
 
-// exchangeNext keeps in step with one neighbour after the other, whether there is news or not.
-func (s *controlState) exchangeNext() {
+// exchangeWithNext starts an exchange with the next neighbor in turn, whether there are updates or not.
+func (s *controlState) exchangeWithNext() {
 	list := s.n.snapshot.Load().neighbors
 	if len(list) == 0 {
 		return
 	}
-	s.turn++
-	v := list[s.turn%len(list)]
-	s.exchangeSoon(v.Name, v.Peer)
+	s.neighborIndex++
+	v := list[s.neighborIndex%len(list)]
+	s.startExchange(v.Name, v.Peer)
 }
 
-// exchangeSoon starts an exchange unless one with the same daemon is under way; then another follows it.
-func (s *controlState) exchangeSoon(vm, addr string) {
+// startExchange starts an exchange unless one with the same daemon is in progress; then another follows it.
+func (s *controlState) startExchange(vm, addr string) {
 	name := "exchange/" + vm
-	if s.busy[name] {
-		s.busy[name+"/again"] = true
+	if s.running[name] {
+		s.running[name+"/again"] = true
 		return
 	}
-	s.busy[name] = true
+	s.running[name] = true
 	n := s.n
 	go func() {
 		if err := n.exchangeWith(n.ctx, vm, addr); err != nil && n.ctx.Err() == nil {
 			n.log.peer.Debug("exchange failed", "vm", vm, "err", err)
 		}
-		n.toControl(func(s *controlState) {
-			delete(s.busy, name)
-			if s.busy[name+"/again"] {
-				delete(s.busy, name+"/again")
-				s.exchangeSoon(vm, addr)
+		n.enqueueControl(func(s *controlState) {
+			delete(s.running, name)
+			if s.running[name+"/again"] {
+				delete(s.running, name+"/again")
+				s.startExchange(vm, addr)
 			}
 		})
 	}()
 }
 
-// wantFrom asks a daemon for its state, since an answer showed that it knows more.
-func (n *Node) wantFrom(vm string) {
+// requestExchange starts an exchange with a daemon whose answer showed that it has newer state.
+func (n *Node) requestExchange(vm string) {
 	v, ok := n.snapshot.Load().vms[vm]
 	if !ok {
 		return
 	}
-	// Calls must not wait for control, so a full queue drops the wish; the next answer renews it.
+	// Calls must not wait for the control goroutine: a full queue drops the request, and the next answer repeats it.
 	select {
-	case n.control <- func(s *controlState) { s.exchangeSoon(v.Name, v.Peer) }:
+	case n.control <- func(s *controlState) { s.startExchange(v.Name, v.Peer) }:
 	default:
 	}
 }
 
-// VersionReport tells how far a configuration version has come.
+// VersionReport lists which daemons have a configuration version in force, which are behind and which didn't respond.
 type VersionReport struct {
-	Version int64            `json:"version"`
-	InForce []string         `json:"in_force"`
-	Behind  map[string]int64 `json:"behind,omitempty"`
-	Silent  []string         `json:"silent,omitempty"`
+	Version      int64            `json:"version"`
+	InForce      []string         `json:"in_force"`
+	Behind       map[string]int64 `json:"behind,omitempty"`
+	Unresponsive []string         `json:"silent,omitempty"`
 }
 
-// probeParallel bounds the probes of one report that are under way at once.
-const probeParallel = 32
+// maxConcurrentProbes limits the probes of one report that are in flight.
+const maxConcurrentProbes = 32
 
-// Versions asks every daemon which configuration version it has in force.
-func (n *Node) Versions(ctx context.Context, want int64) VersionReport {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+// ReportVersions queries every daemon for its configuration version and compares it with want.
+func (n *Node) ReportVersions(ctx context.Context, want int64) VersionReport {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	type result struct {
 		vm      string
@@ -199,7 +203,7 @@
 	}
 	vms := maps.Clone(n.snapshot.Load().vms)
 	results := make(chan result, len(vms))
-	slots := make(chan struct{}, probeParallel)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	for _, v := range vms {
 		go func() {
 			slots <- struct{}{}
@@ -218,7 +222,7 @@
 		r := <-results
 		switch {
 		case r.err != nil:
-			rep.Silent = append(rep.Silent, r.vm)
+			rep.Unresponsive = append(rep.Unresponsive, r.vm)
 		case r.version >= want:
 			rep.InForce = append(rep.InForce, r.vm)
 		default:
--- a/pkg/node/control_loop.go
+++ b/pkg/node/control_loop.go
@@ -15,44 +15,45 @@
 // controlTick is the period of the control goroutine.
 const controlTick = 50 * time.Millisecond
 
-// recentFor is the time for which news of a node goes along with every exchange.
-const recentFor = 5 * time.Second
+// recentUpdateAge is the age up to which an update of a node goes along with every exchange.
+const recentUpdateAge = 5 * time.Second
 
-// controlState is what the control goroutine owns.
+// controlState is the state that only the control goroutine reads and writes.
 type controlState struct {
-	n        *Node
-	register config.Register
-	roster   member.Roster
-	rows     map[string]onceonly.OwnerRow
-	recent   map[string]time.Time // when news of a node was taken
+	n           *Node
+	register    config.Register
+	roster      member.Roster
+	rows        map[string]onceonly.OwnerRow
+	recentNodes map[string]time.Time // when a node's last update was adopted, by VM
 
-	started      time.Time
-	dirty        bool // something is to be spread
-	turn         int  // neighbour of the next regular exchange
-	nextExchange time.Time
-	nextHead     time.Time
-	nextVMs      time.Time
-	nextRanges   time.Time
-	nextDrain    time.Time
-	busy         map[string]bool // work of which one instance runs at a time
+	started       time.Time
+	changed       bool // the next tick sends updates to all neighbors
+	neighborIndex int  // index of the neighbor of the last regular exchange
+	nextExchange  time.Time
+	nextHead      time.Time
+	nextVMs       time.Time
+	nextRanges    time.Time
+	nextDrain     time.Time
+	running       map[string]bool // names of the work in progress, one run of each at a time
 }
 
+// newControlState returns a control state that holds only this node's own record.
 func newControlState(n *Node) *controlState {
 	now := n.clock.Now()
 	s := &controlState{
 		n: n, started: now, rows: map[string]onceonly.OwnerRow{},
-		recent: map[string]time.Time{}, busy: map[string]bool{},
+		recentNodes: map[string]time.Time{}, running: map[string]bool{},
 	}
-	s.mergeNode(now, s.self())
+	s.mergeNode(now, s.localInfo())
 	return s
 }
 
-// self is what this node says of itself.
-func (s *controlState) self() member.NodeInfo {
+// localInfo returns this node's own record.
+func (s *controlState) localInfo() member.NodeInfo {
 	return member.NodeInfo{VM: s.n.cfg.VM, Incarnation: s.n.incarnation, Leaving: s.n.leaving.Load()}
 }
 
-// controlLoop runs what others ask of the control state, and its own periodic work.
+// controlLoop runs functions queued for the control goroutine, and its periodic work, until the daemon stops.
 func (n *Node) controlLoop(s *controlState) {
 	defer close(n.stopped)
 	ticks, stop := n.clock.NewTicker(controlTick)
@@ -72,8 +73,8 @@
 // errStopped reports that the daemon has stopped.
 var errStopped = errors.New("daemon has stopped")
 
-// onControl runs fn in the control goroutine and waits for it.
-func (n *Node) onControl(ctx context.Context, fn func(*controlState)) error {
+// runOnControl runs fn in the control goroutine and waits for it; the error is the context's or errStopped.
+func (n *Node) runOnControl(ctx context.Context, fn func(*controlState)) error {
 	done := make(chan struct{})
 	select {
 	case n.control <- func(s *controlState) { fn(s); close(done) }:
@@ -82,7 +83,7 @@
 	case <-n.ctx.Done():
 		return errStopped
 	}
-	// The loop ends only between two functions, so after that fn can't run any more.
+	// The loop ends only between two functions, so fn can't run any more once it has ended.
 	select {
 	case <-done:
 		return nil
@@ -91,43 +92,44 @@
 	}
 }
 
-// toControl hands fn to the control goroutine without waiting.
-func (n *Node) toControl(fn func(*controlState)) {
+// enqueueControl queues fn for the control goroutine. It waits only for space in the queue.
+func (n *Node) enqueueControl(fn func(*controlState)) {
 	select {
 	case n.control <- fn:
 	case <-n.ctx.Done():
 	}
 }
 
+// tick starts the periodic work that is due.
 func (s *controlState) tick(now time.Time) {
 	c := s.n.cfg.Control
-	if s.dirty {
-		s.dirty = false
-		s.spread()
+	if s.changed {
+		s.changed = false
+		s.exchangeWithNeighbors()
 	}
 	if due(now, &s.nextExchange, c.Exchange) {
-		s.exchangeNext()
+		s.exchangeWithNext()
 	}
 	if due(now, &s.nextHead, s.n.jitter(c.PollHead)) {
-		s.work("head", s.n.pollTable)
+		s.startWork("head", s.n.pollTable)
 	}
-	if due(now, &s.nextVMs, s.n.jitter(s.listPeriod())) {
-		s.work("vms", s.n.pollList)
+	if due(now, &s.nextVMs, s.n.jitter(s.vmListPeriod())) {
+		s.startWork("vms", s.n.pollVMList)
 	}
-	if due(now, &s.nextRanges, rangePeriod) && s.n.cfg.Service != "" {
-		s.work("ranges", s.n.keepRanges)
+	if due(now, &s.nextRanges, rangeCheckPeriod) && s.n.cfg.Service != "" {
+		s.startWork("ranges", s.n.reconcileRanges)
 	}
-	if s.n.cfg.Backend.DrainPath != "" && due(now, &s.nextDrain, drainPeriod) {
-		s.work("drain", s.n.pollDrain)
+	if s.n.cfg.Backend.DrainPath != "" && due(now, &s.nextDrain, drainPollPeriod) {
+		s.startWork("drain", s.n.pollDrain)
 	}
-	for vm, at := range s.recent {
-		if now.Sub(at) > recentFor {
-			delete(s.recent, vm)
+	for vm, at := range s.recentNodes {
+		if now.Sub(at) > recentUpdateAge {
+			delete(s.recentNodes, vm)
 		}
 	}
 }
 
-// due tells whether the time has come, and sets the next one.
+// due tells whether next has come; if so, it sets next to now plus the period.
 func due(now time.Time, next *time.Time, period time.Duration) bool {
 	if now.Before(*next) {
 		return false
@@ -136,20 +138,20 @@
 	return true
 }
 
-// work runs fn in a goroutine of its own unless the last run of the same name goes on.
-func (s *controlState) work(name string, fn func(context.Context)) {
-	if s.busy[name] {
+// startWork runs fn in a goroutine unless the last run under the same name is still in progress.
+func (s *controlState) startWork(name string, fn func(context.Context)) {
+	if s.running[name] {
 		return
 	}
-	s.busy[name] = true
+	s.running[name] = true
 	n := s.n
 	go func() {
 		fn(n.ctx)
-		n.toControl(func(s *controlState) { delete(s.busy, name) })
+		n.enqueueControl(func(s *controlState) { delete(s.running, name) })
 	}()
 }
 
-// offerDocument takes a configuration if it is newer.
+// offerDocument adopts a configuration and reports true if it is newer.
 func (s *controlState) offerDocument(doc *config.Document) bool {
 	old := s.register.Version()
 	if !s.register.Offer(doc) {
@@ -157,11 +159,11 @@
 	}
 	s.n.log.control.Info("configuration in force", "version", doc.Version, "before", old, "change", doc.ChangeID)
 	s.n.metrics.Set("config_version", doc.Version)
-	s.dirty = true
+	s.changed = true
 	return true
 }
 
-// offerRow takes a row of key ranges if it is newer.
+// offerRow adopts a row of key ranges and reports true if it is newer.
 func (s *controlState) offerRow(row onceonly.OwnerRow) bool {
 	if row.Version <= s.rows[row.Service].Version {
 		return false
@@ -171,11 +173,11 @@
 		now := s.n.clock.Now()
 		s.n.home.with(func(h *onceonly.Home) { h.Adopt(now, row) })
 	}
-	s.dirty = true
+	s.changed = true
 	return true
 }
 
-// mergeNode takes what a node says of itself.
+// mergeNode adopts a node's record and reports true if it is newer.
 func (s *controlState) mergeNode(now time.Time, info member.NodeInfo) bool {
 	old, known := s.roster.Node(info.VM)
 	if !s.roster.MergeNode(info) {
@@ -184,18 +186,18 @@
 	if known && old.Incarnation != info.Incarnation {
 		s.n.pool.Forget(info.VM)
 	}
-	s.recent[info.VM] = now
-	s.dirty = true
+	s.recentNodes[info.VM] = now
+	s.changed = true
 	return true
 }
 
-// publish makes a new snapshot for calls.
-func (n *Node) publish(s *controlState) {
+// publishSnapshot builds a new snapshot from the control state and makes it visible to calls.
+func (n *Node) publishSnapshot(s *controlState) {
 	old := n.snapshot.Load()
 	snap := &snapshot{
 		plan: s.register.Plan(), doc: s.register.Document(),
 		vms: map[string]member.VM{}, nodes: map[string]member.NodeInfo{},
-		rows: maps.Clone(s.rows), selfTarget: map[*config.Treatment]bool{},
+		rows: maps.Clone(s.rows), localTargets: map[*config.Treatment]bool{},
 	}
 	for _, v := range s.roster.VMs() {
 		c := routing.Candidate{VM: v, Leaving: s.roster.Leaving(v.Name)}
@@ -208,25 +210,25 @@
 		snap.candidates = append(snap.candidates, c)
 		snap.vms[v.Name] = v
 		if v.Name == n.cfg.VM && c.Leaving {
-			n.Leave("the platform or an operator says so")
+			n.Leave("marked as leaving by the platform or an operator")
 		}
 	}
 	for _, info := range s.roster.Nodes() {
 		snap.nodes[info.VM] = info
 	}
 	snap.neighbors = n.neighbors(snap)
-	n.markSelf(snap)
+	n.markLocalTargets(snap)
 	n.pool.Retain(func(vm string) bool { _, ok := snap.vms[vm]; return ok })
 	for _, srv := range n.pool.All() {
 		srv.SetLeaving(s.roster.Leaving(srv.VM))
 	}
 	if old.plan != snap.plan {
-		n.followSlots(snap)
+		n.updateGateSlots(snap)
 	}
 	n.snapshot.Store(snap)
 }
 
-// neighbors are the VMs with which this daemon exchanges control state: few, lasting, and of every zone.
+// neighbors returns the VMs with which this daemon exchanges control state: a small, stable set that covers every zone.
 func (n *Node) neighbors(snap *snapshot) []member.VM {
 	var others []routing.Candidate
 	for _, c := range snap.candidates {
@@ -243,21 +245,22 @@
 	return list
 }
 
-// markSelf notes for which treatments of the own service the policy targets this VM.
-func (n *Node) markSelf(snap *snapshot) {
+// markLocalTargets marks the treatments of the local service whose policies target this VM.
+func (n *Node) markLocalTargets(snap *snapshot) {
 	if snap.plan == nil || n.cfg.Service == "" {
 		return
 	}
-	self, ok := candidate(snap, n.cfg.VM)
+	self, ok := findCandidate(snap, n.cfg.VM)
 	if !ok || self.Leaving {
 		return
 	}
 	for _, t := range snap.plan.Treatments(n.cfg.Service) {
-		snap.selfTarget[t] = t.Selects(self.Labels)
+		snap.localTargets[t] = t.Selects(self.Labels)
 	}
 }
 
-func candidate(snap *snapshot, vm string) (routing.Candidate, bool) {
+// findCandidate returns the snapshot's candidate with the VM's name.
+func findCandidate(snap *snapshot, vm string) (routing.Candidate, bool) {
 	for _, c := range snap.candidates {
 		if c.VM.Name == vm {
 			return c, true
@@ -266,7 +269,8 @@
 	return routing.Candidate{}, false
 }
 
-func (n *Node) followSlots(snap *snapshot) {
+// updateGateSlots sets the gate's slots to those that the plan gives the local service.
+func (n *Node) updateGateSlots(snap *snapshot) {
 	if snap.plan == nil {
 		return
 	}
--- a/pkg/node/control_platform.go
+++ b/pkg/node/control_platform.go
@@ -13,7 +13,7 @@
 	"github.com/rockspoke/rockspoke/pkg/store"
 )
 
-// The keys of the table and the names of objects.
+// The keys of the platform's table, and the name of the object that holds a copy of the newest configuration.
 const (
 	keyHead        = "config/head"
 	keyVersion     = "config/v/%d"
@@ -28,13 +28,15 @@
 	ChangeID string `json:"change_id"`
 }
 
-func (n *Node) platformTime(ctx context.Context) (context.Context, context.CancelFunc) {
+// withPlatformTimeout returns the context with the timeout of platform requests.
+func (n *Node) withPlatformTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, n.cfg.Platform.Timeout)
 }
 
-// learn fills the control state at start: from the platform, else from its snapshot object and the seeds.
-func (n *Node) learn(ctx context.Context, s *controlState) {
-	if vms, err := n.readVMs(ctx); err == nil {
+// loadState fills the control state at start from the platform. If the table can't be read, it takes the configuration
+// from the snapshot object.
+func (n *Node) loadState(ctx context.Context, s *controlState) {
+	if vms, err := n.listVMs(ctx); err == nil {
 		s.roster.Refresh(vms)
 	} else {
 		n.log.control.Warn("list of VMs can't be read", "err", err)
@@ -52,20 +54,22 @@
 	if plan == nil {
 		return
 	}
-	for _, row := range n.readRows(ctx, plan.Services()) {
+	for _, row := range n.readRangeRows(ctx, plan.Services()) {
 		s.offerRow(row)
 	}
 }
 
-func (n *Node) readVMs(ctx context.Context) ([]member.VM, error) {
-	ctx, cancel := n.platformTime(ctx)
+// listVMs reads the list of VMs from the platform.
+func (n *Node) listVMs(ctx context.Context) ([]member.VM, error) {
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	return n.platform.ListVMs(ctx)
 }
 
-// readDocument reads the newest configuration if it is above the version; nil without an error means that there is none.
+// readDocument returns the newest configuration in the table, or nil without an error if its version isn't above the
+// given one or there is none.
 func (n *Node) readDocument(ctx context.Context, above int64) (*config.Document, error) {
-	ctx, cancel := n.platformTime(ctx)
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	rows, err := n.platform.Read(ctx, []string{keyHead})
 	if err != nil {
@@ -85,6 +89,7 @@
 	return n.readVersion(ctx, h.Version)
 }
 
+// readVersion reads one version from the table; the error is a *NoVersionError if it isn't there.
 func (n *Node) readVersion(ctx context.Context, version int64) (*config.Document, error) {
 	key := fmt.Sprintf(keyVersion, version)
 	rows, err := n.platform.Read(ctx, []string{key})
@@ -102,8 +107,9 @@
 	return &doc, nil
 }
 
+// readSnapshotObject returns the configuration copied to the object store, or nil if it can't be read.
 func (n *Node) readSnapshotObject(ctx context.Context) *config.Document {
-	ctx, cancel := n.platformTime(ctx)
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	data, err := n.platform.GetObject(ctx, objectDocument)
 	if err != nil {
@@ -117,8 +123,9 @@
 	return &doc
 }
 
-func (n *Node) readRows(ctx context.Context, services []string) []onceonly.OwnerRow {
-	ctx, cancel := n.platformTime(ctx)
+// readRangeRows returns the services' rows of key ranges; it leaves out those that are missing or malformed.
+func (n *Node) readRangeRows(ctx context.Context, services []string) []onceonly.OwnerRow {
+	ctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	keys := make([]string, len(services))
 	for i, s := range services {
@@ -141,7 +148,7 @@
 	return rows
 }
 
-// pollTable looks for a newer configuration, and for the own service's key ranges.
+// pollTable reads a newer configuration and the local service's row of key ranges, and merges them.
 func (n *Node) pollTable(ctx context.Context) {
 	doc, err := n.readDocument(ctx, n.snapshot.Load().version())
 	if err != nil {
@@ -150,103 +157,104 @@
 	}
 	var rows []onceonly.OwnerRow
 	if n.cfg.Service != "" {
-		rows = n.readRows(ctx, []string{n.cfg.Service})
+		rows = n.readRangeRows(ctx, []string{n.cfg.Service})
 	}
-	n.toControl(func(s *controlState) { s.take(exchange{Doc: doc, Rows: rows}) })
+	n.enqueueControl(func(s *controlState) { s.merge(exchange{Doc: doc, Rows: rows}) })
 }
 
-// pollList looks for changes of the list of VMs. While there is no list, the seeds are asked for state.
-func (n *Node) pollList(ctx context.Context) {
-	vms, err := n.readVMs(ctx)
+// pollVMList reads the list of VMs and publishes its changes. If the platform can't be read, it exchanges with the seeds.
+func (n *Node) pollVMList(ctx context.Context) {
+	vms, err := n.listVMs(ctx)
 	if err != nil {
 		n.log.control.Warn("list of VMs can't be read", "err", err)
-		n.askSeeds(ctx)
+		n.exchangeWithSeeds(ctx)
 		return
 	}
-	n.toControl(func(s *controlState) {
+	n.enqueueControl(func(s *controlState) {
 		before := s.roster.ChangeCount()
 		if !s.roster.Refresh(vms) {
-			n.log.control.Warn("list of VMs looks implausible and is set aside", "vms", len(vms))
+			n.log.control.Warn("implausible list of VMs is ignored", "vms", len(vms))
 			return
 		}
 		if s.roster.ChangeCount() != before {
-			n.publish(s)
+			n.publishSnapshot(s)
 		}
 	})
 }
 
-// listPerVM makes the time between readings of the list of VMs grow with the list, so that the bytes read a
-// second don't.
-const listPerVM = 50 * time.Millisecond
+// vmListPeriodPerVM makes the polling period grow with the list of VMs, so that the bytes read per second don't.
+const vmListPeriodPerVM = 50 * time.Millisecond
 
-// listPeriod is the time until the next reading of the list: short while a VM is missing from the last one.
-func (s *controlState) listPeriod() time.Duration {
+// vmListPeriod returns the time until the next poll of the list of VMs. It is short while a VM is missing from the last one.
+func (s *controlState) vmListPeriod() time.Duration {
 	period := s.n.cfg.Control.PollList
 	if s.roster.HasPendingRemoval() {
 		return period
 	}
-	return max(period, time.Duration(len(s.n.snapshot.Load().vms))*listPerVM)
+	return max(period, time.Duration(len(s.n.snapshot.Load().vms))*vmListPeriodPerVM)
 }
 
-// askSeeds exchanges state with the seeds, and learns their VMs, while the platform can't be read.
-func (n *Node) askSeeds(ctx context.Context) {
+// exchangeWithSeeds exchanges state with the seeds and fetches their lists of VMs, unless this node already has a plan
+// and knows other VMs. It replaces the platform while that can't be read.
+func (n *Node) exchangeWithSeeds(ctx context.Context) {
 	if len(n.snapshot.Load().vms) > 1 && n.snapshot.Load().plan != nil {
 		return
 	}
 	for _, addr := range n.cfg.Seeds {
 		if err := n.exchangeWith(ctx, "", addr); err != nil {
-			n.log.control.Debug("seed can't be asked", "seed", addr, "err", err)
+			n.log.control.Debug("exchange with seed failed", "seed", addr, "err", err)
 		}
-		n.learnVMs(ctx, addr)
+		n.fetchVMList(ctx, addr)
 	}
 }
 
-// learnVMs takes the list of VMs that another daemon goes by.
-func (n *Node) learnVMs(ctx context.Context, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+// fetchVMList adopts the list of VMs that another daemon uses.
+func (n *Node) fetchVMList(ctx context.Context, addr string) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var list vmList
 	if err := n.peers.control(ctx, "", addr, pathVMs, struct{}{}, &list); err != nil || len(list.VMs) == 0 {
 		return
 	}
-	n.toControl(func(s *controlState) {
+	n.enqueueControl(func(s *controlState) {
 		if s.roster.Refresh(list.VMs) {
-			n.publish(s)
+			n.publishSnapshot(s)
 		}
 	})
 }
 
-// vmList is the list of VMs that a daemon goes by, for one that can't read it from the platform.
+// vmList is the list of VMs that a daemon uses, sent to one that can't read it from the platform.
 type vmList struct {
 	VMs []member.VM `json:"vms"`
 }
 
-func (n *Node) vmList(ctx context.Context) (list vmList, err error) {
-	err = n.onControl(ctx, func(s *controlState) { list.VMs = s.roster.VMs() })
+// localVMList returns the list of VMs that this daemon uses.
+func (n *Node) localVMList(ctx context.Context) (list vmList, err error) {
+	err = n.runOnControl(ctx, func(s *controlState) { list.VMs = s.roster.VMs() })
 	return list, err
 }
 
-// commitRow writes a row of key ranges and returns the row that is in the table afterwards. Any error
-// but a *store.RefusedError leaves open whether the row was written, now or later.
+// commitRow writes a row of key ranges and returns the row that is in the table afterwards. After any error but a
+// *store.RefusedError, it is unknown whether the row was written or will be.
 func (n *Node) commitRow(ctx context.Context, row onceonly.OwnerRow) (onceonly.OwnerRow, error) {
 	key := keyRanges + row.Service
 	tx := store.Tx{
 		Checks: []store.Check{{Key: key, Version: row.Version - 1}},
 		Writes: []store.Write{{Key: key, Value: marshal(row)}},
 	}
-	pctx, cancel := n.platformTime(ctx)
+	pctx, cancel := n.withPlatformTimeout(ctx)
 	defer cancel()
 	err := n.platform.Commit(pctx, tx)
 	var conflict *store.ConflictError
 	if err == nil || !errors.As(err, &conflict) {
 		return row, err
 	}
-	rows := n.readRows(ctx, []string{row.Service})
+	rows := n.readRangeRows(ctx, []string{row.Service})
 	if len(rows) == 0 {
 		return onceonly.OwnerRow{}, err
 	}
 	return rows[0], nil
 }
 
-// waitTime is the pause between tries of work that waits for the platform.
-const waitTime = time.Second
+// platformRetryPause is the pause between retries of work that depends on the platform.
+const platformRetryPause = time.Second
--- a/pkg/node/control_ranges.go
+++ b/pkg/node/control_ranges.go
@@ -13,48 +13,51 @@
 	"github.com/rockspoke/rockspoke/pkg/store"
 )
 
-// The periods of the care for key ranges: how often it looks, how long a new service's nodes are waited
-// for, and how much longer each node waits than the one before it in name.
+// The timing of key range changes: the period of checks, the longest wait for all nodes of a new service, and how much
+// longer each node waits than the one before it by name.
 const (
-	rangePeriod  = 500 * time.Millisecond
-	firstRowWait = 4 * time.Second
-	turnWait     = 3 * time.Second
+	rangeCheckPeriod = 500 * time.Millisecond
+	firstRowMaxWait  = 4 * time.Second
+	moveLostDelay    = 3 * time.Second
 )
 
-// closeWait is the longest time that a closing range waits for its runs; what still runs then goes as uncertain.
-const closeWait = 5 * time.Second
+// rangeCloseTimeout is the longest time that a closing range waits for its runs; the outcome of those still in progress
+// then goes over as unknown.
+const rangeCloseTimeout = 5 * time.Second
 
-// rangeView is what the care for key ranges looks at.
+// rangeView is the state on which decisions about key ranges are based.
 type rangeView struct {
-	row     onceonly.OwnerRow
-	hasRow  bool
-	nodes   []onceonly.Node // of the service, known, there, not leaving, and targeted by its policies
-	missing int             // VMs of the service whose node isn't known yet
-	lost    func(onceonly.Owner) bool
-	age     time.Duration // since this node started
-	turn    int           // this node's place among nodes, -1 if it isn't there
+	row       onceonly.OwnerRow
+	hasRow    bool
+	nodes     []onceonly.Node // of the service: known, listed, not leaving, and targeted by its policies
+	missing   int             // VMs of the service whose node isn't known yet
+	ownerGone func(onceonly.Owner) bool
+	age       time.Duration // since this node started
+	position  int           // this node's index in nodes, -1 if it isn't there
 }
 
+// rangeView returns the current state of the local service's key ranges; the error is that of runOnControl.
 func (n *Node) rangeView(ctx context.Context) (v rangeView, err error) {
-	err = n.onControl(ctx, func(s *controlState) {
+	err = n.runOnControl(ctx, func(s *controlState) {
 		snap := n.snapshot.Load()
 		v.row, v.hasRow = s.rows[n.cfg.Service]
 		v.age = n.clock.Now().Sub(s.started)
 		v.nodes, v.missing = s.serviceNodes(snap)
-		v.turn = slices.IndexFunc(v.nodes, func(o onceonly.Node) bool { return o.VM == n.cfg.VM })
+		v.position = slices.IndexFunc(v.nodes, func(o onceonly.Node) bool { return o.VM == n.cfg.VM })
 		gone := map[string]bool{}
 		for _, o := range v.row.Owners {
 			gone[o.VM] = s.roster.Removed(o.VM)
 		}
-		v.lost = func(o onceonly.Owner) bool { return gone[o.VM] }
+		v.ownerGone = func(o onceonly.Owner) bool { return gone[o.VM] }
 	})
 	return v, err
 }
 
-// serviceNodes returns the nodes that may own key ranges of this node's service.
+// serviceNodes returns the nodes that may own key ranges of the local service, and the number of its VMs whose node
+// isn't known yet.
 func (s *controlState) serviceNodes(snap *snapshot) (nodes []onceonly.Node, missing int) {
 	for _, c := range snap.candidates {
-		if c.VM.Service != s.n.cfg.Service || c.Leaving || !s.targeted(snap, c) {
+		if c.VM.Service != s.n.cfg.Service || c.Leaving || !s.isTargeted(snap, c) {
 			continue
 		}
 		info, ok := s.roster.Node(c.VM.Name)
@@ -69,8 +72,8 @@
 	return nodes, missing
 }
 
-// targeted tells whether any policy sends calls of the service to the VM.
-func (s *controlState) targeted(snap *snapshot, c routing.Candidate) bool {
+// isTargeted tells whether any policy sends calls of the local service to the VM.
+func (s *controlState) isTargeted(snap *snapshot, c routing.Candidate) bool {
 	if snap.plan == nil {
 		return true
 	}
@@ -82,63 +85,67 @@
 	return false
 }
 
-// keepRanges makes sure that every key range has an owner that is there, and that this node owns a fair share.
-func (n *Node) keepRanges(ctx context.Context) {
+// reconcileRanges makes sure that every key range has a live owner and that this node owns at most about its fair share.
+// It makes one kind of change per call.
+func (n *Node) reconcileRanges(ctx context.Context) {
 	v, err := n.rangeView(ctx)
 	if err != nil || n.snapshot.Load().plan == nil {
 		return
 	}
 	switch {
 	case !v.hasRow:
-		n.makeFirstRow(ctx, v)
-	case n.reclaim(ctx, v):
-	case n.moveLost(ctx, v):
+		n.createRow(ctx, v)
+	case n.reclaimRanges(ctx, v):
+	case n.moveLostRanges(ctx, v):
 	default:
 		n.handOverSurplus(ctx, v)
 	}
 }
 
-func (n *Node) makeFirstRow(ctx context.Context, v rangeView) {
-	if v.turn != 0 || (v.missing > 0 && v.age < firstRowWait) {
+// createRow deals out a new service's ranges. Only the first node by name does it, once all nodes are known or
+// firstRowMaxWait has passed.
+func (n *Node) createRow(ctx context.Context, v rangeView) {
+	if v.position != 0 || (v.missing > 0 && v.age < firstRowMaxWait) {
 		return
 	}
-	n.changeRow(ctx, onceonly.NewOwnerRow(n.cfg.Service, v.nodes), "first dealt out")
+	n.commitAndAdoptRow(ctx, onceonly.NewOwnerRow(n.cfg.Service, v.nodes), "assigned for the first time")
 }
 
-// reclaim takes this VM's ranges over from the last life of its node, whose memory is lost.
-func (n *Node) reclaim(ctx context.Context, v rangeView) bool {
+// reclaimRanges takes over this VM's ranges from the previous incarnation of its node, whose memory is lost; it reports
+// whether there were any.
+func (n *Node) reclaimRanges(ctx context.Context, v rangeView) bool {
 	row, moved := v.row.Reclaim(onceonly.Node{VM: n.cfg.VM, Incarnation: n.incarnation})
 	if moved {
-		n.changeRow(ctx, row, "reclaimed after a restart")
+		n.commitAndAdoptRow(ctx, row, "reclaimed after a restart")
 	}
 	return moved
 }
 
-// moveLost gives away the ranges of owners whose VMs are gone. The first node by name goes first, the
-// others wait for their turn, so that they don't race each other for nothing.
-func (n *Node) moveLost(ctx context.Context, v rangeView) bool {
-	if v.turn < 0 {
+// moveLostRanges gives away the ranges of owners whose VMs are gone, and reports whether there were any. Each node waits
+// longer than the one before it by name, so that they don't commit the same change at once.
+func (n *Node) moveLostRanges(ctx context.Context, v rangeView) bool {
+	if v.position < 0 {
 		return false
 	}
-	row, moved := v.row.ReassignLost(v.lost, v.nodes)
+	row, moved := v.row.ReassignLost(v.ownerGone, v.nodes)
 	if !moved {
 		return false
 	}
-	if !clock.Sleep(ctx, time.Duration(v.turn)*turnWait) && v.turn > 0 {
+	if !clock.Sleep(ctx, time.Duration(v.position)*moveLostDelay) && v.position > 0 {
 		return true
 	}
-	n.changeRow(ctx, row, "moved from VMs that are gone")
+	n.commitAndAdoptRow(ctx, row, "moved from VMs that are gone")
 	return true
 }
 
-// changeRow commits a row and takes whatever the table holds afterwards.
-func (n *Node) changeRow(ctx context.Context, row onceonly.OwnerRow, why string) bool {
+// commitAndAdoptRow commits a row, adopts what the table holds afterwards, and reports whether that is the given row.
+func (n *Node) commitAndAdoptRow(ctx context.Context, row onceonly.OwnerRow, why string) bool {
 	have, err := n.commitRow(ctx, row)
 	if err != nil {
 		n.log.once.Warn("key ranges can't be changed", "why", why, "err", err)
 		return false
 	}
-	if err := n.takeRow(ctx, have); err != nil {
+	if err := n.adoptRow(ctx, have); err != nil {
 		return false
 	}
 	if have == row {
@@ -148,21 +155,22 @@
 	return false
 }
 
-func (n *Node) takeRow(ctx context.Context, row onceonly.OwnerRow) error {
-	return n.onControl(ctx, func(s *controlState) { s.take(exchange{Rows: []onceonly.OwnerRow{row}}) })
+// adoptRow merges a row of key ranges into the control state; the error is that of runOnControl.
+func (n *Node) adoptRow(ctx context.Context, row onceonly.OwnerRow) error {
+	return n.runOnControl(ctx, func(s *controlState) { s.merge(exchange{Rows: []onceonly.OwnerRow{row}}) })
 }
 
-// surplusSlack is how many ranges above its fair share a node keeps, so that they don't wander.
+// surplusSlack is how many ranges above its fair share a node may own, so that ranges don't move back and forth.
 const surplusSlack = 2
 
-// handOverSurplus gives away what this node owns and shouldn't: all where no policy targets it, else what is above its share.
+// handOverSurplus hands over all of this node's ranges if no policy targets it, else those above its fair share.
 func (n *Node) handOverSurplus(ctx context.Context, v rangeView) {
 	mine := v.row.OwnedBy(n.cfg.VM, n.incarnation)
 	if len(mine) == 0 || len(v.nodes) == 0 || n.leaving.Load() {
 		return
 	}
-	if v.turn < 0 {
-		n.handOverAll(ctx, v.row, mine, v.nodes)
+	if v.position < 0 {
+		n.handOverRanges(ctx, v.row, mine, v.nodes)
 		return
 	}
 	fair := (onceonly.NumRanges + len(v.nodes) - 1) / len(v.nodes)
@@ -170,14 +178,14 @@
 		return
 	}
 	others := slices.DeleteFunc(slices.Clone(v.nodes), func(o onceonly.Node) bool { return o.VM == n.cfg.VM })
-	n.handOverAll(ctx, v.row, mine[fair:], others)
+	n.handOverRanges(ctx, v.row, mine[fair:], others)
 }
 
-// handOverAll gives ranges to the nodes that own the fewest; it reports whether every one was taken.
-func (n *Node) handOverAll(ctx context.Context, row onceonly.OwnerRow, ranges []int, nodes []onceonly.Node) bool {
+// handOverRanges hands ranges over to the nodes that own the fewest; it reports whether all of them were accepted.
+func (n *Node) handOverRanges(ctx context.Context, row onceonly.OwnerRow, ranges []int, nodes []onceonly.Node) bool {
 	all := true
 	for to, part := range row.Distribute(ranges, nodes) {
-		if err := n.handOver(ctx, part, to); err != nil {
+		if err := n.handOverTo(ctx, part, to); err != nil {
 			n.log.once.Warn("key ranges can't be handed over", "to", to.VM, "err", err)
 			all = false
 		}
@@ -185,12 +193,13 @@
 	return all
 }
 
-// handOver closes ranges, sends their memory to the next owner and then changes the row. Until the row
-// is known to have changed, this node stays the owner, and while that is unknown the ranges stay closed.
-func (n *Node) handOver(ctx context.Context, ranges []int, to onceonly.Node) error {
+// handOverTo closes ranges, sends their memory to the next owner and then changes the row. This node stays the owner
+// until the row is known to have changed, and the ranges stay closed while that is unknown. The error is a
+// *HandoverError, or that of the message or the commit.
+func (n *Node) handOverTo(ctx context.Context, ranges []int, to onceonly.Node) error {
 	vm, ok := n.snapshot.Load().vms[to.VM]
 	if !ok {
-		return &HandoverError{to.VM + " isn't listed"}
+		return &HandoverError{to.VM + " isn't in the list of VMs"}
 	}
 	n.home.with(func(h *onceonly.Home) { h.CloseRanges(ranges) })
 	n.awaitRuns(ctx, ranges)
@@ -202,7 +211,7 @@
 		msg = h.Memory.Export(n.clock.Now(), msg)
 		row = h.Row()
 	})
-	cctx, cancel := context.WithTimeout(ctx, exchangeTime)
+	cctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	var reply handoverReply
 	err := n.peers.control(cctx, to.VM, vm.Peer, pathHandover, msg, &reply)
 	cancel()
@@ -212,15 +221,15 @@
 	}
 	changed, ok := row.HandOver(ranges, me, next)
 	if !ok {
-		return &HandoverError{"the ranges have another owner by now"}
+		return &HandoverError{"the ranges now have another owner"}
 	}
-	return n.settleHandover(ctx, changed, ranges)
+	return n.commitHandover(ctx, changed, ranges)
 }
 
-// settleHandover commits the changed row and tries until it is known what the table holds. Only a
-// commit that certainly had no effect, with none in doubt before it, opens the ranges here again.
-func (n *Node) settleHandover(ctx context.Context, changed onceonly.OwnerRow, ranges []int) error {
-	doubt := false
+// commitHandover commits the changed row and retries until it is known what the table holds. It reopens the ranges here
+// only after a commit that certainly had no effect, if no commit before it is in doubt.
+func (n *Node) commitHandover(ctx context.Context, changed onceonly.OwnerRow, ranges []int) error {
+	inDoubt := false
 	for {
 		have, err := n.commitRow(ctx, changed)
 		if err == nil {
@@ -228,20 +237,22 @@
 		}
 		var refused *store.RefusedError
 		if !errors.As(err, &refused) {
-			doubt = true
+			inDoubt = true
 		}
-		if !doubt {
+		if !inDoubt {
 			n.home.with(func(h *onceonly.Home) { h.ReopenRanges(ranges) })
 			return fmt.Errorf("row of %s: %w", changed.Service, err)
 		}
-		if !clock.Sleep(ctx, waitTime) {
+		if !clock.Sleep(ctx, platformRetryPause) {
 			return ctx.Err()
 		}
 	}
 }
 
+// finishHandover adopts the row in the table and reopens the ranges; the error is a *HandoverError if another change
+// of the row came first.
 func (n *Node) finishHandover(ctx context.Context, have, changed onceonly.OwnerRow, ranges []int) error {
-	if err := n.takeRow(ctx, have); err != nil {
+	if err := n.adoptRow(ctx, have); err != nil {
 		return err
 	}
 	n.home.with(func(h *onceonly.Home) { h.ReopenRanges(ranges) })
@@ -252,9 +263,9 @@
 	return nil
 }
 
-// awaitRuns waits until nothing runs in the ranges.
+// awaitRuns waits until no run is in progress in the ranges, at most rangeCloseTimeout.
 func (n *Node) awaitRuns(ctx context.Context, ranges []int) {
-	end := n.clock.Now().Add(closeWait)
+	end := n.clock.Now().Add(rangeCloseTimeout)
 	for {
 		running := 0
 		n.home.with(func(h *onceonly.Home) { running = h.Memory.CountRunning(ranges) })
