--- a/pkg/mesh/quarantine_handler.go
+++ b/pkg/mesh/quarantine_handler.go
@@ -43,7 +43,7 @@
 			http.Error(w, "GET "+QuarantinePath+" or DELETE "+QuarantinePath+"NAME", http.StatusMethodNotAllowed)
 		case !n.fromThisVM(r):
 			// Otherwise a caller could lift the quarantine of its own request.
-			http.Error(w, "requests can be lifted only from the VM of a node", http.StatusForbidden)
+			http.Error(w, "a request is lifted from the VM of a node", http.StatusForbidden)
 		default:
 			n.lift(w, name)
 		}
--- a/pkg/node/call_home.go
+++ b/pkg/node/call_home.go
@@ -255,7 +255,7 @@
 }
 
 // errHomeUnavailable reports that a key's home isn't known or listed.
-var errHomeUnavailable = errors.New("the home of the key isn't available")
+var errHomeUnavailable = errors.New("the home of the key can't be asked")
 
 // settleKey returns what this home knows of a key that an entry is about to refuse; it closes an unknown key, so that
 // the refusal holds for all attempts.
--- a/pkg/node/call_request.go
+++ b/pkg/node/call_request.go
@@ -31,7 +31,7 @@
 }
 
 // Error gives the reason.
-func (e *RequestError) Error() string { return fmt.Sprintf("invalid request: %s", e.Reason) }
+func (e *RequestError) Error() string { return fmt.Sprintf("request refused: %s", e.Reason) }
 
 // readRequest reads a request with a body of at most limit bytes; the error is a *RequestError.
 func readRequest(r *http.Request, limit int64) (*request, error) {
@@ -41,7 +41,7 @@
 		if errors.As(err, &tooLong) {
 			return nil, &RequestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", limit)}
 		}
-		return nil, &RequestError{http.StatusBadRequest, "body ended early or can't be read"}
+		return nil, &RequestError{http.StatusBadRequest, "body broke off"}
 	}
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -238,7 +238,7 @@
 	token, ok := n.newToken(t, priority.Max)
 	if !ok {
 		w.Header().Set(headerRetryAfter, "1")
-		http.Error(w, "no backend server can be the home of a token now", http.StatusServiceUnavailable)
+		http.Error(w, "no backend server can be a home now", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/pkg/node/peer_server.go
+++ b/pkg/node/peer_server.go
@@ -161,7 +161,7 @@
 	case h.Service != n.cfg.Service:
 		return handoverReply{}, &HandoverError{"this node serves " + n.cfg.Service}
 	case !h.To.Is(n.cfg.VM, n.incarnation):
-		return handoverReply{}, &HandoverError{"it is addressed to another incarnation of this node"}
+		return handoverReply{}, &HandoverError{"it is meant for another life of this node"}
 	case n.leaving.Load():
 		return handoverReply{}, &HandoverError{"this node is leaving"}
 	}
--- a/pkg/overload/usable_fraction_controller_test.go
+++ b/pkg/overload/usable_fraction_controller_test.go
@@ -85,7 +85,7 @@
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(-1e9, 1e10).Draw(r, "step")))
 			c.Observe(now, GateLoad{
-				RejectedShare: rapid.Float64Range(0, 1).Draw(r, "turned rejectedNow"),
+				RejectedShare: rapid.Float64Range(0, 1).Draw(r, "rejected"),
 				Utilization:   rapid.Float64Range(0, 3).Draw(r, "use"), Bottleneck: bottleneck && rapid.Bool().Draw(r, "binding"),
 			})
 			if p := c.UsableFraction(); p < minFraction-1e-9 || p > most+1e-9 {
