--- a/pkg/mesh/admission_log.go
+++ b/pkg/mesh/admission_log.go
@@ -44,22 +44,22 @@
 
 // kindsWithoutCost returns the sorted display names of the kinds that are requested and have no known cost.
 func kindsWithoutCost(roots []overload.KindDemand) []string {
-	var routes []string
+	var names []string
 	for _, r := range roots {
 		if len(r.SlotSeconds) == 0 && r.Fresh+r.Returning >= minUncostedRate {
-			routes = append(routes, loads.KindLabel(r.Kind))
+			names = append(names, loads.KindLabel(r.Kind))
 		}
 	}
-	slices.Sort(routes)
-	return routes
+	slices.Sort(names)
+	return names
 }
 
 // setShareMetrics sets the share metric of each kind that is limited now or has been since the start.
 func (n *Node) setShareMetrics(plan *admissionPlan) {
-	for route, s := range plan.shares {
-		if s.Fresh < 1 || n.control.logged.shares[route] {
-			n.control.logged.shares[route] = true
-			n.metrics.gauge(int64(s.Fresh*1000), "admitted_share", "route", loads.KindLabel(route))
+	for kind, s := range plan.shares {
+		if s.Fresh < 1 || n.control.logged.shares[kind] {
+			n.control.logged.shares[kind] = true
+			n.metrics.gauge(int64(s.Fresh*1000), "admitted_share", "route", loads.KindLabel(kind))
 		}
 	}
 }
--- a/pkg/mesh/admission_plan.go
+++ b/pkg/mesh/admission_plan.go
@@ -69,7 +69,7 @@
 // rootDemand returns the demand for each kind of root request: the reported rates, plus the retained rates of kinds that
 // can't have been reported yet.
 func (n *Node) rootDemand(now time.Time, reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) []overload.KindDemand {
-	byKind := n.reportedRoots(reports, plan, costs)
+	byKind := n.reportedDemand(reports, plan, costs)
 	n.control.attemptRates = make(map[string]float64, len(byKind))
 	for kind, r := range byKind {
 		n.control.attemptRates[kind] = r.Fresh
@@ -82,7 +82,7 @@
 			continue
 		}
 		if byKind[kind] == nil {
-			byKind[kind] = n.newRoot(kind, costs)
+			byKind[kind] = n.newKindDemand(kind, costs)
 		}
 		byKind[kind].Fresh += missing
 	}
@@ -93,14 +93,14 @@
 	return roots
 }
 
-// newRoot returns a root request of the given kind with its rank and cost, and with no demand yet.
-func (n *Node) newRoot(kind string, costs map[string]callgraph.Cost) *overload.KindDemand {
+// newKindDemand returns the demand for a kind of root request with its rank and cost, and with rates of 0.
+func (n *Node) newKindDemand(kind string, costs map[string]callgraph.Cost) *overload.KindDemand {
 	route, team := loads.SplitKind(kind)
 	return &overload.KindDemand{Kind: kind, Priority: n.state.Load().Rank(route, team), SlotSeconds: costs[route].SlotSeconds}
 }
 
-// reportedRoots returns the demand that the reports contain, by kind of root request.
-func (n *Node) reportedRoots(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.KindDemand {
+// reportedDemand returns the demand that the reports contain, by kind of root request.
+func (n *Node) reportedDemand(reports []*loads.Report, plan *admissionPlan, costs map[string]callgraph.Cost) map[string]*overload.KindDemand {
 	byKind := map[string]*overload.KindDemand{}
 	for _, r := range reports {
 		for kind, e := range r.Entries {
@@ -108,7 +108,7 @@
 				continue
 			}
 			if byKind[kind] == nil {
-				byKind[kind] = n.newRoot(kind, costs)
+				byKind[kind] = n.newKindDemand(kind, costs)
 			}
 			byKind[kind].Fresh += e.Fresh
 			byKind[kind].Returning += e.Returning
--- a/pkg/mesh/answer.go
+++ b/pkg/mesh/answer.go
@@ -16,7 +16,7 @@
 	outcome  wire.Outcome
 	reason   wire.Reason
 	arrived  bool // the request reached, or may have reached, a backend server
-	canceled bool // the caller has gone, or the deadline has passed
+	canceled bool // the caller has disconnected, or the deadline has passed
 	broken   bool // the connection to the backend server broke before its answer was complete
 	// notListening reports that the request hasn't run since the backend server of the node isn't listening.
 	notListening bool
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// write writes the answer to w. If the body ends early it closes the connection, so that the client can tell.
+// write writes the answer to w. If the body ends early it closes the connection, so that the client detects it.
 func (a *answer) write(w http.ResponseWriter) {
 	a.setHeader(w.Header())
 	w.WriteHeader(a.status)
--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -103,7 +103,7 @@
 		return true
 	}
 	now := clock.Boot(n.clock)
-	n.proofs.withKeeper(func(k *freshness.ProofTracker) { accept = k.MayAcceptKey(now, s.Version) })
+	n.proofs.withTracker(func(t *freshness.ProofTracker) { accept = t.MayAcceptKey(now, s.Version) })
 	return accept
 }
 
@@ -115,7 +115,7 @@
 	certain := true
 	if n.cfg.Mesh.StrictRevoke {
 		now := clock.Boot(n.clock)
-		n.proofs.withKeeper(func(k *freshness.ProofTracker) { certain = k.MayRejectUnknownKey(now, s.Version) })
+		n.proofs.withTracker(func(t *freshness.ProofTracker) { certain = t.MayRejectUnknownKey(now, s.Version) })
 	}
 	return certain
 }
--- a/pkg/mesh/backend.go
+++ b/pkg/mesh/backend.go
@@ -17,11 +17,11 @@
 
 // backend sends requests to the backend server on this VM.
 type backend struct {
-	n              *Node
-	pool           *httpconn.Pool
-	runs           serverRuns
-	trial          trial
-	recentGoodRuns poison.SuccessTracker
+	n               *Node
+	pool            *httpconn.Pool
+	runs            serverRuns
+	trial           trial
+	recentSuccesses poison.SuccessTracker
 }
 
 // newBackend returns the backend of a node.
@@ -57,7 +57,7 @@
 		return notRunAnswer(reason)
 	}
 	a := b.runAtServer(ctx, q, own)
-	b.recordGoodRun(q, a)
+	b.recordSuccess(q, a)
 	return a
 }
 
@@ -94,25 +94,25 @@
 
 // waitAtGate waits for a slot. It returns why the request was refused, or ReasonNone once it may start.
 func (b *backend) waitAtGate(ctx context.Context, q *request) wire.Reason {
-	verdicts := make(chan gate.Decision, 1)
+	decisions := make(chan gate.Decision, 1)
 	t := &gate.Ticket{
 		Internal: q.Internal, Priority: q.Priority, Deadline: q.deadline, TypicalHold: b.n.slotHoldTime(q.Route), Age: b.n.minWorkAge(q),
-		Notify: func(v gate.Decision) { verdicts <- v },
+		Notify: func(d gate.Decision) { decisions <- d },
 	}
 	b.n.gateMu.Lock()
-	v := b.n.gate.Submit(b.n.clock.Now(), t)
+	d := b.n.gate.Submit(b.n.clock.Now(), t)
 	b.n.gateMu.Unlock()
-	if v.Queued {
+	if d.Queued {
 		select {
-		case v = <-verdicts:
+		case d = <-decisions:
 		case <-ctx.Done():
-			return b.withdrawTicket(t, verdicts)
+			return b.withdrawTicket(t, decisions)
 		}
 	}
-	if v.Start {
+	if d.Start {
 		return wire.ReasonNone
 	}
-	return v.Reason
+	return d.Reason
 }
 
 // minWorkAge returns the least time since the work that a call belongs to began. Calls of the same route that are made
@@ -125,17 +125,17 @@
 	return n.stats.callAge(now, q.Route, q.deadline.Sub(now))
 }
 
-// withdrawTicket cancels the ticket of a request whose caller has gone, and returns why it didn't run.
-func (b *backend) withdrawTicket(t *gate.Ticket, verdicts <-chan gate.Decision) wire.Reason {
+// withdrawTicket cancels the ticket of a request whose caller has disconnected, and returns why it didn't run.
+func (b *backend) withdrawTicket(t *gate.Ticket, decisions <-chan gate.Decision) wire.Reason {
 	b.n.gateMu.Lock()
 	queued := b.n.gate.Cancel(t)
 	b.n.gateMu.Unlock()
 	if queued {
 		return wire.ReasonDeadline
 	}
-	v := <-verdicts
-	if !v.Start {
-		return v.Reason
+	d := <-decisions
+	if !d.Start {
+		return d.Reason
 	}
 	b.n.gateMu.Lock()
 	b.n.gate.Finish(b.n.clock.Now(), 0, 0, gate.Abandoned)
@@ -159,7 +159,7 @@
 	h.Set(b.n.names.TimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
 	res, err := b.pool.Do(ctx, &httpconn.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Header: h,
-		Body: q.body, Stream: q.stream, StreamLen: q.streamLength, Patience: b.answerPatience(q),
+		Body: q.body, Stream: q.stream, StreamLen: q.streamLength, Patience: b.expectedAnswerTime(q),
 	})
 	if err != nil {
 		return b.failedAnswer(err)
@@ -185,15 +185,15 @@
 	return a, gate.Answered
 }
 
-// answerPatience returns the time within which the server's answer to the request is expected.
-func (b *backend) answerPatience(q *request) time.Duration {
+// expectedAnswerTime returns the time within which the server's answer to the request is expected.
+func (b *backend) expectedAnswerTime(q *request) time.Duration {
 	b.n.gateMu.Lock()
-	pace := b.n.gate.Snapshot().Slowdown
+	slowdown := b.n.gate.Snapshot().Slowdown
 	b.n.gateMu.Unlock()
-	return b.n.expectedResponseTime(expectedHoldTime(pace, b.n.slotHoldTime(q.Route)))
+	return b.n.expectedResponseTime(expectedHoldTime(slowdown, b.n.slotHoldTime(q.Route)))
 }
 
-// notExecuted reports whether the server says that it hasn't run the request.
+// notExecuted reports whether the response says that the server hasn't run the request.
 func notExecuted(res *httpconn.Response, names HeaderNames) bool {
 	return res.Header.Get(names.NotRun) != "" || res.Status == http.StatusMisdirectedRequest
 }
--- a/pkg/mesh/choose_server_test.go
+++ b/pkg/mesh/choose_server_test.go
@@ -126,7 +126,7 @@
 	return list
 }
 
-// With five zones of twenty equally busy servers, the first server of the own zone got 6,447 of 8,000 calls.
+// With five zones of twenty equally busy servers, the first server of the local zone got 6,447 of 8,000 calls.
 func TestCallsAreEvenAcrossServersOfOwnZone(t *testing.T) {
 	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.sameZone.Load() })
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -48,7 +48,7 @@
 	nextUsableLog time.Time
 	nextCallsLog  time.Time
 	calls         map[string]callgraph.Rates // calls per run, by route
-	shares        map[string]bool            // routes with an admitted_share metric
+	shares        map[string]bool            // kinds with an admitted_share metric
 }
 
 // tickPeriod is the time between checks for due work.
--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -14,13 +14,13 @@
 
 // The bounds of exchanges.
 const (
-	ownZoneFanout = 2 // peers of the own availability zone per exchange
+	localZoneFanout = 2 // peers of the own availability zone per exchange
 	// announceFanout is how many peers receive a recent update at once; they pass it on in turn.
 	announceFanout = 3
 	// crossZoneShare is the share of a node's exchanges that include a peer of another zone, and crossZoneExchanges bounds
 	// them per zone and period: traffic between zones is paid for, and updates spread within a zone by themselves. With
-	// fewer, sums of other zones were often older than minZoneLoadTTL: in a minute with one zone cut off, 14 nodes earned
-	// 0.707 and 0.675 of the value of all answers with one peer of the own zone and a share of a quarter, 0.748 with two.
+	// fewer, sums of other zones were often older than minZoneLoadTTL: in a minute with one zone cut off, 14 nodes reached
+	// 0.707 and 0.675 of the value of all answers with one peer of the local zone and a share of a quarter, 0.748 with two.
 	crossZoneShare     = 0.35
 	crossZoneExchanges = 4.0
 	// exchangeTimeout bounds one exchange.
@@ -31,7 +31,7 @@
 
 // gossip starts exchanges with a few random peers.
 func (n *Node) gossip(ctx context.Context) {
-	targets := n.exchangeTargets(ownZoneFanout, ownZoneOnly)
+	targets := n.exchangeTargets(localZoneFanout, localZoneOnly)
 	if rand.Float64() < min(crossZoneShare, crossZoneExchanges/float64(max(len(n.control.zoneHosts), 1))) {
 		targets = append(targets, n.exchangeTargets(1, otherZonesOnly)...)
 	}
@@ -139,7 +139,7 @@
 		n.noteVersion(m.From, m.Version)
 	}
 	if m.StateAgeKnown {
-		n.watch.with(func(w *follow.Tracker) { w.AddPeerReport(n.clock.Now(), n.stateVersion(), m.Version, m.StateAge) })
+		n.followTracker.with(func(w *follow.Tracker) { w.AddPeerReport(n.clock.Now(), n.stateVersion(), m.Version, m.StateAge) })
 	}
 	n.enqueue(func() {
 		now := n.clock.Now()
--- a/pkg/mesh/exchange_peers.go
+++ b/pkg/mesh/exchange_peers.go
@@ -13,12 +13,12 @@
 
 const (
 	anyZone        zoneScope = iota
-	ownZoneOnly              // in the own zone
+	localZoneOnly            // in the local zone
 	otherZonesOnly           // in the others
 )
 
-// includes reports whether the scope includes the own zone (near) or the others.
-func (w zoneScope) includes(near bool) bool { return w == anyZone || (w == ownZoneOnly) == near }
+// includes reports whether the scope includes the local zone (near) or the others.
+func (w zoneScope) includes(near bool) bool { return w == anyZone || (w == localZoneOnly) == near }
 
 // exchangeTargets returns up to fanout random peers, seeds included while fewer peers are known.
 func (n *Node) exchangeTargets(fanout int, where zoneScope) []exchangeTarget {
@@ -42,10 +42,10 @@
 	return targets
 }
 
-// randomTargets shuffles the targets in place and returns up to most of them.
-func randomTargets(targets []exchangeTarget, most int) []exchangeTarget {
+// randomTargets shuffles the targets in place and returns up to count of them.
+func randomTargets(targets []exchangeTarget, count int) []exchangeTarget {
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	return targets[:min(most, len(targets))]
+	return targets[:min(count, len(targets))]
 }
 
 // seedHosts returns the hosts of the configured seeds, without this node.
--- a/pkg/mesh/exchange_period.go
+++ b/pkg/mesh/exchange_period.go
@@ -19,9 +19,9 @@
 	// has to differ from the usual one for exchanges to become more frequent.
 	arrivalChangeRatio = 1.5
 	minArrivalChange   = 5.0
-	// usualArrivalGain is the weight of one sample, some times a second, in the smoothed arrival rate: it follows a change
+	// arrivalRateGain is the weight of one sample, some times a second, in the smoothed arrival rate: it follows a change
 	// in about four seconds.
-	usualArrivalGain = 0.05
+	arrivalRateGain = 0.05
 )
 
 // exchangePeriod returns the current time between exchanges, by the number of known nodes of this zone: a message grows
@@ -49,7 +49,7 @@
 func (n *Node) updateUrgency(now time.Time, urgent bool) {
 	rate := n.stats.arrivalRate(now)
 	urgent = urgent || arrivalsChanged(rate, n.control.smoothedArrivalRate)
-	n.control.smoothedArrivalRate += usualArrivalGain * (rate - n.control.smoothedArrivalRate)
+	n.control.smoothedArrivalRate += arrivalRateGain * (rate - n.control.smoothedArrivalRate)
 	begins := urgent && !n.control.urgentUpdates
 	n.control.urgentUpdates = urgent
 	if next := now.Add(jitter(n.exchangePeriod())); begins && next.Before(n.control.nextExchange) {
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -118,7 +118,7 @@
 	for _, r := range []directory.Record{{Host: "a1", Zone: "a"}, {Host: "a2", Zone: "a"}, {Host: "b1", Zone: "b"}} {
 		n.control.directory.Merge(r)
 	}
-	near, far := n.exchangeTargets(5, ownZoneOnly), n.exchangeTargets(5, otherZonesOnly)
+	near, far := n.exchangeTargets(5, localZoneOnly), n.exchangeTargets(5, otherZonesOnly)
 	c.Assert(slices.Equal(near, []exchangeTarget{{"a2", "a"}}), qt.IsTrue, qt.Commentf("%v", near))
 	c.Assert(slices.Equal(far, []exchangeTarget{{"b1", "b"}}), qt.IsTrue, qt.Commentf("%v", far))
 	c.Assert(n.exchangeTargets(5, anyZone), qt.HasLen, 2)
--- a/pkg/mesh/exchange_zone_loads.go
+++ b/pkg/mesh/exchange_zone_loads.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// packedOwnZone returns the sum of this zone's reports, as sent to other zones; it is reused for zoneLoadStep.
-func (n *Node) packedOwnZone(now time.Time) []packedZone {
+// packedLocalZone returns the sum of this zone's reports, as sent to other zones; it is reused for zoneLoadStep.
+func (n *Node) packedLocalZone(now time.Time) []packedZone {
 	if now.Sub(n.control.localZoneLoad.computedAt) >= zoneLoadStep {
-		body, err := pack(loads.SumByService(n.ownZoneReports()))
+		body, err := pack(loads.SumByService(n.localZoneReports()))
 		if err != nil {
 			n.controlLog.Error("failed to encode load report", "err", err)
 			return nil
--- a/pkg/mesh/fake_store_test.go
+++ b/pkg/mesh/fake_store_test.go
@@ -240,7 +240,7 @@
 func (s *fakeStore) writeHeld(_ context.Context, h Quarantined) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls[writeHeldCall]++
+	s.calls[writeQuarantinedCall]++
 	if s.down {
 		return storeDownError{}
 	}
--- a/pkg/mesh/follow_state.go
+++ b/pkg/mesh/follow_state.go
@@ -12,15 +12,15 @@
 	"github.com/rockspoke/rockspoke/pkg/freshness"
 )
 
-// stateWatch is a follow.Watch that all goroutines of a node use.
-type stateWatch struct {
+// sharedFollowTracker guards a follow.Tracker for concurrent use.
+type sharedFollowTracker struct {
 	mu sync.Mutex
 	follow.Tracker
 	peersQueried chan struct{} // closed once peers were queried after a restart
 }
 
-// with calls f with the watch, under its lock.
-func (w *stateWatch) with(f func(w *follow.Tracker)) {
+// with calls f with the tracker locked.
+func (w *sharedFollowTracker) with(f func(w *follow.Tracker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(&w.Tracker)
@@ -39,7 +39,7 @@
 	fallbackRetryMax   = 3 * time.Second
 )
 
-// followState follows the desired state in the store while this node has to, until ctx ends.
+// followState reads the desired state from the store and waits for its changes while this node has to, until ctx ends.
 func (n *Node) followState(ctx context.Context) {
 	if !n.awaitFollowStart(ctx) {
 		return
@@ -54,7 +54,7 @@
 			continue
 		}
 		var err error
-		t := n.storeWatch.newAttempt()
+		t := n.storeAvailability.newAttempt()
 		next, err = n.followOnce(ctx, t, next)
 		if err == nil {
 			wait = 0
@@ -78,18 +78,18 @@
 		}
 	} else {
 		select {
-		case <-n.watch.peersQueried:
+		case <-n.followTracker.peersQueried:
 		case <-ctx.Done():
 			return false
 		}
 	}
-	n.watch.with(func(w *follow.Tracker) { w.Start(n.clock.Now(), patience) })
+	n.followTracker.with(func(w *follow.Tracker) { w.Start(n.clock.Now(), patience) })
 	return true
 }
 
 // followRole reports whether the node has to follow the store now, and whether it is one of its zone's chosen followers.
 func (n *Node) followRole() (follows, chosen bool) {
-	n.watch.with(func(w *follow.Tracker) {
+	n.followTracker.with(func(w *follow.Tracker) {
 		now := n.clock.Now()
 		follows, chosen = w.ShouldContactStore(now), w.IsFollower()
 		if !follows {
@@ -100,13 +100,13 @@
 }
 
 // stateIsFresh reports whether the desired state in force is known to have been the newest recently.
-func (n *Node) stateIsFresh() (sure bool) {
-	n.watch.with(func(w *follow.Tracker) { sure = w.IsCurrent(n.clock.Now()) })
-	return sure
+func (n *Node) stateIsFresh() (fresh bool) {
+	n.followTracker.with(func(w *follow.Tracker) { fresh = w.IsCurrent(n.clock.Now()) })
+	return fresh
 }
 
 // followRetryBounds returns the bounds of the wait between failed calls, for a chosen follower or another node.
-func followRetryBounds(chosen bool) (first, most time.Duration) {
+func followRetryBounds(chosen bool) (first, limit time.Duration) {
 	if chosen {
 		return storeRetryFirst, storeRetryMax
 	}
@@ -115,7 +115,7 @@
 
 // noteFollowFailure records and logs that a call to follow the store failed.
 func (n *Node) noteFollowFailure(err error) {
-	n.watch.with(func(w *follow.Tracker) { w.WatchLost(n.clock.Now()) })
+	n.followTracker.with(func(w *follow.Tracker) { w.WatchLost(n.clock.Now()) })
 	n.controlLog.Warn("failed to follow desired state", "err", err)
 }
 
@@ -124,13 +124,13 @@
 func (n *Node) followOnce(ctx context.Context, t storeAttempt, next *Cursor) (*Cursor, error) {
 	var data []byte
 	var after Cursor
-	kind, span, read := readStateCall, storeCallTimeout, n.store.ReadState
+	kind, timeout, read := readStateCall, storeCallTimeout, n.store.ReadState
 	if next != nil {
-		kind, span = followStateCall, followCallTimeout
+		kind, timeout = followStateCall, followCallTimeout
 		read = func(ctx context.Context) ([]byte, Cursor, error) { return n.store.FollowState(ctx, *next) }
 	}
-	sent, own := clock.Boot(n.clock), n.stateVersion()
-	err := n.callStore(ctx, t, kind, span, func(ctx context.Context) (err error) {
+	sent, current := clock.Boot(n.clock), n.stateVersion()
+	err := n.callStore(ctx, t, kind, timeout, func(ctx context.Context) (err error) {
 		data, after, err = read(ctx)
 		return err
 	})
@@ -138,9 +138,9 @@
 		return next, err
 	}
 	version := n.applyStored(data)
-	n.watch.with(func(w *follow.Tracker) { w.WatchStarted(n.clock.Now()) })
+	n.followTracker.with(func(w *follow.Tracker) { w.WatchStarted(n.clock.Now()) })
 	if kind == readStateCall {
-		n.addStoreProof(sent, own, version)
+		n.addStoreProof(sent, current, version)
 	}
 	return &after, nil
 }
@@ -183,10 +183,10 @@
 		if !n.state.CompareAndSwap(old, s) {
 			continue
 		}
-		n.proofs.withKeeper(func(k *freshness.ProofTracker) { k.VersionApplied(s.Version) })
+		n.proofs.withTracker(func(t *freshness.ProofTracker) { t.VersionApplied(s.Version) })
 		if old == nil {
 			now := n.clock.Now()
-			n.knowledge.firstStateAt.Store(&now)
+			n.learnedRestore.firstStateAt.Store(&now)
 		}
 		return true
 	}
@@ -209,7 +209,7 @@
 			alive = append(alive, host)
 		}
 	}
-	n.watch.with(func(w *follow.Tracker) {
+	n.followTracker.with(func(w *follow.Tracker) {
 		w.NoteRunning(now)
 		if w.UpdateRole(n.ip, alive) {
 			n.controlLog.Info("follower of the desired state", "chosen", w.IsFollower(), "alive", len(alive))
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -63,7 +63,7 @@
 func (s *site) followers() map[int]bool {
 	chosen := map[int]bool{}
 	for i, n := range s.nodes {
-		n.watch.with(func(w *follow.Tracker) {
+		n.followTracker.with(func(w *follow.Tracker) {
 			if w.IsFollower() {
 				chosen[i] = true
 			}
--- a/pkg/mesh/forward.go
+++ b/pkg/mesh/forward.go
@@ -103,7 +103,7 @@
 	if !a.arrived {
 		return true // a gate's refusal isn't an arrival, so the next attempt costs nothing
 	}
-	return d.arrivals < max(d.route.MaxAttempts, 1) && d.n.spendRetryBudget(d.q)
+	return d.arrivals < max(d.route.MaxAttempts, 1) && d.n.withdrawRetryBudget(d.q)
 }
 
 // finalAnswer returns the answer to a request that no server answered. It says that the request hasn't run only if that
@@ -199,7 +199,7 @@
 	return unknownAnswer(wire.ReasonLost)
 }
 
-// minRetryDelay is the base delay after which a refused client is told to retry.
+// minRetryDelay is the base delay after which a refused client should retry.
 const minRetryDelay = 200 * time.Millisecond
 
 // writeFinal writes the final answer to the client.
--- a/pkg/mesh/freshness_proof.go
+++ b/pkg/mesh/freshness_proof.go
@@ -12,7 +12,7 @@
 	"github.com/rockspoke/rockspoke/pkg/freshness"
 )
 
-// freshnessProofs guards a freshness.Keeper for concurrent use and schedules the calls that renew its proof.
+// freshnessProofs guards a freshness.ProofTracker for concurrent use and schedules the calls that renew its proof.
 type freshnessProofs struct {
 	mu sync.Mutex
 	freshness.ProofTracker
@@ -21,8 +21,8 @@
 	reading, requesting atomic.Bool        // a call is in flight
 }
 
-// withKeeper calls f with the keeper locked.
-func (p *freshnessProofs) withKeeper(f func(k *freshness.ProofTracker)) {
+// withTracker calls f with the tracker locked.
+func (p *freshnessProofs) withTracker(f func(t *freshness.ProofTracker)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.ProofTracker)
@@ -113,7 +113,7 @@
 func (n *Node) readProofFromStore(ctx context.Context) {
 	sent, current := clock.Boot(n.clock), n.stateVersion()
 	var data []byte
-	err := n.callStore(ctx, n.storeWatch.newAttempt(), proveStateCall, proofReadTimeout, func(ctx context.Context) (err error) {
+	err := n.callStore(ctx, n.storeAvailability.newAttempt(), proveStateCall, proofReadTimeout, func(ctx context.Context) (err error) {
 		data, _, err = n.store.ReadState(ctx)
 		return err
 	})
@@ -138,13 +138,13 @@
 
 // addProof records a freshness proof from the store or another node.
 func (n *Node) addProof(p freshness.Proof) {
-	n.proofs.withKeeper(func(k *freshness.ProofTracker) { k.AddProof(p, n.stateVersion()) })
+	n.proofs.withTracker(func(t *freshness.ProofTracker) { t.AddProof(p, n.stateVersion()) })
 }
 
 // proofAge returns the age of the freshness proof for the state in force; known is false if there is none.
 func (n *Node) proofAge() (age time.Duration, known bool) {
 	now, current := clock.Boot(n.clock), n.stateVersion()
-	n.proofs.withKeeper(func(k *freshness.ProofTracker) { age, known = k.ProofAge(now, current) })
+	n.proofs.withTracker(func(t *freshness.ProofTracker) { age, known = t.ProofAge(now, current) })
 	return age, known
 }
 
@@ -167,10 +167,10 @@
 func (n *Node) serveProof(w http.ResponseWriter, _ *http.Request) {
 	current := n.stateVersion()
 	var res proofResponse
-	n.proofs.withKeeper(func(k *freshness.ProofTracker) {
+	n.proofs.withTracker(func(t *freshness.ProofTracker) {
 		now := clock.Boot(n.clock)
-		if age, known := k.ProofAge(now, current); known {
-			res = proofResponse{Version: k.YoungestProof(current).Version, Age: age}
+		if age, known := t.ProofAge(now, current); known {
+			res = proofResponse{Version: t.YoungestProof(current).Version, Age: age}
 		}
 	})
 	n.writeNodeResponse(w, res)
--- a/pkg/mesh/internal_routes.go
+++ b/pkg/mesh/internal_routes.go
@@ -27,61 +27,62 @@
 // most runs last.
 const restoredDecisionTime = 3 * time.Second
 
-// recall takes over the decisions from before the start about a service's routes, except for routes that this node has
+// restore restores the decisions from before the start about a service's routes, except for routes that this node has
 // already decided.
-func (j *internalRoutes) recall(now time.Time, l loads.Learned) {
+func (r *internalRoutes) restore(now time.Time, l loads.Learned) {
 	for route := range l.CallsPerRun {
-		if _, known := j.internal[route]; known {
+		if _, known := r.internal[route]; known {
 			continue
 		}
-		j.set(route, slices.Contains(l.InternalRoutes, route))
-		if j.restoredUntil == nil {
-			j.restoredUntil = map[string]time.Time{}
+		r.set(route, slices.Contains(l.InternalRoutes, route))
+		if r.restoredUntil == nil {
+			r.restoredUntil = map[string]time.Time{}
 		}
-		j.restoredUntil[route] = now.Add(restoredDecisionTime)
+		r.restoredUntil[route] = now.Add(restoredDecisionTime)
 	}
 }
 
-func (j *internalRoutes) set(route string, internal bool) {
-	if j.internal == nil {
-		j.internal = map[string]bool{}
+// set records the decision about a route.
+func (r *internalRoutes) set(route string, internal bool) {
+	if r.internal == nil {
+		r.internal = map[string]bool{}
 	}
-	j.internal[route] = internal
+	r.internal[route] = internal
 }
 
 // update decides all routes again from the origins of requests and returns the routes whose decision changed. A route
 // without requests keeps its decision.
-func (j *internalRoutes) update(now time.Time, origins loads.Origins) []string {
+func (r *internalRoutes) update(now time.Time, origins loads.Origins) []string {
 	var changed []string
-	for route, is := range origins.InternalRoutes(func(route string) bool { return j.internal[route] }) {
-		if now.Before(j.restoredUntil[route]) {
+	for route, internal := range origins.InternalRoutes(func(route string) bool { return r.internal[route] }) {
+		if now.Before(r.restoredUntil[route]) {
 			continue
 		}
-		delete(j.restoredUntil, route)
-		if is != j.internal[route] {
+		delete(r.restoredUntil, route)
+		if internal != r.internal[route] {
 			changed = append(changed, route)
 		}
-		j.set(route, is)
+		r.set(route, internal)
 	}
 	return changed
 }
 
-// forgetRemoved drops the routes that a new desired state lacks.
-func (j *internalRoutes) forgetRemoved(state *desired.State) {
-	if state == nil || state.Version == j.version {
+// dropRemoved drops the routes that a new desired state lacks.
+func (r *internalRoutes) dropRemoved(state *desired.State) {
+	if state == nil || state.Version == r.version {
 		return
 	}
-	j.version = state.Version
-	maps.DeleteFunc(j.internal, func(route string, _ bool) bool { return !state.HasRoute(route) })
+	r.version = state.Version
+	maps.DeleteFunc(r.internal, func(route string, _ bool) bool { return !state.HasRoute(route) })
 }
 
 // updateInternalRoutes decides again which routes only backend servers call.
 func (n *Node) updateInternalRoutes(now time.Time) {
-	j := &n.control.internalRoutes
-	for _, route := range j.update(now, n.currentOrigins()) {
-		n.controlLog.Info("internal route status changed", "route", route, "called_by_servers_only", j.internal[route])
+	r := &n.control.internalRoutes
+	for _, route := range r.update(now, n.currentOrigins()) {
+		n.controlLog.Info("internal route status changed", "route", route, "called_by_servers_only", r.internal[route])
 	}
-	j.forgetRemoved(n.state.Load())
+	r.dropRemoved(n.state.Load())
 }
 
 // currentOrigins returns where requests begin, by the current reports of this zone and sums of the others.
--- a/pkg/mesh/load_expiry.go
+++ b/pkg/mesh/load_expiry.go
@@ -44,12 +44,12 @@
 	if known := n.control.reports[r.Host]; known != nil {
 		return r.Supersedes(&known.Report)
 	}
-	lapsed := n.control.expiredReports[r.Host]
-	return lapsed == nil || r.Supersedes(&lapsed.Report)
+	expired := n.control.expiredReports[r.Host]
+	return expired == nil || r.Supersedes(&expired.Report)
 }
 
-// ownZoneReports returns the unexpired reports of this zone's nodes.
-func (n *Node) ownZoneReports() []*loads.Report {
+// localZoneReports returns the unexpired reports of this zone's nodes.
+func (n *Node) localZoneReports() []*loads.Report {
 	all := make([]*loads.Report, 0, len(n.control.reports)+len(n.control.zoneLoads))
 	for _, r := range n.control.reports {
 		all = append(all, &r.Report)
@@ -81,7 +81,7 @@
 
 // currentReports returns the reports of this zone's nodes, and the sums of the other zones, one for each service and zone.
 func (n *Node) currentReports() []*loads.Report {
-	all := n.ownZoneReports()
+	all := n.localZoneReports()
 	for _, z := range n.control.zoneLoads {
 		for i := range z.services {
 			all = append(all, &z.services[i].Load)
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -20,11 +20,11 @@
 	lostAttemptWindow = 100 * time.Millisecond
 	// inProgressTimeout bounds such a query.
 	inProgressTimeout = 250 * time.Millisecond
-	// maxInProgressBytes bounds the query: MostAsked ids, each of which may be as long as a header line usually may.
+	// maxInProgressBytes bounds the query: awaited.MaxQueried ids, each of which may be as long as a header line usually may.
 	maxInProgressBytes = awaited.MaxQueried * (8 << 10)
 )
 
-// inProgressQuery asks a node which of the requests, by attempt id, it doesn't have.
+// inProgressQuery queries a node which of the requests, by attempt id, it doesn't have.
 type inProgressQuery struct {
 	IDs []string `codec:"i"`
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// serveInProgress tells another node which of its requests this node doesn't have.
+// serveInProgress answers another node's query with those of its requests that this node doesn't have.
 func (n *Node) serveInProgress(w http.ResponseWriter, r *http.Request) {
 	var q inProgressQuery
 	if n.readNodeRequest(w, r, maxInProgressBytes, &q, func() bool { return len(q.IDs) <= awaited.MaxQueried }) {
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// crossZoneFetchDelay is how long a newer state at a node of another zone is left to the own zone's followers: traffic
+	// crossZoneFetchDelay is how long a newer state at a node of another zone is left to the local zone's followers: traffic
 	// between zones is paid for. In a minute of 194 VMs with a state of 1,160 routes it was 0.264 GB with all nodes
 	// requesting the state from the first node that had it, 0.181 GB with followers in each zone and this delay.
 	crossZoneFetchDelay = 400 * time.Millisecond
@@ -42,7 +42,7 @@
 	}
 }
 
-// scheduleFetch requests a peer's newer desired state: at once in the own zone or if none is in force yet, else after
+// scheduleFetch requests a peer's newer desired state: at once in the local zone or if none is in force yet, else after
 // crossZoneFetchDelay.
 func (n *Node) scheduleFetch(now time.Time, host string, version int64) {
 	if version <= n.stateVersion() {
@@ -70,7 +70,7 @@
 	n.requestState(w.host)
 }
 
-// hasZoneFollowers reports whether the own zone is large enough to elect followers.
+// hasZoneFollowers reports whether the local zone is large enough to elect followers.
 func (n *Node) hasZoneFollowers() bool { return len(n.control.zoneHosts) > follow.SmallZoneSize }
 
 // announceState announces a new desired state to some peers: in a large zone only to its own nodes, since the other zones
@@ -78,7 +78,7 @@
 func (n *Node) announceState() {
 	where := anyZone
 	if n.hasZoneFollowers() {
-		where = ownZoneOnly
+		where = localZoneOnly
 	}
 	n.announceTo(where)
 }
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -65,11 +65,11 @@
 		a.scheduleFetch(time.Now(), "far", 2)
 		c.Assert(a.requestedDuring(crossZoneFetchDelay/2), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "near", 2)
-		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is queried at once"))
+		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the local zone is queried at once"))
 		a.state.Store(&desired.State{Version: 2})
 		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "far", 3)
-		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("no node of the own zone has it"))
+		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("no node of the local zone has it"))
 	})
 }
 
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -33,24 +33,24 @@
 	decode  func([]byte) (*desired.State, error)
 	clock   clock.Clock
 	network Network
-	off     map[settings.Mechanism]bool // never changed
+	off     map[settings.Mechanism]bool // mechanisms that are switched off; never changed
 	ip      string
 	epoch   int64 // identifies this process among earlier ones of the node
 
 	callLog, controlLog *slog.Logger
 
-	state      atomic.Pointer[desired.State]
-	watch      stateWatch
-	proofs     freshnessProofs
-	quotas     teamQuotas
-	roles      atomic.Pointer[teamRoles]
-	storeEpoch storeEpoch
-	knowledge  startKnowledge
-	view       atomic.Pointer[view]
-	started    time.Time
-	knownNodes atomic.Int64 // number of known nodes, including this one
-	stop       stopState
-	backend    *backend
+	state          atomic.Pointer[desired.State]
+	followTracker  sharedFollowTracker
+	proofs         freshnessProofs
+	quotas         teamQuotas
+	roles          atomic.Pointer[teamRoles]
+	storeEpoch     storeEpoch
+	learnedRestore learnedRestore
+	view           atomic.Pointer[view]
+	started        time.Time
+	knownNodes     atomic.Int64 // number of known nodes, including this one
+	stop           stopState
+	backend        *backend
 
 	gateMu sync.Mutex
 	gate   gate.Gate
@@ -69,11 +69,11 @@
 	peersMu sync.Mutex
 	peers   map[string]*peer
 
-	events     chan func()
-	done       chan struct{} // closed when the node is halted; made before the start, since a signal handler may enqueue work by then
-	control    controlState
-	records    recordWriter
-	storeWatch storeAvailability
+	events            chan func()
+	done              chan struct{} // closed when the node is halted; made before the start, since a signal handler may enqueue work by then
+	control           controlState
+	records           recordWriter
+	storeAvailability storeAvailability
 
 	servers []*http.Server
 	cancel  context.CancelFunc
@@ -112,13 +112,13 @@
 	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
 	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
-	n.watch.peersQueried = make(chan struct{})
-	n.watch.ApplyBound = o.Settings.Mesh.Apply
+	n.followTracker.peersQueried = make(chan struct{})
+	n.followTracker.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
 	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
-	n.knowledge.fromPeer = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
-	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
+	n.learnedRestore.fromPeer = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
+	n.learnedRestore.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
 	n.updateRetryBudget()
 	n.view.Store(&view{})
 	n.servers = n.newServers(o.Settings.Listen, o.Control(n))
--- a/pkg/mesh/node_metrics.go
+++ b/pkg/mesh/node_metrics.go
@@ -95,7 +95,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxHistogramTime)) // always within the bounds
 }
 
-// operatorsHandler serves operators: the quarantined requests at HeldBackPath, and the metrics at any other path.
+// operatorsHandler serves operators: the quarantined requests at QuarantinePath, and the metrics at any other path.
 func (n *Node) operatorsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(QuarantinePath, n.quarantineHandler())
--- a/pkg/mesh/outbound_server.go
+++ b/pkg/mesh/outbound_server.go
@@ -82,8 +82,8 @@
 	if n.stop.refusesClients() && !q.Internal {
 		return notRunAnswer(wire.ReasonLeaving)
 	}
-	if j := n.suspectDecision(q); j.Treatment == poison.Quarantined {
-		return n.quarantineRefusal(q, j)
+	if d := n.suspectDecision(q); d.Treatment == poison.Quarantined {
+		return n.quarantineRefusal(q, d)
 	}
 	if !n.admit(q, q.deadline.Sub(n.clock.Now())) {
 		a := notRunAnswer(wire.ReasonLevel)
@@ -102,7 +102,7 @@
 	}
 	ctx, cancel := n.timeLimits.Context(r.Context(), n.clock, q.deadline)
 	defer cancel()
-	n.earnRetryBudget(q)
+	n.depositRetryBudget(q)
 	started := n.clock.Now()
 	d := &delivery{n: n, q: q, route: route}
 	a := d.run(ctx)
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -92,7 +92,7 @@
 	return p
 }
 
-// updateFromRecord takes over what a record says about the peer's server.
+// updateFromRecord updates the peer with its server's record; zone is this node's availability zone.
 func (p *peer) updateFromRecord(now time.Time, r directory.Record, zone string) {
 	p.sameZone.Store(r.Zone == zone)
 	p.slots.Store(int64(r.Slots))
@@ -133,7 +133,7 @@
 	return p.zone
 }
 
-// receivedReply takes over the load that came with an answer and ends the backoff.
+// receivedReply records the load and the stopping state that came with an answer and ends the backoff.
 func (p *peer) receivedReply(now time.Time, r peerReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +145,7 @@
 	p.setStopping(now, r.Stopping)
 }
 
-// setStopping notes whether the peer says that it is stopping; p.mu must be held.
+// setStopping records whether the peer reports that it is stopping; p.mu must be held.
 func (p *peer) setStopping(now time.Time, stopping bool) {
 	switch {
 	case !stopping:
--- a/pkg/mesh/quarantine_handler.go
+++ b/pkg/mesh/quarantine_handler.go
@@ -26,8 +26,8 @@
 	now := n.clock.Now()
 	list := []Suspect{}
 	for _, c := range n.poison.SuspectCases(now) {
-		j := n.poison.DecideCase(c)
-		list = append(list, Suspect{Case: c, Treatment: j.Treatment.String(), TimeLeft: j.Remaining})
+		d := n.poison.DecideCase(c)
+		list = append(list, Suspect{Case: c, Treatment: d.Treatment.String(), TimeLeft: d.Remaining})
 	}
 	return list
 }
--- a/pkg/mesh/query_node.go
+++ b/pkg/mesh/query_node.go
@@ -86,7 +86,7 @@
 		return true
 	}
 	n.controlLog.Warn("invalid request from node", "peer", r.RemoteAddr, "path", r.URL.Path, "err", err)
-	http.Error(w, "not a question", http.StatusBadRequest)
+	http.Error(w, "malformed request", http.StatusBadRequest)
 	return false
 }
 
--- a/pkg/mesh/query_peers.go
+++ b/pkg/mesh/query_peers.go
@@ -24,13 +24,13 @@
 	if n.store.RecordParts == 0 {
 		return false
 	}
-	return n.readRecords(ctx, n.storeWatch.newAttempt(), rand.N(n.store.RecordParts)) && n.queryHosts(ctx, n.hostsOwnZoneFirst)
+	return n.readRecords(ctx, n.storeAvailability.newAttempt(), rand.N(n.store.RecordParts)) && n.queryHosts(ctx, n.hostsLocalZoneFirst)
 }
 
-// hostsOwnZoneFirst returns up to queriedPeers random known hosts, those of the own zone first.
-func (n *Node) hostsOwnZoneFirst() []string {
+// hostsLocalZoneFirst returns up to queriedPeers random known hosts, those of the local zone first.
+func (n *Node) hostsLocalZoneFirst() []string {
 	var hosts []string
-	for _, where := range []zoneScope{ownZoneOnly, otherZonesOnly} {
+	for _, where := range []zoneScope{localZoneOnly, otherZonesOnly} {
 		for _, t := range n.exchangeTargets(queriedPeers, where) {
 			hosts = append(hosts, t.host)
 		}
@@ -71,5 +71,5 @@
 // knowsEnough waits until queued control events are processed, and reports whether enough is known to skip reading the
 // store's records.
 func (n *Node) knowsEnough(ctx context.Context) bool {
-	return n.enqueueAndWait(ctx, func() {}) && n.knownNodes.Load() >= minKnownNodes && n.knowledge.complete.Load()
+	return n.enqueueAndWait(ctx, func() {}) && n.knownNodes.Load() >= minKnownNodes && n.learnedRestore.complete.Load()
 }
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -56,29 +56,29 @@
 	return quotaResponse{Tokens: g.Tokens, Wait: g.Wait}
 }
 
-// unknownTeamWait is when to request again for a team without a limit in the desired state here: a newer state is on its way.
+// unknownTeamWait is when to request again for a team without a limit in the desired state here: a newer state is about to arrive.
 const unknownTeamWait = 100 * time.Millisecond
 
-// zoneOwner returns the owner of a team's quota in this zone. Where that isn't known it returns this node's host, which tells the requester
-// that this node isn't the owner.
+// zoneOwner returns the owner of a team's quota in this zone. Where that isn't known it returns this node's host, by which the requester
+// recognizes that this node isn't the owner.
 func (n *Node) zoneOwner(team string) string {
-	if host := n.roles.Load().rings[n.cfg.Zone].OwnerOf(team); host != "" {
+	if host := n.roles.Load().quotaOwners[n.cfg.Zone].OwnerOf(team); host != "" {
 		return host
 	}
 	return n.ip
 }
 
-// updateQuotaOwnership applies a new assignment of owners in this zone and hands tokens over to new owners; a nil ring means no owners.
+// updateQuotaOwnership applies a new assignment of owners in this zone and hands tokens over to new owners; nil owners means that there are none.
 // presentFraction is the fraction of the zone's known nodes that is present.
-func (n *Node) updateQuotaOwnership(now time.Time, ring *quota.ShardOwners, presentFraction float64) {
+func (n *Node) updateQuotaOwnership(now time.Time, owners *quota.ShardOwners, presentFraction float64) {
 	limits := quotaLimits(n.state.Load())
-	owns := func(shard int) bool { return ring != nil && ring[shard] == n.ip }
+	owns := func(shard int) bool { return owners != nil && owners[shard] == n.ip }
 	n.quotas.mu.Lock()
 	released := n.quotas.owner.UpdateOwnership(clock.Boot(n.clock), owns, presentFraction, n.quotaGrantDelay(now), limits)
 	n.quotas.mu.Unlock()
 	byOwner := make(map[string][]quota.Balance)
 	for _, b := range released {
-		if host := ring.OwnerOf(b.Team); host != "" {
+		if host := owners.OwnerOf(b.Team); host != "" {
 			byOwner[host] = append(byOwner[host], b)
 		}
 	}
--- a/pkg/mesh/recent_records.go
+++ b/pkg/mesh/recent_records.go
@@ -15,6 +15,7 @@
 	items []recentRecord // the oldest first
 }
 
+// recentRecord is a record and the time when it expires.
 type recentRecord struct {
 	record  directory.Record
 	expires time.Time
--- a/pkg/mesh/record_writer.go
+++ b/pkg/mesh/record_writer.go
@@ -12,8 +12,8 @@
 type recordWriter struct {
 	mu                sync.Mutex
 	latest            directory.Record
-	durableGeneration int64 // newest generation that the store has
-	changed           chan struct{}
+	durableGeneration int64         // newest generation that the store has
+	changed           chan struct{} // signals that latest may have to be written
 	storedSignal      chan struct{} // closed and made anew at each write
 	readRequests      chan struct{} // requests a read of the records of all VMs
 
@@ -21,6 +21,7 @@
 	firstReadDone chan struct{} // closed after the first attempt to read all records
 }
 
+// init prepares the writer for use.
 func (w *recordWriter) init() {
 	w.changed = make(chan struct{}, 1)
 	w.storedSignal = make(chan struct{})
--- a/pkg/mesh/replan_bench_test.go
+++ b/pkg/mesh/replan_bench_test.go
@@ -28,7 +28,7 @@
 		n.control.reports[r.Host] = &r
 	}
 	for _, zone := range []string{"b", "c", "d"} {
-		n.control.zoneLoads[zone] = &zoneLoad{services: loads.SumByService(n.ownZoneReports()), computedAt: time.Now().Add(time.Hour)}
+		n.control.zoneLoads[zone] = &zoneLoad{services: loads.SumByService(n.localZoneReports()), computedAt: time.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/mesh/restore_learned.go
+++ b/pkg/mesh/restore_learned.go
@@ -10,8 +10,8 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// startKnowledge tracks whether a node that has started has received what was learned earlier.
-type startKnowledge struct {
+// learnedRestore tracks whether a node that has started has received what was learned earlier.
+type learnedRestore struct {
 	firstStateAt atomic.Pointer[time.Time] // when the first desired state came in force; nil: not yet
 	complete     atomic.Bool               // what was learned has arrived, or requests no longer wait for it
 
@@ -23,17 +23,17 @@
 // aren't limited by any plan.
 const learnedWait = 300 * time.Millisecond
 
-// mayArrive reports whether learnedWait hasn't passed yet since the first desired state.
-func (k *startKnowledge) mayArrive(now time.Time) bool {
+// withinWait reports whether learnedWait hasn't passed yet since the first desired state.
+func (k *learnedRestore) withinWait(now time.Time) bool {
 	since := k.firstStateAt.Load()
 	return since == nil || now.Sub(*since) < learnedWait
 }
 
 // awaitLearned returns once what was learned before this process started has arrived, after learnedWait, or when ctx ends.
 func (n *Node) awaitLearned(ctx context.Context) {
-	for !n.knowledge.complete.Load() {
-		if !n.knowledge.mayArrive(n.clock.Now()) {
-			n.knowledge.complete.Store(true)
+	for !n.learnedRestore.complete.Load() {
+		if !n.learnedRestore.withinWait(n.clock.Now()) {
+			n.learnedRestore.complete.Store(true)
 			return
 		}
 		if !clock.Sleep(ctx, startupPollInterval) {
@@ -44,13 +44,13 @@
 
 // wantsLearned reports whether this node still queries peers for what was learned.
 func (n *Node) wantsLearned(now time.Time) bool {
-	return !n.knowledge.fromPeer && n.knowledge.mayArrive(now)
+	return !n.learnedRestore.fromPeer && n.learnedRestore.withinWait(now)
 }
 
 // restoreFromStore restores what was learned from the store's content; only the first non-empty one counts.
 func (n *Node) restoreFromStore(all []loads.Learned) {
-	if !n.knowledge.fromStore {
-		n.knowledge.fromStore = len(all) > 0
+	if !n.learnedRestore.fromStore {
+		n.learnedRestore.fromStore = len(all) > 0
 		n.restoreLearned("store", all)
 	}
 }
@@ -59,7 +59,7 @@
 // override what the nodes measure.
 func (n *Node) restoreFromPeer(from string, all []loads.Learned) {
 	if len(all) > 0 && n.wantsLearned(n.clock.Now()) {
-		n.knowledge.fromPeer = true
+		n.learnedRestore.fromPeer = true
 		n.restoreLearned(from, all)
 	}
 }
@@ -70,7 +70,7 @@
 	if n.off[settings.LearnedMemory] || len(all) == 0 {
 		return
 	}
-	defer n.knowledge.complete.Store(true)
+	defer n.learnedRestore.complete.Store(true)
 	now := n.clock.Now()
 	routes := 0
 	for _, l := range all {
@@ -78,7 +78,7 @@
 			n.stats.restoreCalls(l.CallsPerRun)
 		}
 		restored := n.control.retainedRuns.Restore(now, l.Service, l.Runs())
-		n.control.internalRoutes.recall(now, l)
+		n.control.internalRoutes.restore(now, l)
 		if restored > 0 {
 			n.control.retainedDemand.Restore(l.Demand)
 		}
--- a/pkg/mesh/retry_budget.go
+++ b/pkg/mesh/retry_budget.go
@@ -18,9 +18,9 @@
 	return newBaseline(n.clock.Now(), n.view.Load().services[q.Service], n.comparisonSettings()).success >= minHealthyShare
 }
 
-// spendRetryBudget reports whether the retry budget lets a request reach one more server, and takes its cost from the
+// withdrawRetryBudget reports whether the retry budget lets a request reach one more server, and takes its cost from the
 // budget.
-func (n *Node) spendRetryBudget(q *request) bool {
+func (n *Node) withdrawRetryBudget(q *request) bool {
 	if n.off[settings.Repeats] {
 		return false
 	}
@@ -36,8 +36,8 @@
 	return ok
 }
 
-// earnRetryBudget adds to the retry budget for a request that is about to be sent for the first time.
-func (n *Node) earnRetryBudget(q *request) {
+// depositRetryBudget adds to the retry budget for a request that is about to be sent for the first time.
+func (n *Node) depositRetryBudget(q *request) {
 	runs := n.expectedRuns(q)
 	n.retryBudgetMu.Lock()
 	defer n.retryBudgetMu.Unlock()
@@ -57,12 +57,12 @@
 
 // Constants of the retry budget.
 const (
-	// retryRatioShare is the share of the operator's ratio that is earned at the service itself. A request may be
+	// retryRatioShare is the share of the operator's ratio that is deposited for the service itself. A request may be
 	// retried at several levels above a service, and all these retries add up there: with callers at two more levels
 	// the shares come to 0.85. The rest covers demand that ends within a window.
 	retryRatioShare = 0.45
-	// retryBelowShare is the share of the ratio that is earned for the services that the request's calls run on.
-	retryBelowShare = 0.2
+	// retryDownstreamShare is the share of the ratio that is deposited for the services that the request's calls run on.
+	retryDownstreamShare = 0.2
 	// retryBurstShare is the share of the operator's slack that is divided among the nodes.
 	retryBurstShare = 0.4
 )
@@ -73,7 +73,7 @@
 	n.retryBudgetMu.Lock()
 	defer n.retryBudgetMu.Unlock()
 	n.retryBudget.Ratio = n.cfg.Mesh.RetryRatio * retryRatioShare
-	n.retryBudget.DownstreamRatio = n.cfg.Mesh.RetryRatio * retryBelowShare
+	n.retryBudget.DownstreamRatio = n.cfg.Mesh.RetryRatio * retryDownstreamShare
 	n.retryBudget.Window = n.cfg.Mesh.RetryWindow
 	n.retryBudget.Burst = max(n.cfg.Mesh.RetrySlack*retryBurstShare/float64(nodes), 1)
 }
--- a/pkg/mesh/server_crash.go
+++ b/pkg/mesh/server_crash.go
@@ -87,7 +87,7 @@
 	s.running[r] = struct{}{}
 }
 
-// end removes a run that was answered or whose caller has gone.
+// end removes a run that was answered or whose caller has disconnected.
 func (s *serverRuns) end(r *serverRun) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,11 +176,11 @@
 }
 
 // setNotListening records whether the backend server on this VM isn't listening.
-func (n *Node) setNotListening(away bool) {
-	if n.serverNotListening.Swap(away) != away {
+func (n *Node) setNotListening(notListening bool) {
+	if n.serverNotListening.Swap(notListening) != notListening {
 		own := n.view.Load().localServer
-		n.callLog.Warn("local backend server listening state changed", "away", away, "instance", own.Instance)
-		if away {
+		n.callLog.Warn("local backend server listening state changed", "away", notListening, "instance", own.Instance)
+		if notListening {
 			n.peer(n.ip).markServerCrashed(n.clock.Now(), own.LifeName())
 		}
 	}
@@ -234,7 +234,7 @@
 	e := poison.Crash{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: lifetime}, Service: broken[0].q.Service}
 	for _, r := range broken {
 		e.Runs = append(e.Runs, poison.Run{
-			Identity: r.q.identity(), Stages: r.q.Stages, RecentSuccess: b.recentGoodRuns.Recent(now, r.q.fingerprintInput()), Route: r.q.Route, Request: r.q.id,
+			Identity: r.q.identity(), Stages: r.q.Stages, RecentSuccess: b.recentSuccesses.Recent(now, r.q.fingerprintInput()), Route: r.q.Route, Request: r.q.id,
 		})
 	}
 	if !b.n.poison.RecordCrash(now, e) {
--- a/pkg/mesh/store_availability.go
+++ b/pkg/mesh/store_availability.go
@@ -31,8 +31,8 @@
 func (w *storeAvailability) noteResult(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var gone *HistoryGoneError
-	answered := err == nil || errors.As(err, &gone)
+	var historyGone *HistoryGoneError
+	answered := err == nil || errors.As(err, &historyGone)
 	if answered && w.failing && w.recovered != nil {
 		close(w.recovered)
 		w.recovered = nil
@@ -51,9 +51,9 @@
 	return storeAttempt{availability: w, recovered: w.recoveredSignal()}
 }
 
-// call calls f with the timeout span; it cancels f as soon as the store answers another call after a failure.
-func (t storeAttempt) call(ctx context.Context, span time.Duration, f func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, span)
+// call calls f with the timeout; it cancels f as soon as the store answers another call after a failure.
+func (t storeAttempt) call(ctx context.Context, timeout time.Duration, f func(ctx context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ended := make(chan struct{})
 	defer close(ended)
--- a/pkg/mesh/store_learned.go
+++ b/pkg/mesh/store_learned.go
@@ -43,7 +43,7 @@
 		if !ok || !learnedDiffers(known, stored) {
 			continue
 		}
-		err := n.callStore(ctx, n.storeWatch.newAttempt(), writeLearnedCall, storeCallTimeout, func(ctx context.Context) error {
+		err := n.callStore(ctx, n.storeAvailability.newAttempt(), writeLearnedCall, storeCallTimeout, func(ctx context.Context) error {
 			return n.store.WriteLearned(ctx, known)
 		})
 		if err != nil {
@@ -68,7 +68,7 @@
 
 // learnedOfService combines the given calls per run of a service's routes with their retained run times, whether they are
 // internal, and the given request rates per second by kind. It runs on the control goroutine.
-func (n *Node) learnedOfService(service string, calls map[string]callgraph.Rates, asked map[string]float64) loads.Learned {
+func (n *Node) learnedOfService(service string, calls map[string]callgraph.Rates, demand map[string]float64) loads.Learned {
 	l := loads.Learned{Service: service, CallsPerRun: calls, Times: map[string]loads.RunTiming{}, Demand: map[string]float64{}}
 	runs := n.control.retainedRuns.ByService()[service]
 	for route := range calls {
@@ -79,7 +79,7 @@
 			l.InternalRoutes = append(l.InternalRoutes, route)
 		}
 	}
-	for kind, rate := range asked {
+	for kind, rate := range demand {
 		if _, known := calls[routeOf(kind)]; known && rate > 0 {
 			l.Demand[kind] = rate
 		}
--- a/pkg/mesh/store_learned_test.go
+++ b/pkg/mesh/store_learned_test.go
@@ -116,7 +116,7 @@
 	s.start(1)
 	low = s.nodes[1]
 	s.waitFor("the restarted node knows the calls", func() bool { return low.isInternalRoute("called") })
-	c.Assert(low.knowledge.complete.Load(), qt.IsTrue)
+	c.Assert(low.learnedRestore.complete.Load(), qt.IsTrue)
 	low.stats.dropRun(time.Now(), low.stats.beginRun(time.Now(), "called", time.Now()))
 	low.stats.mu.Lock()
 	defer low.stats.mu.Unlock()
@@ -130,19 +130,19 @@
 		c := qt.New(t)
 		n := &Node{clock: clock.Real{}}
 		begun := time.Now()
-		n.knowledge.firstStateAt.Store(&begun)
+		n.learnedRestore.firstStateAt.Store(&begun)
 		go func() {
 			time.Sleep(learnedWait / 2)
-			n.knowledge.complete.Store(true)
+			n.learnedRestore.complete.Store(true)
 		}()
 		n.awaitLearned(t.Context())
 		c.Assert(time.Since(begun) < learnedWait/2+2*startupPollInterval, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 		n = &Node{clock: clock.Real{}}
 		begun = time.Now()
-		n.knowledge.firstStateAt.Store(&begun)
+		n.learnedRestore.firstStateAt.Store(&begun)
 		n.awaitLearned(t.Context())
 		c.Assert(time.Since(begun) < learnedWait+2*startupPollInterval, qt.IsTrue, qt.Commentf("nothing arrives: %v", time.Since(begun)))
-		c.Assert(n.knowledge.complete.Load(), qt.IsTrue)
+		c.Assert(n.learnedRestore.complete.Load(), qt.IsTrue)
 	})
 }
 
@@ -179,7 +179,7 @@
 	judged := make(chan [2]bool)
 	n.enqueue(func() {
 		now := time.Now()
-		n.control.internalRoutes.recall(now, loads.Learned{CallsPerRun: map[string]callgraph.Rates{"called": {}, "root": {}}, InternalRoutes: []string{"called"}})
+		n.control.internalRoutes.restore(now, loads.Learned{CallsPerRun: map[string]callgraph.Rates{"called": {}, "root": {}}, InternalRoutes: []string{"called"}})
 		n.control.reports = map[string]*nodeReport{"x": {receivedAt: now, Report: loads.Report{
 			Host: "x", Service: "a", Entries: map[string]loads.Entry{"called": {Fresh: 100, WithoutCaller: 90}, "root": {Fresh: 100, WithoutCaller: 90}},
 		}}}
--- a/pkg/mesh/store_quarantined.go
+++ b/pkg/mesh/store_quarantined.go
@@ -23,9 +23,9 @@
 // does it.
 func (n *Node) storeQuarantined(ctx context.Context) {
 	var stored uint64
-	var era int64
+	var epoch int64
 	for clock.Sleep(ctx, jitter(storeQuarantinePeriod)) {
-		if n.storeEpoch.changed(&era) {
+		if n.storeEpoch.changed(&epoch) {
 			stored = 0 // the store may have lost what was written
 		}
 		cases := n.quarantinedOf(n.cfg.Service)
@@ -33,7 +33,7 @@
 		if digest == stored || !n.isServiceWriter() {
 			continue
 		}
-		err := n.callStore(ctx, n.storeWatch.newAttempt(), writeHeldCall, storeCallTimeout, func(ctx context.Context) error {
+		err := n.callStore(ctx, n.storeAvailability.newAttempt(), writeQuarantinedCall, storeCallTimeout, func(ctx context.Context) error {
 			return n.store.WriteQuarantined(ctx, Quarantined{Service: n.cfg.Service, Cases: cases})
 		})
 		if err != nil {
--- a/pkg/mesh/suspect_trial.go
+++ b/pkg/mesh/suspect_trial.go
@@ -45,7 +45,7 @@
 }
 
 // awaitTrialTurn waits until a request may go to the server on this VM: quarantined requests may not, and suspects that
-// are tried alone go one at a time. It returns a refusal for a request that may not go on; done must be called when the
+// are tried alone go one at a time. It returns a refusal for a request that may not run now; done must be called when the
 // run has ended.
 func (b *backend) awaitTrialTurn(ctx context.Context, q *request) (done func(), a *answer) {
 	if !q.Stages.Suspected() && !b.n.poison.AnySuspects() || b.n.off[settings.HeldBack] {
@@ -56,13 +56,13 @@
 	// The sender may know of a crash that isn't known here yet; without its stages two copies that came at that moment ran
 	// side by side. A request that has waited goes by the local stages, which the run that it waited for has updated. The
 	// sender's stages don't count for requests that were recently successful here.
-	senderStages := q.Stages.WithoutSuccessful(b.recentGoodRuns.Recent(b.n.clock.Now(), q.fingerprintInput()))
+	senderStages := q.Stages.WithoutSuccessful(b.recentSuccesses.Recent(b.n.clock.Now(), q.fingerprintInput()))
 	for {
-		j := b.n.suspectDecision(q)
-		q.Stages = j.Stages.Max(senderStages)
-		switch max(j.Treatment, senderStages.Treatment()) {
+		decision := b.n.suspectDecision(q)
+		q.Stages = decision.Stages.Max(senderStages)
+		switch max(decision.Treatment, senderStages.Treatment()) {
 		case poison.Quarantined:
-			return func() {}, b.n.quarantineRefusal(q, j)
+			return func() {}, b.n.quarantineRefusal(q, decision)
 		case poison.Alone:
 			trialDone := b.trial.begin()
 			if trialDone == nil {
--- a/pkg/mesh/suspect_updates.go
+++ b/pkg/mesh/suspect_updates.go
@@ -106,7 +106,7 @@
 // updateTargets returns up to near random nodes of this zone and up to farOfEach of each other zone. Seeds are left
 // out: they may be the same nodes again, and other nodes would then receive a crash only with the next exchange.
 func (n *Node) updateTargets(near, farOfEach int) []exchangeTarget {
-	targets := randomTargets(n.knownTargets(ownZoneOnly), near)
+	targets := randomTargets(n.knownTargets(localZoneOnly), near)
 	byZone := map[string][]exchangeTarget{}
 	for _, t := range n.knownTargets(otherZonesOnly) {
 		byZone[t.zone] = append(byZone[t.zone], t)
--- a/pkg/mesh/suspects.go
+++ b/pkg/mesh/suspects.go
@@ -15,14 +15,14 @@
 // lazyIdentity caches a request's fingerprints. They are computed on first use, since a request needs them several
 // times while any request is a suspect. Its zero value isn't computed yet.
 type lazyIdentity struct {
-	once sync.Once
-	of   poison.Identity
+	once     sync.Once
+	identity poison.Identity
 }
 
 // identity returns the fingerprints of the request's content, which are the same for all its attempts.
 func (q *request) identity() poison.Identity {
-	q.cachedIdentity.once.Do(func() { q.cachedIdentity.of = q.fingerprintInput().Identity() })
-	return q.cachedIdentity.of
+	q.cachedIdentity.once.Do(func() { q.cachedIdentity.identity = q.fingerprintInput().Identity() })
+	return q.cachedIdentity.identity
 }
 
 // fingerprintInput returns the parts of the request that its fingerprints are computed from.
@@ -47,12 +47,12 @@
 
 // quarantineRefusal returns the immediate refusal of a quarantined request: this attempt hasn't run, and it may be
 // retried when the request is next tried.
-func (n *Node) quarantineRefusal(q *request, j poison.Decision) *answer {
+func (n *Node) quarantineRefusal(q *request, decision poison.Decision) *answer {
 	n.metrics.count("held_back_total", "route", q.Route)
 	n.callLog.Info("request quarantined", "request", q.id, "route", q.Route, "service", q.Service, "fingerprint", q.identity().Widest(),
-		"stages", j.Stages, "sound", j.RecentlySuccessful, "for", j.Remaining, "ended", loggedLifetimes(j.Crashed))
+		"stages", decision.Stages, "sound", decision.RecentlySuccessful, "for", decision.Remaining, "ended", loggedLifetimes(decision.Crashed))
 	a := notRunAnswer(wire.ReasonHeldBack)
-	a.retryAfter = j.Remaining
+	a.retryAfter = decision.Remaining
 	return a
 }
 
@@ -71,15 +71,15 @@
 // nextServer returns the server to send to, or the answer if the request must not be sent; both are nil if there is no
 // server. All copies of a suspect at all nodes go to the same single server, since it may crash that one too.
 func (d *delivery) nextServer(now time.Time, servers []*peer) (*peer, *answer) {
-	j := d.n.suspectDecision(d.q)
-	d.q.Stages = j.Stages
-	switch j.Treatment {
+	decision := d.n.suspectDecision(d.q)
+	d.q.Stages = decision.Stages
+	switch decision.Treatment {
 	case poison.Free:
 		return chooseServer(now, servers, d.tried, d.n.comparisonSettings()), nil
 	case poison.Quarantined:
-		return nil, d.n.quarantineRefusal(d.q, j)
+		return nil, d.n.quarantineRefusal(d.q, decision)
 	default:
-		return d.serverForSuspect(now, servers, j)
+		return d.serverForSuspect(now, servers, decision)
 	}
 }
 
@@ -100,16 +100,16 @@
 	}
 }
 
-// serverForSuspect returns the server that a suspect goes to, or a refusal. The last server left is spared for a while
-// for the sake of all other requests, except from suspects that were recently successful.
-func (d *delivery) serverForSuspect(now time.Time, servers []*peer, j poison.Decision) (*peer, *answer) {
+// serverForSuspect returns the server that a suspect goes to, or a refusal. While a single server is left, suspects are
+// refused for a while so that it can serve other requests, unless they were recently successful.
+func (d *delivery) serverForSuspect(now time.Time, servers []*peer, decision poison.Decision) (*peer, *answer) {
 	available := filterPeers(servers, func(p *peer) bool { return p.acceptsRequests(now, false) })
-	if len(available) == 1 && len(servers) > 1 && j.Remaining > 0 && !j.RecentlySuccessful {
+	if len(available) == 1 && len(servers) > 1 && decision.Remaining > 0 && !decision.RecentlySuccessful {
 		a := notRunAnswer(wire.ReasonSuspect)
-		a.retryAfter = j.Remaining
+		a.retryAfter = decision.Remaining
 		return nil, a
 	}
-	if j.Treatment == poison.Alone {
+	if decision.Treatment == poison.Alone {
 		available = settledPeers(now, available)
 	}
 	available = filterPeers(available, func(p *peer) bool { return !slices.Contains(d.tried, p) })
@@ -145,13 +145,13 @@
 	return found
 }
 
-// recordGoodRun clears a request whose run ended well. A server failure (5xx) doesn't clear it: the run may have been
-// cut short before it could do harm.
-func (b *backend) recordGoodRun(q *request, a *answer) {
+// recordSuccess records a request whose run succeeded, and clears it if it is a suspect. A server failure (5xx) doesn't
+// clear it: the run may have been cut short before it could do harm.
+func (b *backend) recordSuccess(q *request, a *answer) {
 	if a.outcome != wire.Ran || a.status >= http.StatusInternalServerError || b.n.off[settings.HeldBack] {
 		return
 	}
-	b.recentGoodRuns.RecordSuccess(b.n.clock.Now(), q.fingerprintInput())
+	b.recentSuccesses.RecordSuccess(b.n.clock.Now(), q.fingerprintInput())
 	if !b.n.poison.AnySuspects() {
 		return
 	}
--- a/pkg/mesh/suspension.go
+++ b/pkg/mesh/suspension.go
@@ -15,7 +15,7 @@
 // stood still with the steady clock, and the other ends of idle connections may have closed them without a packet that could be received.
 func (n *Node) handleSuspension(d time.Duration) {
 	now := n.clock.Now()
-	n.watch.with(func(w *follow.Tracker) { w.NoteRunning(now) })
+	n.followTracker.with(func(w *follow.Tracker) { w.NoteRunning(now) })
 	expired := n.timeLimits.Lapse(now)
 	if d >= deadConnDetectTime {
 		n.forEachPool((*httpconn.Pool).DropIdle)
--- a/pkg/mesh/sync_records.go
+++ b/pkg/mesh/sync_records.go
@@ -32,15 +32,15 @@
 		}
 	case n.queryPeers(ctx):
 		n.controlLog.Info("received records from peers", "nodes", n.knownNodes.Load())
-		close(n.watch.peersQueried)
+		close(n.followTracker.peersQueried)
 		n.records.noteFirstRead()
 		n.awaitReadDue(ctx, n.fullReadDelay())
 	default:
-		close(n.watch.peersQueried)
+		close(n.followTracker.peersQueried)
 	}
 	for ctx.Err() == nil {
 		pause := n.fullReadDelay()
-		t := n.storeWatch.newAttempt()
+		t := n.storeAvailability.newAttempt()
 		if n.readRecords(ctx, t) {
 			wait = 0
 			n.awaitReadDue(ctx, pause)
@@ -64,7 +64,7 @@
 		if n.knownNodes.Load() >= discoveryNodes {
 			break
 		}
-		if !n.readRecords(ctx, n.storeWatch.newAttempt(), part) {
+		if !n.readRecords(ctx, n.storeAvailability.newAttempt(), part) {
 			return false
 		}
 	}
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -162,7 +162,7 @@
 // returns the response, and whether an owner gave it.
 func (n *Node) requestTokensFromOwner(ctx context.Context, zone string, team *desired.Team, want int) (quotaResponse, bool) {
 	req := quotaRequest{Team: team.Name, Want: want, Zone: n.cfg.Zone}
-	host := n.roles.Load().rings[zone].OwnerOf(team.Name)
+	host := n.roles.Load().quotaOwners[zone].OwnerOf(team.Name)
 	for range 2 {
 		if host == n.ip {
 			res := n.grantTokens(&req)
--- a/pkg/mesh/team_roles.go
+++ b/pkg/mesh/team_roles.go
@@ -12,8 +12,8 @@
 
 // teamRoles assigns the reading of freshness proofs and the ownership of quotas to nodes; it is immutable once published.
 type teamRoles struct {
-	proofs freshness.Roles
-	rings  map[string]*quota.ShardOwners // quota owners, by availability zone
+	proofs      freshness.Roles
+	quotaOwners map[string]*quota.ShardOwners // quota owners, by availability zone
 }
 
 // zoneMembers are the hosts in each availability zone at the last assignment of roles; only the control goroutine uses it.
@@ -33,26 +33,26 @@
 	}
 	n.control.members = members
 	old := n.roles.Load()
-	roles := &teamRoles{rings: make(map[string]*quota.ShardOwners, len(members.byZone)), proofs: old.proofs}
+	roles := &teamRoles{quotaOwners: make(map[string]*quota.ShardOwners, len(members.byZone)), proofs: old.proofs}
 	for zone, hosts := range members.byZone {
-		roles.rings[zone] = old.rings[zone]
+		roles.quotaOwners[zone] = old.quotaOwners[zone]
 		if !slices.Equal(hosts, previous.byZone[zone]) {
-			roles.rings[zone] = quota.ChooseOwners(hosts)
+			roles.quotaOwners[zone] = quota.ChooseOwners(hosts)
 		}
 	}
 	localHosts := members.byZone[n.cfg.Zone]
 	if !slices.Equal(localHosts, previous.byZone[n.cfg.Zone]) {
 		roles.proofs = freshness.ChooseRoles(localHosts)
 	}
-	n.updateQuotaOwnership(now, roles.rings[n.cfg.Zone], float64(len(localHosts))/float64(max(members.localZoneKnown, 1)))
+	n.updateQuotaOwnership(now, roles.quotaOwners[n.cfg.Zone], float64(len(localHosts))/float64(max(members.localZoneKnown, 1)))
 	n.roles.Store(roles)
 }
 
 // maxStartSkew is the largest difference between the starts of nodes of a zone that count as started together.
 const maxStartSkew = 3 * time.Second
 
-// quotaGrantDelay returns how long this node waits before it grants tokens of quotas that it comes to own. If all nodes of the zone started
-// together, nobody owned a quota before this node's start, so the wait counts from the start.
+// quotaGrantDelay returns how long this node waits before it grants tokens of quotas whose owner it has become. If all nodes of the zone started
+// together, nobody owned a quota before this node's start, so the wait is counted from the start.
 func (n *Node) quotaGrantDelay(now time.Time) time.Duration {
 	for _, r := range n.control.reports {
 		if r.Epoch < n.epoch-maxStartSkew.Milliseconds() {
@@ -87,7 +87,7 @@
 	return m
 }
 
-// memberExchanges is how many exchange periods a node keeps its role after its last report, and minMemberTime the minimum time. Nobody serves
+// memberExchanges is how many exchange periods a node keeps its role after its last report, and minMemberTime the minimum time. No node serves
 // its role meanwhile. Reports of a healthy node reach the whole zone within about a second.
 const (
 	memberExchanges = 6
--- a/pkg/mesh/traffic_stats.go
+++ b/pkg/mesh/traffic_stats.go
@@ -22,6 +22,7 @@
 	rejectedRequests overload.DecayingRate // the same, root requests included
 }
 
+// init prepares the counts for use.
 func (s *trafficStats) init() {
 	s.entries = make(map[string]*entryStats)
 	s.runs = make(map[string]*runStats)
--- a/pkg/mesh/write_records.go
+++ b/pkg/mesh/write_records.go
@@ -13,7 +13,7 @@
 	storeCallTimeout = 1500 * time.Millisecond
 	// followCallTimeout bounds a call that waits for changes; it is longer than any store keeps such a call open.
 	followCallTimeout = time.Minute
-	// storeRetryFirst and storeRetryMost bound the wait before a call is made again.
+	// storeRetryFirst and storeRetryMax bound the wait before a call is made again.
 	storeRetryFirst = 150 * time.Millisecond
 	storeRetryMax   = 800 * time.Millisecond
 )
@@ -40,7 +40,7 @@
 				return
 			}
 		}
-		t := n.storeWatch.newAttempt()
+		t := n.storeAvailability.newAttempt()
 		if n.writeRecord(ctx, t, r) {
 			continue
 		}
