--- a/pkg/mesh/choose_server_test.go
+++ b/pkg/mesh/choose_server_test.go
@@ -51,10 +51,10 @@
 // A server that fails fast has few requests in progress and so looks idle.
 func TestFastFailingServerIsNotTreatedAsIdle(t *testing.T) {
 	c := qt.New(t)
-	grey, far := testPeer("n", true, 2, 25, 30), testPeer("f", false, 10, 100, 100)
-	c.Assert(choicesOf(far, grey, far), qt.Equals, 1000)
-	allGrey := testPeer("f", false, 2, 25, 30)
-	c.Assert(choicesOf(grey, grey, allGrey), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
+	failing, far := testPeer("n", true, 2, 25, 30), testPeer("f", false, 10, 100, 100)
+	c.Assert(choicesOf(far, failing, far), qt.Equals, 1000)
+	otherFailing := testPeer("f", false, 2, 25, 30)
+	c.Assert(choicesOf(failing, failing, otherFailing), qt.Equals, 1000, qt.Commentf("where all fail alike, the near one"))
 }
 
 func TestBackedOffServersAreTheLastResort(t *testing.T) {
@@ -94,8 +94,8 @@
 	c.Assert(chooseServer(chooseTime.Add(3*time.Second), list, nil, comparisonOptions{}), qt.Equals, p, qt.Commentf("it has started again"))
 }
 
-// checkEvenChoices checks that the open servers share many choices evenly: none gets more than half as much again as
-// its part, in a zone of twenty equally busy servers. open reports the servers that may be chosen.
+// checkEvenChoices checks that the open servers share many choices evenly: none gets more than one and a half
+// times its share, in a zone of twenty equally busy servers. open reports the servers that may be chosen.
 func checkEvenChoices(c *qt.C, list []*peer, open func(*peer) bool) {
 	const perServer = 400
 	chosen := map[*peer]int{}
@@ -127,7 +127,7 @@
 }
 
 // With five zones of twenty equally busy servers, the first server of the local zone got 6,447 of 8,000 calls.
-func TestCallsAreEvenAcrossServersOfOwnZone(t *testing.T) {
+func TestCallsAreEvenAcrossServersOfLocalZone(t *testing.T) {
 	list := peersInZones(5, 20, func(zone int) bool { return zone == 2 }, func(int) int { return 5 })
 	checkEvenChoices(qt.New(t), list, func(p *peer) bool { return p.sameZone.Load() })
 }
--- a/pkg/mesh/client_connections_test.go
+++ b/pkg/mesh/client_connections_test.go
@@ -14,10 +14,10 @@
 	n := s.nodes[0]
 	n.clients.SetMost(20)
 	for range 60 {
-		kept := &http.Client{Transport: &http.Transport{}}
-		defer kept.CloseIdleConnections()
+		persistent := &http.Client{Transport: &http.Transport{}}
+		defer persistent.CloseIdleConnections()
 		all := s.clients
-		s.clients = kept
+		s.clients = persistent
 		status, _, _ := s.request(0, http.MethodGet, "/read/x", "q", defaultTimeLeft)
 		s.clients = all
 		c.Assert(status, qt.Equals, http.StatusOK)
--- a/pkg/mesh/control_loop_test.go
+++ b/pkg/mesh/control_loop_test.go
@@ -9,7 +9,7 @@
 )
 
 // Work for the control goroutine that found a full queue after that goroutine had ended waited forever, and so did halt:
-// a loaded node that was told to stop stayed until it was killed.
+// a loaded node that was to stop stayed until it was killed.
 func TestANodeWhoseQueueIsFullCanBeHalted(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
--- a/pkg/mesh/dead_server_test.go
+++ b/pkg/mesh/dead_server_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(9 * time.Second)
 		cancel()
 		k.sending.Wait()
-		time.Sleep(time.Second) // for runs whose callers have gone
+		time.Sleep(time.Second) // for runs whose callers have disconnected
 		before := k.servedIn(lost.Add(-6*time.Second), 5*time.Second)
 		after := k.servedIn(back.Add(3*time.Second), 5*time.Second)
 		c.Check(float64(before) > 5*floorCapacity, qt.IsTrue, qt.Commentf("%d served in five seconds before the loss", before))
@@ -89,12 +89,12 @@
 		s.servers[0].workTime = 100 * time.Millisecond
 		time.Sleep(learnedWait) // earlier requests would wait and then arrive all at once
 		const reads = 600
-		var asking sync.WaitGroup
+		var clients sync.WaitGroup
 		for i := range reads {
-			asking.Go(func() { s.sendRead(i) })
+			clients.Go(func() { s.sendRead(i) })
 			time.Sleep(5 * time.Millisecond)
 		}
-		asking.Wait()
+		clients.Wait()
 		key := seriesKey("arrivals_total", "service", "a", "outcome", "not-run", "reason", "no-server")
 		tries := metrics.GetOrRegisterCounter(key, s.nodes[dead].metrics.registry).Count()
 		c.Check(tries < reads/20, qt.IsTrue, qt.Commentf("%d of %d reads went to it", tries, reads))
--- a/pkg/mesh/deep_site_test.go
+++ b/pkg/mesh/deep_site_test.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// randomAround returns a random duration from 0.5*d to 1.5*d.
 func randomAround(d time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(d))
 }
--- a/pkg/mesh/even_use_test.go
+++ b/pkg/mesh/even_use_test.go
@@ -52,11 +52,11 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(), manyDuration)
 	defer cancel()
 	gap := float64(manyWork) / (manySlots * usableSlotFraction * manyUtilization)
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range s.nodes {
-		asking.Go(func() {
+		clients.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				asking.Go(func() {
+				clients.Go(func() {
 					status, _, _ := s.request(i, http.MethodGet, "/read/x", fmt.Sprintf("c%d.%d", i, k), 6*time.Second)
 					if status != http.StatusOK {
 						failed.Add(1)
@@ -66,7 +66,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	clients.Wait()
 	return int(failed.Load())
 }
 
--- a/pkg/mesh/exchange_period_test.go
+++ b/pkg/mesh/exchange_period_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// talking returns a node of a zone with the given number of nodes, without arrivals, whose next exchange is an hour away.
+// nodeOfZone returns a node of a zone with the given number of nodes, without arrivals, whose next exchange is an hour away.
 func nodeOfZone(nodes int, now time.Time) *Node {
 	n := &Node{clock: clock.Real{}}
 	n.stats.init()
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -33,6 +33,7 @@
 	return m
 }
 
+// sampleReport returns a report of a node with eight routes that begin there and four that run there.
 func sampleReport(host string) nodeReport {
 	r := nodeReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", UsableSlots: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}}
 	for k := range 8 {
@@ -45,6 +46,7 @@
 	return r
 }
 
+// mustPack encodes a value as pack does, and panics on an error.
 func mustPack(v any) []byte {
 	b, err := pack(v)
 	if err != nil {
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -113,6 +113,7 @@
 	c.Assert(hasLine(lines, "call: not served", "tried", "3"), qt.IsTrue)
 }
 
+// metricsText returns the metrics of a node in the Prometheus text format.
 func metricsText(n *Node) string {
 	var b bytes.Buffer
 	n.metrics.writeText(&b)
--- a/pkg/mesh/fake_store_test.go
+++ b/pkg/mesh/fake_store_test.go
@@ -21,26 +21,29 @@
 	state       []byte
 	version     int64
 	epoch       int64
-	backup      func()
-	changed     chan struct{}
+	backup      func()        // restores the content as it was at backUp
+	changed     chan struct{} // closed and made anew at each change
 	records     map[string]directory.Record
 	learned     map[string]loads.Learned
-	held        map[string]Quarantined
+	quarantined map[string]Quarantined
 	writeCount  int
 	down        bool
 	rejectedVMs map[string]bool   // VMs whose calls for the desired state fail
-	delay       time.Duration     // before each answer
+	delay       time.Duration     // before each read is answered
 	calls       map[storeCall]int // by kind
 }
 
+// newFakeStore returns an empty store in its first epoch.
 func newFakeStore() *fakeStore {
-	return &fakeStore{calls: map[storeCall]int{}, epoch: 1, changed: make(chan struct{}), records: map[string]directory.Record{}, learned: map[string]loads.Learned{}, held: map[string]Quarantined{}}
+	return &fakeStore{calls: map[storeCall]int{}, epoch: 1, changed: make(chan struct{}), records: map[string]directory.Record{}, learned: map[string]loads.Learned{}, quarantined: map[string]Quarantined{}}
 }
 
+// storeDownError is the error of each call while the store fails.
 type storeDownError struct{}
 
 func (storeDownError) Error() string { return "store is down" }
 
+// put stores a desired state under the next version of the store.
 func (s *fakeStore) put(st desired.State) {
 	data, _ := json.Marshal(st)
 	s.mu.Lock()
@@ -51,6 +54,7 @@
 	s.changed = make(chan struct{})
 }
 
+// setDown sets whether all calls fail; calls that wait for a change end.
 func (s *fakeStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,6 +63,7 @@
 	s.changed = make(chan struct{})
 }
 
+// setDelay sets the delay of reads.
 func (s *fakeStore) setDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +78,7 @@
 	time.Sleep(d)
 }
 
-// seam returns the Store that a VM uses.
+// storeFor returns the Store that a VM uses.
 func (s *fakeStore) storeFor(vm string) Store {
 	return Store{
 		ReadState: func(ctx context.Context) ([]byte, Cursor, error) {
@@ -89,12 +94,12 @@
 			}
 			return data, next, err
 		},
-		ReadRecords: s.readRecords, RecordParts: fakeParts, WriteRecord: s.writeRecord, WriteLearned: s.writeLearned, WriteQuarantined: s.writeHeld,
+		ReadRecords: s.readRecords, RecordParts: fakeParts, WriteRecord: s.writeRecord, WriteLearned: s.writeLearned, WriteQuarantined: s.writeQuarantined,
 		Epoch: s.currentEpoch,
 	}
 }
 
-// copy makes a backup of the store's content; comeBack restores it and begins a new epoch.
+// backUp makes a backup of the store's content.
 func (s *fakeStore) backUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,6 +107,7 @@
 	s.backup = func() { s.state, s.version, s.records, s.learned = state, version, records, learned }
 }
 
+// restoreBackup restores the backup and begins a new epoch.
 func (s *fakeStore) restoreBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,24 +123,24 @@
 	return s.epoch
 }
 
-// turnAway sets whether the VM's calls for the desired state fail.
-func (s *fakeStore) setRejected(vm string, away bool) {
+// setRejected sets whether the VM's calls for the desired state fail.
+func (s *fakeStore) setRejected(vm string, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rejectedVMs == nil {
 		s.rejectedVMs = map[string]bool{}
 	}
-	s.rejectedVMs[vm] = away
+	s.rejectedVMs[vm] = rejected
 }
 
-// turnsAway reports whether the VM's calls for the desired state fail.
+// rejects reports whether the VM's calls for the desired state fail.
 func (s *fakeStore) rejects(vm string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejectedVMs[vm]
 }
 
-// called returns the number of calls of the given kinds.
+// callCount returns the number of calls of the given kinds.
 func (s *fakeStore) callCount(kinds ...storeCall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,20 +213,20 @@
 	for _, l := range s.learned {
 		out.Learned = append(out.Learned, l)
 	}
-	for _, h := range s.held {
+	for _, h := range s.quarantined {
 		out.Quarantined = append(out.Quarantined, h)
 	}
 	return out, nil
 }
 
-// stored returns the number of stored records.
+// recordCount returns the number of stored records.
 func (s *fakeStore) recordCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.records)
 }
 
-// writes returns the number of successful record writes.
+// recordWrites returns the number of successful record writes.
 func (s *fakeStore) recordWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,14 +243,14 @@
 	return nil
 }
 
-func (s *fakeStore) writeHeld(_ context.Context, h Quarantined) error {
+func (s *fakeStore) writeQuarantined(_ context.Context, h Quarantined) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[writeQuarantinedCall]++
 	if s.down {
 		return storeDownError{}
 	}
-	s.held[h.Service] = h
+	s.quarantined[h.Service] = h
 	return nil
 }
 
--- a/pkg/mesh/final_answer_test.go
+++ b/pkg/mesh/final_answer_test.go
@@ -11,8 +11,8 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// One server may have run a read before its answer was lost, and the next one refused it. The client was told that the
-// read hadn't run.
+// One server may have run a read before its answer was lost, and the next one refused it. The client's answer said that
+// the read hadn't run.
 func TestRefusalAfterLostAnswerIsNotReportedAsNotRun(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
--- a/pkg/mesh/follow_state_test.go
+++ b/pkg/mesh/follow_state_test.go
@@ -32,16 +32,17 @@
 	return s
 }
 
+// put stores a desired state with the given version and one route.
 func (s *site) put(version int64) {
 	s.store.put(desired.State{Version: version, Routes: []desired.Route{route("r", desired.Repeatable, "a")}})
 }
 
-// inForce waits until a version is in force at all nodes except those in left, and returns how long that took.
-func (s *site) awaitInForce(version int64, left map[int]bool) time.Duration {
+// awaitInForce waits until a version is in force at all nodes except the excluded ones, and returns how long that took.
+func (s *site) awaitInForce(version int64, excluded map[int]bool) time.Duration {
 	begun := time.Now()
 	s.waitFor("the state is in force", func() bool {
 		for i, n := range s.nodes {
-			if !left[i] && n.stateVersion() < version {
+			if !excluded[i] && n.stateVersion() < version {
 				return false
 			}
 		}
@@ -59,7 +60,7 @@
 	return nodes
 }
 
-// followersOf returns the indexes of the chosen followers.
+// followers returns the indexes of the chosen followers.
 func (s *site) followers() map[int]bool {
 	chosen := map[int]bool{}
 	for i, n := range s.nodes {
@@ -123,12 +124,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := bigSite(t)
-		away := map[string]bool{}
+		rejected := map[string]bool{}
 		for i := range s.followers() {
-			away[s.servers[i].ip] = true
+			rejected[s.servers[i].ip] = true
 		}
 		s.store.mu.Lock()
-		s.store.rejectedVMs = away
+		s.store.rejectedVMs = rejected
 		s.store.mu.Unlock()
 		time.Sleep(time.Second)
 		s.put(2)
@@ -166,11 +167,11 @@
 	}
 }
 
-// testRestartOfOne restarts a node that isn't a follower; it may make up to most calls, and has no seeds if most isn't 0.
-func testRestartOfOne(t *testing.T, most int) {
+// testRestartOfOne restarts a node that isn't a follower; it may make up to maxCalls calls, and has no seeds if maxCalls isn't 0.
+func testRestartOfOne(t *testing.T, maxCalls int) {
 	c := qt.New(t)
 	s := bigSite(t)
-	if most > 0 {
+	if maxCalls > 0 {
 		s.seeds = nil
 	}
 	for _, n := range s.nodes {
@@ -189,7 +190,7 @@
 	time.Sleep(3 * time.Second)
 	c.Check(s.nodes[i].knownNodes.Load(), qt.Equals, int64(len(s.nodes)))
 	calls := s.store.callCount(readStateCall, followStateCall, readRecordsCall) - before
-	c.Check(calls <= most, qt.IsTrue, qt.Commentf("%d calls", calls))
+	c.Check(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", calls))
 	s.heartbeat(i, true)
 	c.Check(s.store.records[s.servers[i].ip].Phase.String(), qt.Equals, "draining", qt.Commentf("the changed record is stored"))
 }
--- a/pkg/mesh/harmless_kinds_test.go
+++ b/pkg/mesh/harmless_kinds_test.go
@@ -142,18 +142,18 @@
 // maxCrashes returns how many servers the poison request may crash. During a partition each side knows only its own
 // crashes.
 func (p *harmlessPlay) maxCrashes(r *poisonRuns) int {
-	most := maxPoisonCrashes
+	limit := maxPoisonCrashes
 	for _, at := range p.sent {
 		if len(r.crashes) > 0 && at.Before(r.crashes[0].Add(crashDetectionTime)) {
-			most++
+			limit++
 		}
 	}
 	for _, at := range p.partitions {
 		if len(r.crashes) > 0 && at.After(r.crashes[0].Add(-maxPartition)) && at.Before(r.crashes[len(r.crashes)-1]) {
-			most += maxPoisonCrashes
+			limit += maxPoisonCrashes
 		}
 	}
-	return most
+	return limit
 }
 
 // sendKind sends one harmless request of the kind and records its outcome.
@@ -243,8 +243,8 @@
 	}
 	c.Check(float64(refused) <= maxRefusedShare*float64(sent), qt.IsTrue, qt.Commentf("%d of %d refused as suspects", refused, sent))
 	r := p.runsFor(poisonPath)
-	most := p.maxCrashes(r)
-	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("the poison request crashed %d servers, at most %d may", len(r.crashes), most))
+	limit := p.maxCrashes(r)
+	c.Check(len(r.crashes) <= limit, qt.IsTrue, qt.Commentf("the poison request crashed %d servers, at most %d may", len(r.crashes), limit))
 	c.Logf("PLAY servers %d fuse %v: %d of %d refused as suspects, %d lost, worst kind %.3f, longest %v, culprit ended %d (at most %d)",
-		len(p.servers)-poisonEntries, p.crashDelay, refused, sent, lost, worst, longest, len(r.crashes), most)
+		len(p.servers)-poisonEntries, p.crashDelay, refused, sent, lost, worst, longest, len(r.crashes), limit)
 }
--- a/pkg/mesh/leaving_test.go
+++ b/pkg/mesh/leaving_test.go
@@ -51,14 +51,14 @@
 	s.servers[0].workTime = 400 * time.Millisecond
 	s.servers[1].workTime = 400 * time.Millisecond
 	s.servers[2].workTime = 400 * time.Millisecond
-	ends := make(chan int, 1000)
+	statuses := make(chan int, 1000)
 	stop := make(chan struct{})
 	for w := range 8 {
 		go func() {
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
-					ends <- -1
+					statuses <- -1
 					return
 				default:
 				}
@@ -66,9 +66,9 @@
 				if status == 0 {
 					t.Log(why)
 				}
-				ends <- status
+				statuses <- status
 				if status == http.StatusServiceUnavailable || status == 0 {
-					ends <- -1
+					statuses <- -1
 					return
 				}
 			}
@@ -79,7 +79,7 @@
 	go func() { done <- s.nodes[0].Stop(context.Background()) }()
 	finished := 0
 	for finished < 8 {
-		switch st := <-ends; st {
+		switch st := <-statuses; st {
 		case -1:
 			finished++
 		case 200, http.StatusServiceUnavailable:
--- a/pkg/mesh/network_test.go
+++ b/pkg/mesh/network_test.go
@@ -66,6 +66,7 @@
 // maxDeadConnUse is how long a connection that is unresponsive on TCP may be used, with a margin for a busy machine.
 const maxDeadConnUse = deadConnDetectTime + 3*time.Second
 
+// A TCP connection whose other end is cut off fails its request within maxDeadConnUse, and isn't used again when it was idle.
 func TestUnresponsiveTCPConnectionIsDropped(t *testing.T) {
 	c := qt.New(t)
 	l := serveDropping(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -19,13 +19,14 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// asking is a node of a large zone with a desired state, and the hosts from which it requested a newer one.
+// fetchingNode is a node of a large zone with a desired state, and the hosts from which it requested a newer one.
 type fetchingNode struct {
 	*Node
 	mu        sync.Mutex
 	requested []string
 }
 
+// newFetchingNode returns a node of zone a that knows the peer "near" there; its dials are recorded and refused.
 func newFetchingNode() *fetchingNode {
 	a := &fetchingNode{Node: &Node{ip: "n", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}, Listen: settings.Listen{Peers: "n:1"}}}}
 	a.controlLog = slog.New(slog.DiscardHandler)
@@ -43,7 +44,7 @@
 	return a
 }
 
-// after runs fetchDueState as the control goroutine does for the given time, and returns the hosts queried meanwhile.
+// requestedDuring runs fetchDueState as the control goroutine does for the given time, and returns the hosts queried meanwhile.
 func (a *fetchingNode) requestedDuring(d time.Duration) []string {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(tickPeriod) {
 		a.fetchDueState(time.Now())
@@ -51,9 +52,9 @@
 	synctest.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	asked := a.requested
+	requested := a.requested
 	a.requested = nil
-	return slices.Compact(asked)
+	return slices.Compact(requested)
 }
 
 // Guards against each node fetching a state of a thousand routes from another zone if it learns of the version there first.
--- a/pkg/mesh/poison_request_test.go
+++ b/pkg/mesh/poison_request_test.go
@@ -66,7 +66,7 @@
 	c.Check(len(r.crashes) <= most, qt.IsTrue, qt.Commentf("%d servers crashed, at most %d may", len(r.crashes), most))
 }
 
-// Two simultaneous poison requests are told apart from each other and from the reads beside them.
+// Two simultaneous poison requests are distinguished from each other and from the reads in progress with them.
 func TestTwoPoisonRequestsAreQuarantined(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/mesh/popular_poison_test.go
+++ b/pkg/mesh/popular_poison_test.go
@@ -47,5 +47,5 @@
 	})
 }
 
-// extraStages is how many more crashes a request may cause whose runs had ended well before.
+// extraStages is how many more crashes a request may cause whose earlier runs had succeeded.
 const extraStages = 3
--- a/pkg/mesh/recovery_test.go
+++ b/pkg/mesh/recovery_test.go
@@ -20,10 +20,10 @@
 // startAll restarts all nodes.
 func (s *site) startAll() { s.startAllWithoutServer(-1) }
 
-// startAllBut restarts all nodes; the backend server of node gone isn't started, and sends no heartbeat.
-func (s *site) startAllWithoutServer(gone int) {
+// startAllWithoutServer restarts all nodes; the backend server of node without, -1 for none, isn't started and sends no heartbeat.
+func (s *site) startAllWithoutServer(without int) {
 	for i := range s.nodes {
-		if i == gone {
+		if i == without {
 			s.startNode(i)
 		} else {
 			s.start(i)
@@ -31,7 +31,7 @@
 	}
 }
 
-// leastRunsKnown returns the smallest number of floor runs per read in any node's plan; the real number is five.
+// minKnownFloorRuns returns the smallest number of floor runs per read in any node's plan; the real number is five.
 func (s *site) minKnownFloorRuns() float64 {
 	least := math.Inf(1)
 	for _, n := range s.nodes {
@@ -50,27 +50,27 @@
 // second after the store's return, and 0.3 to 3.2 after two; the goodput was 0.69 to 0.80 of that before in two seconds then.
 func TestRequestsAreServedSoonAfterALossOfAllNodes(t *testing.T) {
 	t.Parallel()
-	for name, silent := range map[string]time.Duration{"the store answers": 0, "the store is down": 4 * time.Second} {
+	for name, storeOutage := range map[string]time.Duration{"the store answers": 0, "the store is down": 4 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testLossOfAllNodes(t, silent) })
+			synctest.Test(t, func(t *testing.T) { testLossOfAllNodes(t, storeOutage) })
 		})
 	}
 }
 
 // testLossOfAllNodes runs an overload in which all nodes are lost for a second, and the store is down for longer.
-func testLossOfAllNodes(t *testing.T, silent time.Duration) {
+func testLossOfAllNodes(t *testing.T, storeOutage time.Duration) {
 	c := qt.New(t)
 	s := deepSite(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var k clientLoad
 	k.start(ctx, s)
 	time.Sleep(20 * time.Second)
-	s.store.setDown(silent > 0)
+	s.store.setDown(storeOutage > 0)
 	lost := time.Now()
 	s.haltAll()
 	time.Sleep(time.Second)
 	s.startAll()
-	time.Sleep(silent)
+	time.Sleep(storeOutage)
 	s.store.setDown(false)
 	back := time.Now()
 	for _, wait := range []time.Duration{time.Second, time.Second, 2 * time.Second} {
--- a/pkg/mesh/service_capacity_test.go
+++ b/pkg/mesh/service_capacity_test.go
@@ -66,7 +66,7 @@
 	c.Assert(n.capacity(), qt.DeepEquals, map[string]float64{"s": 0})
 }
 
-// Guards against planning with the slots of a server that ended while its node was idle. The plan still counted them, and the
+// Guards against planning with the slots of a server that crashed while its node was idle. The plan still counted them, and the
 // last server of the service rejected two calls in five. In a day with one of three servers left at the bottom service, 0.45
 // of the requests failed half-way, 0.24 since such a server has no usable slots.
 func TestAServerThatIsNotListeningHasNoCapacity(t *testing.T) {
@@ -84,11 +84,11 @@
 				s.waitUntilKnown(1)
 				s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { time.Sleep(time.Second) })
 				time.Sleep(3 * time.Second)
-				room := func(i int) (room float64) {
-					c.Assert(s.nodes[i].enqueueAndWait(t.Context(), func() { room = s.nodes[i].capacity()["a"] }), qt.IsTrue)
-					return room
+				usable := func(i int) (slots float64) {
+					c.Assert(s.nodes[i].enqueueAndWait(t.Context(), func() { slots = s.nodes[i].capacity()["a"] }), qt.IsTrue)
+					return slots
 				}
-				all := room(0)
+				all := usable(0)
 				c.Assert(all > 30, qt.IsTrue, qt.Commentf("%v", all))
 				if busy {
 					go s.request(1, http.MethodGet, "/read/x", "q", 3*time.Second)
@@ -102,13 +102,13 @@
 				}
 				time.Sleep(4 * time.Second)
 				for i := range s.nodes {
-					c.Check(room(i) < 0.6*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, room(i), all))
+					c.Check(usable(i) < 0.6*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, usable(i), all))
 				}
 				s.heartbeat(0, false)
 				s.heartbeat(1, false)
 				time.Sleep(4 * time.Second)
 				for i := range s.nodes {
-					c.Check(room(i) > 0.9*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, room(i), all))
+					c.Check(usable(i) > 0.9*all, qt.IsTrue, qt.Commentf("node %d plans with %v of %v", i, usable(i), all))
 				}
 			})
 		})
--- a/pkg/mesh/store_epoch_test.go
+++ b/pkg/mesh/store_epoch_test.go
@@ -61,7 +61,7 @@
 	c.Assert(s.nodes[0].stateVersion(), qt.Equals, int64(4))
 }
 
-// A store restored without the state that revoked a key must not let the key pass again.
+// A store restored without the state that revoked a key must not make nodes accept the key again.
 func TestAnOldStateOfTheStoreProvesNothing(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testAnOldStateOfTheStoreProvesNothing)
--- a/pkg/mesh/store_learned_test.go
+++ b/pkg/mesh/store_learned_test.go
@@ -30,7 +30,7 @@
 	s.store.learned["a"] = loads.Learned{Service: "a", CallsPerRun: map[string]callgraph.Rates{"r": {"called": 4}}}
 	s.store.learned["b"] = loads.Learned{Service: "b", CallsPerRun: map[string]callgraph.Rates{"r": {"called": 9}}}
 	n, _ := s.add("a", "z", 10)
-	s.waitFor("it is recalled", func() bool {
+	s.waitFor("it is restored", func() bool {
 		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
@@ -42,13 +42,13 @@
 func TestOneNodePerServiceStoresLearnedCalls(t *testing.T) {
 	c := qt.New(t)
 	s := newThreeServerSite(t)
-	keepers := 0
+	writers := 0
 	for _, n := range s.nodes {
 		if n.isServiceWriter() {
-			keepers++
+			writers++
 		}
 	}
-	c.Assert(keepers, qt.Equals, 1)
+	c.Assert(writers, qt.Equals, 1)
 }
 
 func TestSmallChangesArentWritten(t *testing.T) {
@@ -83,7 +83,7 @@
 	known := directory.Record{Host: s.base + "1", Generation: 7, Instance: "i-" + s.base + "1", Service: "a", Zone: "z", Slots: 10, Phase: directory.Serving}
 	s.store.records[known.Host] = known
 	n, _ := s.add("a", "z", 10) // its heartbeat arrives before the store's answer
-	s.waitFor("it is recalled", func() bool { return n.view.Load().localServer.Generation >= 7 })
+	s.waitFor("it is restored", func() bool { return n.view.Load().localServer.Generation >= 7 })
 	time.Sleep(50 * time.Millisecond)
 	c.Assert(n.view.Load().localServer, qt.Equals, known)
 	c.Assert(s.store.recordWrites(), qt.Equals, 0)
@@ -158,16 +158,16 @@
 			Times: map[string]loads.RunTiming{"r": {Rate: 1, HoldSeconds: 1}},
 		}}
 	}
-	taken := make(chan float64)
+	restored := make(chan float64)
 	n.enqueue(func() {
 		n.restoreFromPeer("peer", learnedWith(1))
 		n.restoreFromPeer("peer", learnedWith(8))
 		n.stats.dropRun(time.Now(), n.stats.beginRun(time.Now(), "r", time.Now()))
 		n.stats.mu.Lock()
 		defer n.stats.mu.Unlock()
-		taken <- n.stats.callsPerRun("r")["x"]
+		restored <- n.stats.callsPerRun("r")["x"]
 	})
-	c.Assert(<-taken, qt.Equals, 1.0)
+	c.Assert(<-restored, qt.Equals, 1.0)
 }
 
 // Guards against classifying internal routes wrongly after a loss of all processes. Backend servers continued runs unknown to
@@ -176,7 +176,7 @@
 	c := qt.New(t)
 	s := newSite(t)
 	n, _ := s.add("a", "z", 10)
-	judged := make(chan [2]bool)
+	decisions := make(chan [2]bool)
 	n.enqueue(func() {
 		now := time.Now()
 		n.control.internalRoutes.restore(now, loads.Learned{CallsPerRun: map[string]callgraph.Rates{"called": {}, "root": {}}, InternalRoutes: []string{"called"}})
@@ -186,9 +186,9 @@
 		n.updateInternalRoutes(now)
 		soon := n.control.internalRoutes.internal["called"] && !n.control.internalRoutes.internal["root"]
 		n.updateInternalRoutes(now.Add(restoredDecisionTime))
-		judged <- [2]bool{soon, n.control.internalRoutes.internal["called"]}
+		decisions <- [2]bool{soon, n.control.internalRoutes.internal["called"]}
 	})
-	c.Assert(<-judged, qt.Equals, [2]bool{true, false})
+	c.Assert(<-decisions, qt.Equals, [2]bool{true, false})
 }
 
 // Guards against a halted node that hangs while it collects what to store, waiting for its ended control goroutine.
--- a/pkg/mesh/suspect_updates_test.go
+++ b/pkg/mesh/suspect_updates_test.go
@@ -49,13 +49,13 @@
 	s.addCleared(now, poison.Case{Age: time.Second})
 	c.Assert(s.cleared, qt.HasLen, 1)
 	c.Assert(s.sendClearedAt, qt.Equals, now.Add(clearedBatchTime))
-	ends, cases := s.recent(now.Add(time.Second))
-	c.Assert(ends, qt.HasLen, maxUpdateRuns/20)
+	crashes, cases := s.recent(now.Add(time.Second))
+	c.Assert(crashes, qt.HasLen, maxUpdateRuns/20)
 	c.Assert(cases, qt.HasLen, maxCaseUpdates)
-	c.Assert(ends[0].Age, qt.Equals, time.Second)
+	c.Assert(crashes[0].Age, qt.Equals, time.Second)
 	c.Assert(cases[0].Age, qt.Equals, 2*time.Second)
-	ends, cases = s.recent(now.Add(suspectUpdateTime))
-	c.Assert(len(ends)+len(cases), qt.Equals, 0)
+	crashes, cases = s.recent(now.Add(suspectUpdateTime))
+	c.Assert(len(crashes)+len(cases), qt.Equals, 0)
 }
 
 // Exchanges between zones don't repeat updates that were already sent across zones.
@@ -100,14 +100,14 @@
 func TestCrashesOfUnknownServersCreateNoPeers(t *testing.T) {
 	c := qt.New(t)
 	a := newFetchingNode()
-	var ends []poison.Crash
+	var crashes []poison.Crash
 	for i := range 1000 {
 		e := crashWithRuns(1)
 		e.Lifetime.Host = fmt.Sprint("10.9.0.", i)
-		ends = append(ends, e)
+		crashes = append(crashes, e)
 	}
 	before := len(a.peers)
-	a.applySuspectUpdates(a.clock.Now(), ends, nil)
+	a.applySuspectUpdates(a.clock.Now(), crashes, nil)
 	c.Assert(len(a.peers), qt.Equals, before)
 }
 
--- a/pkg/mesh/teams_test.go
+++ b/pkg/mesh/teams_test.go
@@ -90,7 +90,7 @@
 // waitUntilAccepted waits until every node accepts a key.
 func (s *site) waitUntilAccepted(key string) {
 	s.t.Helper()
-	s.waitFor("all nodes let the key pass", func() bool {
+	s.waitFor("all nodes accept the key", func() bool {
 		for i := range s.nodes {
 			if status, _ := s.send(i, "/read/x", fmt.Sprint("first", i), withKey(key)); status != http.StatusOK {
 				return false
@@ -238,7 +238,7 @@
 			id := fmt.Sprint("r", i, sent.UnixNano())
 			status, _ := s.send(i, "/read/x", id, withKey("kb1"))
 			late := sent.Sub(confirmed) > revoke
-			c.Assert(late && status == http.StatusOK, qt.IsFalse, qt.Commentf("node %d served the key %v after it was taken away", i, sent.Sub(confirmed)))
+			c.Assert(late && status == http.StatusOK, qt.IsFalse, qt.Commentf("node %d served the key %v after it was removed", i, sent.Sub(confirmed)))
 			c.Assert(status, qt.Not(qt.Equals), http.StatusUnauthorized)
 			if status == http.StatusOK {
 				served++
@@ -341,7 +341,7 @@
 	s.store.put(teamState(2, func(st *desired.State) {
 		st.Teams[0].Keys, st.Teams[1].Keys = []desired.Key{"very-secret"}, []desired.Key{"very-secret"}
 	}))
-	s.waitFor("the fault is written down", func() bool { return strings.Contains(log.String(), "can't be read") })
+	s.waitFor("the fault is logged", func() bool { return strings.Contains(log.String(), "can't be read") })
 	c.Check(log.String(), qt.Contains, "red key")
 	c.Check(log.String(), qt.Not(qt.Contains), "very-secret")
 	c.Check(fmt.Sprintf("%+v", s.nodes[0].Dump()), qt.Not(qt.Contains), "very-secret")
@@ -435,7 +435,8 @@
 	stopping.Wait()
 }
 
-// After a suspension of the VM no key is accepted with an older freshness proof, from the first request on, and tokens in hand have expired.
+// After a suspension of the VM no key is accepted with an older freshness proof, from the first request on, and the tokens that the node
+// holds have expired.
 func TestSuspensionInvalidatesFreshnessProofAndTokens(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testSuspensionInvalidatesFreshnessProofAndTokens)
@@ -465,8 +466,8 @@
 		status, _ := s.send(0, "/read/x", fmt.Sprint("after", i), withKey("kb1"))
 		c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 		n.quotas.mu.Lock()
-		inHand, _ := n.quotas.pool.Take(clock.Boot(k), "blue")
+		ok, _ := n.quotas.pool.Take(clock.Boot(k), "blue")
 		n.quotas.mu.Unlock()
-		c.Assert(inHand, qt.IsFalse)
+		c.Assert(ok, qt.IsFalse)
 	}
 }
--- a/pkg/mesh/unresponsive_connections_test.go
+++ b/pkg/mesh/unresponsive_connections_test.go
@@ -59,7 +59,8 @@
 	k.longest = max(k.longest, took)
 }
 
-// runWithUnresponsiveConns sends requests to the front nodes for six seconds; after two seconds the open connections to the chosen addresses become unresponsive.
+// runWithUnresponsiveConns sends requests to the front nodes for six seconds; after two seconds the open connections to the
+// addresses for which to returns true become unresponsive.
 func runWithUnresponsiveConns(s *site, path string, to func(addr string) bool) *requestOutcomes {
 	var k requestOutcomes
 	var clients sync.WaitGroup
--- a/pkg/mesh/wide_site_load_test.go
+++ b/pkg/mesh/wide_site_load_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// wideTimes is the ratio of the wide site's servers and load to those of the deep site.
+// wideFactor is the ratio of the wide site's servers and load to those of the deep site.
 const wideFactor = 5
 
 // overloadFromTheStart runs a load of four times the capacity from the first request on, and returns the served fraction of
