--- a/pkg/mesh/exchange.go
+++ b/pkg/mesh/exchange.go
@@ -73,8 +73,8 @@
 func (n *Node) announce() { n.announceTo(anyZone) }
 
 // announceTo sends recent updates to some random peers of the given zones at once.
-func (n *Node) announceTo(where zoneScope) {
-	n.exchangeWithAll(context.Background(), n.exchangeTargets(announceFanout, where))
+func (n *Node) announceTo(scope zoneScope) {
+	n.exchangeWithAll(context.Background(), n.exchangeTargets(announceFanout, scope))
 }
 
 // exchangeWith sends a message to a peer and merges its answer; it reports whether there was a readable one.
@@ -110,7 +110,7 @@
 		return
 	}
 	var a message
-	if !n.enqueueAndWait(r.Context(), func() { a = n.newAnswer(m) }) {
+	if !n.enqueueAndWait(r.Context(), func() { a = n.newResponse(m) }) {
 		return
 	}
 	body, err := pack(a)
--- a/pkg/mesh/exchange_message.go
+++ b/pkg/mesh/exchange_message.go
@@ -99,8 +99,8 @@
 	return m
 }
 
-// newAnswer returns the response to a message, with what its sender lacks.
-func (n *Node) newAnswer(to *message) message {
+// newResponse returns the response to a message, with what its sender lacks.
+func (n *Node) newResponse(to *message) message {
 	if to.SuspectsOnly {
 		return n.newSuspectMessage(nil, nil)
 	}
--- a/pkg/mesh/exchange_peers.go
+++ b/pkg/mesh/exchange_peers.go
@@ -18,11 +18,11 @@
 )
 
 // includes reports whether the scope includes the local zone (near) or the others.
-func (w zoneScope) includes(near bool) bool { return w == anyZone || (w == localZoneOnly) == near }
+func (s zoneScope) includes(near bool) bool { return s == anyZone || (s == localZoneOnly) == near }
 
 // exchangeTargets returns up to fanout random peers, seeds included while fewer peers are known.
-func (n *Node) exchangeTargets(fanout int, where zoneScope) []exchangeTarget {
-	targets := n.knownTargets(where)
+func (n *Node) exchangeTargets(fanout int, scope zoneScope) []exchangeTarget {
+	targets := n.knownTargets(scope)
 	if len(targets) < fanout {
 		for _, h := range n.seedHosts() {
 			targets = append(targets, exchangeTarget{host: h})
@@ -32,10 +32,10 @@
 }
 
 // knownTargets returns all known peers in the scope.
-func (n *Node) knownTargets(where zoneScope) []exchangeTarget {
+func (n *Node) knownTargets(scope zoneScope) []exchangeTarget {
 	var targets []exchangeTarget
 	for _, r := range n.control.directory.All() {
-		if r.Host != n.ip && where.includes(r.Zone == n.cfg.Zone) {
+		if r.Host != n.ip && scope.includes(r.Zone == n.cfg.Zone) {
 			targets = append(targets, exchangeTarget{r.Host, r.Zone})
 		}
 	}
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -16,7 +16,7 @@
 func (n *Node) newServers(l settings.Listen, control http.Handler) []*http.Server {
 	servers := []*http.Server{
 		n.newPeerServer(l.Peers),
-		n.clientServer(l.Outbound),
+		n.newClientServer(l.Outbound),
 		n.newServer(l.Control, control),
 	}
 	if l.Ready != l.Control {
@@ -34,8 +34,8 @@
 // idleTimeout. With a bound of 20, all of 60 clients that keep their connections open are answered, and 20 connections remain.
 const clientDescriptorShare = 0.5
 
-// clientServer returns the HTTP server for clients and the local backend server.
-func (n *Node) clientServer(addr string) *http.Server {
+// newClientServer returns the HTTP server for clients and the local backend server.
+func (n *Node) newClientServer(addr string) *http.Server {
 	s := n.newServer(addr, n.outboundHandler())
 	n.clients.SetMost(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
 	n.clients.Closed = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -29,8 +29,8 @@
 	IDs []string `codec:"i"`
 }
 
-// inProgressReply lists the requests that the node doesn't have.
-type inProgressReply struct {
+// inProgressResponse lists the requests that the node doesn't have.
+type inProgressResponse struct {
 	Missing []string `codec:"m"`
 }
 
@@ -78,7 +78,7 @@
 	for _, r := range overdue {
 		q.IDs = append(q.IDs, r.ID)
 	}
-	var a inProgressReply
+	var a inProgressResponse
 	if err := n.queryNodeSince(ctx, overdue[0].Sent, p.host, inProgressPath, inProgressTimeout, &q, &a); err != nil {
 		n.controlLog.Debug("in-progress query failed", "peer", p.host, "err", err)
 		a.Missing = nil // unknown, so the requests keep waiting
@@ -94,6 +94,6 @@
 func (n *Node) serveInProgress(w http.ResponseWriter, r *http.Request) {
 	var q inProgressQuery
 	if n.readNodeRequest(w, r, maxInProgressBytes, &q, func() bool { return len(q.IDs) <= awaited.MaxQueried }) {
-		n.writeNodeResponse(w, inProgressReply{Missing: n.peerRequests.Missing(q.IDs)})
+		n.writeNodeResponse(w, inProgressResponse{Missing: n.peerRequests.Missing(q.IDs)})
 	}
 }
--- a/pkg/mesh/newer_state.go
+++ b/pkg/mesh/newer_state.go
@@ -76,9 +76,9 @@
 // announceState announces a new desired state to some peers: in a large zone only to its own nodes, since the other zones
 // have followers too.
 func (n *Node) announceState() {
-	where := anyZone
+	scope := anyZone
 	if n.hasZoneFollowers() {
-		where = localZoneOnly
+		scope = localZoneOnly
 	}
-	n.announceTo(where)
+	n.announceTo(scope)
 }
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -115,8 +115,8 @@
 		{message{Zone: "a", Version: 4}, true},
 		{message{Zone: "a", Version: 5}, false},
 	} {
-		c.Check(len(a.newAnswer(&x.to).State) > 0, qt.Equals, x.given, qt.Commentf("%+v", x.to))
+		c.Check(len(a.newResponse(&x.to).State) > 0, qt.Equals, x.given, qt.Commentf("%+v", x.to))
 	}
 	a.control.zoneHosts = a.control.zoneHosts[:follow.SmallZoneSize]
-	c.Check(a.newAnswer(&message{Zone: "b", Version: 4}).State, qt.Not(qt.HasLen), 0, qt.Commentf("a small zone has no followers of its own"))
+	c.Check(a.newResponse(&message{Zone: "b", Version: 4}).State, qt.Not(qt.HasLen), 0, qt.Commentf("a small zone has no followers of its own"))
 }
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -115,7 +115,7 @@
 	n.followTracker.peersQueried = make(chan struct{})
 	n.followTracker.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
-	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
+	n.quotas.owner.Config = quotaConfig(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
 	n.learnedRestore.fromPeer = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
 	n.learnedRestore.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
--- a/pkg/mesh/query_peers.go
+++ b/pkg/mesh/query_peers.go
@@ -30,8 +30,8 @@
 // hostsLocalZoneFirst returns up to queriedPeers random known hosts, those of the local zone first.
 func (n *Node) hostsLocalZoneFirst() []string {
 	var hosts []string
-	for _, where := range []zoneScope{localZoneOnly, otherZonesOnly} {
-		for _, t := range n.exchangeTargets(queriedPeers, where) {
+	for _, scope := range []zoneScope{localZoneOnly, otherZonesOnly} {
+		for _, t := range n.exchangeTargets(queriedPeers, scope) {
 			hosts = append(hosts, t.host)
 		}
 	}
--- a/pkg/mesh/server_crash.go
+++ b/pkg/mesh/server_crash.go
@@ -57,11 +57,11 @@
 }
 
 // relationTo returns when a run whose connection broke had started, relative to the crash.
-func (e crashedLifetime) relationTo(r *serverRun) crashRelation {
+func (c crashedLifetime) relationTo(r *serverRun) crashRelation {
 	switch {
-	case e.lifetime == "" || e.lifetime != r.lifetime || r.started.After(e.confirmed):
+	case c.lifetime == "" || c.lifetime != r.lifetime || r.started.After(c.confirmed):
 		return noCrash
-	case r.started.Before(e.firstBroken):
+	case r.started.Before(c.firstBroken):
 		return startedBeforeCrash
 	default:
 		return startedAfterCrash
@@ -103,7 +103,7 @@
 
 // addBroken moves a run whose connection broke to the crash check in progress, or starts a check; first reports whether
 // it did, so that the caller has to do the check.
-func (s *serverRuns) addBroken(now time.Time, r *serverRun) (e *crashCheck, first bool) {
+func (s *serverRuns) addBroken(now time.Time, r *serverRun) (check *crashCheck, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.running, r)
@@ -148,14 +148,14 @@
 		b.runs.end(r)
 		return b.brokenRunAnswer(r, a)
 	}
-	e, first := b.runs.addBroken(b.n.clock.Now(), r)
+	check, first := b.runs.addBroken(b.n.clock.Now(), r)
 	if first {
 		crashed := b.hasCrashed()
 		b.n.setNotListening(crashed)
 		b.reportCrash(r.lifetime, crashed, b.runs.finishCheck(b.n.clock.Now(), r.lifetime, crashed))
-		close(e.done) // by now a retried copy of the poison request is recognized as a suspect
+		close(check.done) // by now a retried copy of the poison request is recognized as a suspect
 	} else {
-		<-e.done
+		<-check.done
 	}
 	return b.brokenRunAnswer(r, a)
 }
@@ -231,25 +231,25 @@
 		return
 	}
 	now := b.n.clock.Now()
-	e := poison.Crash{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: lifetime}, Service: broken[0].q.Service}
+	crash := poison.Crash{Lifetime: poison.Lifetime{Host: b.n.ip, Instance: lifetime}, Service: broken[0].q.Service}
 	for _, r := range broken {
-		e.Runs = append(e.Runs, poison.Run{
+		crash.Runs = append(crash.Runs, poison.Run{
 			Identity: r.q.identity(), Stages: r.q.Stages, RecentSuccess: b.recentSuccesses.Recent(now, r.q.fingerprintInput()), Route: r.q.Route, Request: r.q.id,
 		})
 	}
-	if !b.n.poison.RecordCrash(now, e) {
+	if !b.n.poison.RecordCrash(now, crash) {
 		return // a run that was sent to the same lifetime after its crash
 	}
 	b.n.metrics.count("server_ends_total")
-	b.n.callLog.Warn("backend server crashed", "instance", lifetime, "runs", len(broken), "under", loggedRuns(now, broken, e))
-	b.n.enqueue(func() { b.n.reportServerCrash(e) })
+	b.n.callLog.Warn("backend server crashed", "instance", lifetime, "runs", len(broken), "under", loggedRuns(now, broken, crash))
+	b.n.enqueue(func() { b.n.reportServerCrash(crash) })
 }
 
 // loggedRuns returns the first runs as the log shows them.
-func loggedRuns(now time.Time, broken []*serverRun, e poison.Crash) []loggedRun {
+func loggedRuns(now time.Time, broken []*serverRun, crash poison.Crash) []loggedRun {
 	logged := make([]loggedRun, 0, min(len(broken), maxLoggedRuns))
 	for i, r := range broken[:min(len(broken), maxLoggedRuns)] {
-		logged = append(logged, loggedRun{r.q.id, e.Runs[i].Identity.Widest().String(), now.Sub(r.started).Milliseconds()})
+		logged = append(logged, loggedRun{r.q.id, crash.Runs[i].Identity.Widest().String(), now.Sub(r.started).Milliseconds()})
 	}
 	return logged
 }
--- a/pkg/mesh/service_capacity_test.go
+++ b/pkg/mesh/service_capacity_test.go
@@ -84,9 +84,9 @@
 				s.waitUntilKnown(1)
 				s.handleAll(func(_ *fakeServer, w http.ResponseWriter, _ *http.Request) { time.Sleep(time.Second) })
 				time.Sleep(3 * time.Second)
-				usable := func(i int) (slots float64) {
-					c.Assert(s.nodes[i].enqueueAndWait(t.Context(), func() { slots = s.nodes[i].capacity()["a"] }), qt.IsTrue)
-					return slots
+				usable := func(i int) (usable float64) {
+					c.Assert(s.nodes[i].enqueueAndWait(t.Context(), func() { usable = s.nodes[i].capacity()["a"] }), qt.IsTrue)
+					return usable
 				}
 				all := usable(0)
 				c.Assert(all > 30, qt.IsTrue, qt.Commentf("%v", all))
--- a/pkg/mesh/suspect_updates.go
+++ b/pkg/mesh/suspect_updates.go
@@ -52,8 +52,8 @@
 )
 
 // addCrash adds the crash of a server.
-func (s *suspectUpdates) addCrash(now time.Time, e poison.Crash) {
-	s.crashes = append(s.crashes, crashUpdate{e, now})
+func (s *suspectUpdates) addCrash(now time.Time, crash poison.Crash) {
+	s.crashes = append(s.crashes, crashUpdate{crash, now})
 }
 
 // addCase adds a case that changed, as another node sent it.
@@ -96,11 +96,11 @@
 }
 
 // reportServerCrash sends the crash of the server on this VM to other nodes. It runs in the control goroutine.
-func (n *Node) reportServerCrash(e poison.Crash) {
+func (n *Node) reportServerCrash(crash poison.Crash) {
 	now := n.clock.Now()
-	n.control.suspects.addCrash(now, e)
-	n.markServerCrashed(e)
-	n.sendSuspectUpdates(n.updateTargets(crashNearNodes, crashFarNodes), []poison.Crash{e}, nil)
+	n.control.suspects.addCrash(now, crash)
+	n.markServerCrashed(crash)
+	n.sendSuspectUpdates(n.updateTargets(crashNearNodes, crashFarNodes), []poison.Crash{crash}, nil)
 }
 
 // updateTargets returns up to near random nodes of this zone and up to farOfEach of each other zone. Seeds are left
@@ -137,11 +137,11 @@
 // this zone.
 func (n *Node) applySuspectUpdates(now time.Time, crashes []poison.Crash, cases []poison.Case) {
 	var newCrashes []poison.Crash
-	for _, e := range crashes {
-		if n.poison.RecordCrash(now, e) {
-			n.control.suspects.addCrash(now, e)
-			n.markServerCrashed(e)
-			newCrashes = append(newCrashes, e)
+	for _, crash := range crashes {
+		if n.poison.RecordCrash(now, crash) {
+			n.control.suspects.addCrash(now, crash)
+			n.markServerCrashed(crash)
+			newCrashes = append(newCrashes, crash)
 		}
 	}
 	for _, c := range cases {
@@ -155,12 +155,12 @@
 }
 
 // markServerCrashed keeps requests away from a server that crashed.
-func (n *Node) markServerCrashed(e poison.Crash) {
+func (n *Node) markServerCrashed(crash poison.Crash) {
 	n.peersMu.Lock()
-	p := n.peers[e.Lifetime.Host]
+	p := n.peers[crash.Lifetime.Host]
 	n.peersMu.Unlock()
 	if p != nil {
-		p.markServerCrashed(n.clock.Now(), e.Lifetime.Instance)
+		p.markServerCrashed(n.clock.Now(), crash.Lifetime.Instance)
 	}
 }
 
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -23,8 +23,8 @@
 	unresponsiveUntil map[string]time.Time
 }
 
-// quotaRules returns the operator's quota settings as rules of package quota.
-func quotaRules(m *settings.Mesh) quota.Config {
+// quotaConfig returns the operator's quota settings as the configuration of package quota.
+func quotaConfig(m *settings.Mesh) quota.Config {
 	return quota.Config{Window: m.QuotaWindow, Excess: m.QuotaExcess, Slack: m.QuotaSlack, Zones: len(m.Zones)}
 }
 
