--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// enqueueAndWait passes work to the control goroutine and waits until it is done. It returns false if ctx ends or the node is halted first;
-// the work may still run then, so the caller must not read what it sets.
+// enqueueAndWait passes work to the control goroutine and waits until it is done. It returns false if ctx ends or the node is
+// halted first; the work may still run then, so the caller must not read what it sets.
 func (n *Node) enqueueAndWait(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	work := func() {
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -30,7 +30,7 @@
 
 // clientDescriptorShare is the share of the process's file descriptors for client connections; the rest is for the backend server, other nodes and
 // the store. Above it the connections that have been idle longest are closed. Without a bound, clients that open a connection for each attempt
-// and keep it can use up all descriptors; the node then says that it is ready but accepts no connection until some have been idle for
+// and keep it can use up all descriptors; the node then reports that it is ready but accepts no connection until some have been idle for
 // idleTimeout. With a bound of 20, all of 60 clients that keep their connections open are answered, and 20 connections remain.
 const clientDescriptorShare = 0.5
 
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// isListenerClosed reports whether an error says that the listener was closed.
+// isListenerClosed reports whether an error means that the listener was closed.
 func isListenerClosed(err error) bool {
 	return eris.Is(err, http.ErrServerClosed) || eris.Is(err, net.ErrClosed)
 }
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -62,7 +62,7 @@
 	// races with the other side closing the connection.
 	peerIdleTimeout = 30 * time.Second
 	// crashAvoidanceTime is how long requests avoid a server that crashed. The restarted server is known by its first heartbeat; if the server is up
-	// without one, a single request finds out afterwards, which its node refuses at no cost.
+	// without one, a single request afterwards shows whether it is listening; if it isn't, its node refuses the request at no cost.
 	crashAvoidanceTime = 5 * time.Second
 	// recordSpreadTime is how long a server's record takes to reach all nodes: some rounds of exchanges.
 	recordSpreadTime = time.Second
@@ -206,8 +206,8 @@
 	return p.crashedLifetime != "" && p.crashedLifetime == p.lifetime && now.Before(p.crashedUntil)
 }
 
-// usable reports whether requests may be sent to the peer: it isn't backed off and its server isn't down. After a backoff it gets one request at a time
-// until it answers.
+// usable reports whether requests may be sent to the peer: it isn't backed off and its server isn't down. After a backoff it
+// gets one request at a time until it answers.
 func (p *peer) usable(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/mesh/retry_budget.go
+++ b/pkg/mesh/retry_budget.go
@@ -59,7 +59,7 @@
 const (
 	// retryRatioShare is the share of the operator's ratio that is deposited for the service itself. A request may be
 	// retried at several levels above a service, and all these retries add up there: with callers at two more levels
-	// the shares come to 0.85. The rest covers demand that ends within a window.
+	// the shares come to 0.85. The rest allows for demand that ends within a window.
 	retryRatioShare = 0.45
 	// retryDownstreamShare is the share of the ratio that is deposited for the services that the request's calls run on.
 	retryDownstreamShare = 0.2
--- a/pkg/mesh/store_epoch.go
+++ b/pkg/mesh/store_epoch.go
@@ -11,7 +11,7 @@
 // storeEpoch is the newest epoch of the store known to this node. After an outage the store may be restored from a backup
 // some seconds old, in a new epoch: writes acknowledged since the backup are lost, and their versions are assigned again.
 //
-// What depends on the store's answers, and what happens to it in a new epoch:
+// What depends on the store's answers, and its treatment in a new epoch:
 //
 //   - The feed of the desired state: a Cursor contains its epoch, and the whole state is read again.
 //   - The desired state: one that is older than the one in force is never applied.
--- a/pkg/mesh/suspect_trial.go
+++ b/pkg/mesh/suspect_trial.go
@@ -19,7 +19,7 @@
 	suspectRetryDelay = 300 * time.Millisecond
 )
 
-// trial is held by the suspect that is tried alone at the server on this VM; its zero value is free.
+// trial admits one suspect at a time to the server on this VM, for suspects that are tried alone; its zero value is free.
 type trial struct {
 	mu   sync.Mutex
 	done chan struct{} // closed when the trial in progress ends; nil: none is in progress
@@ -54,7 +54,7 @@
 	wait := time.NewTimer(trialWait)
 	defer wait.Stop()
 	// The sender may know of a crash that isn't known here yet; without its stages two copies that came at that moment ran
-	// side by side. A request that has waited goes by the local stages, which the run that it waited for has updated. The
+	// side by side. For a request that has waited only the local stages count, which the run that it waited for has updated. The
 	// sender's stages don't count for requests that were recently successful here.
 	senderStages := q.Stages.WithoutSuccessful(b.recentSuccesses.Recent(b.n.clock.Now(), q.fingerprintInput()))
 	for {
