--- a/pkg/mesh/exchange_peers.go
+++ b/pkg/mesh/exchange_peers.go
@@ -13,16 +13,16 @@
 
 const (
 	anyZone        zoneScope = iota
-	ownZoneOnly              // in the own zone
+	localZoneOnly            // in the local zone
 	otherZonesOnly           // in the others
 )
 
-// includes reports whether the scope includes the own zone (near) or the others.
-func (w zoneScope) includes(near bool) bool { return w == anyZone || (w == ownZoneOnly) == near }
+// includes reports whether the scope includes the local zone (near) or the others.
+func (s zoneScope) includes(near bool) bool { return s == anyZone || (s == localZoneOnly) == near }
 
 // exchangeTargets returns up to fanout random peers, seeds included while fewer peers are known.
-func (n *Node) exchangeTargets(fanout int, where zoneScope) []exchangeTarget {
-	targets := n.knownTargets(where)
+func (n *Node) exchangeTargets(fanout int, scope zoneScope) []exchangeTarget {
+	targets := n.knownTargets(scope)
 	if len(targets) < fanout {
 		for _, h := range n.seedHosts() {
 			targets = append(targets, exchangeTarget{host: h})
@@ -32,20 +32,20 @@
 }
 
 // knownTargets returns all known peers in the scope.
-func (n *Node) knownTargets(where zoneScope) []exchangeTarget {
+func (n *Node) knownTargets(scope zoneScope) []exchangeTarget {
 	var targets []exchangeTarget
 	for _, r := range n.control.directory.All() {
-		if r.Host != n.ip && where.includes(r.Zone == n.cfg.Zone) {
+		if r.Host != n.ip && scope.includes(r.Zone == n.cfg.Zone) {
 			targets = append(targets, exchangeTarget{r.Host, r.Zone})
 		}
 	}
 	return targets
 }
 
-// randomTargets shuffles the targets in place and returns up to most of them.
-func randomTargets(targets []exchangeTarget, most int) []exchangeTarget {
+// randomTargets shuffles the targets in place and returns up to count of them.
+func randomTargets(targets []exchangeTarget, count int) []exchangeTarget {
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	return targets[:min(most, len(targets))]
+	return targets[:min(count, len(targets))]
 }
 
 // seedHosts returns the hosts of the configured seeds, without this node.
--- a/pkg/mesh/exchange_test.go
+++ b/pkg/mesh/exchange_test.go
@@ -33,6 +33,7 @@
 	return m
 }
 
+// sampleReport returns a report of a node with eight routes that begin there and four that run there.
 func sampleReport(host string) nodeReport {
 	r := nodeReport{Report: loads.Report{Host: host, Epoch: 1789204436009, Seq: 500, Service: "huvo11a", UsableSlots: 81.88, Entries: map[string]loads.Entry{}, Runs: map[string]loads.RunStats{}}}
 	for k := range 8 {
@@ -45,6 +46,7 @@
 	return r
 }
 
+// mustPack encodes a value as pack does, and panics on an error.
 func mustPack(v any) []byte {
 	b, err := pack(v)
 	if err != nil {
@@ -118,7 +120,7 @@
 	for _, r := range []directory.Record{{Host: "a1", Zone: "a"}, {Host: "a2", Zone: "a"}, {Host: "b1", Zone: "b"}} {
 		n.control.directory.Merge(r)
 	}
-	near, far := n.exchangeTargets(5, ownZoneOnly), n.exchangeTargets(5, otherZonesOnly)
+	near, far := n.exchangeTargets(5, localZoneOnly), n.exchangeTargets(5, otherZonesOnly)
 	c.Assert(slices.Equal(near, []exchangeTarget{{"a2", "a"}}), qt.IsTrue, qt.Commentf("%v", near))
 	c.Assert(slices.Equal(far, []exchangeTarget{{"b1", "b"}}), qt.IsTrue, qt.Commentf("%v", far))
 	c.Assert(n.exchangeTargets(5, anyZone), qt.HasLen, 2)
--- a/pkg/mesh/newer_state_test.go
+++ b/pkg/mesh/newer_state_test.go
@@ -19,13 +19,14 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// asking is a node of a large zone with a desired state, and the hosts from which it requested a newer one.
+// fetchingNode is a node of a large zone with a desired state, and the hosts from which it requested a newer one.
 type fetchingNode struct {
 	*Node
 	mu        sync.Mutex
 	requested []string
 }
 
+// newFetchingNode returns a node of zone a that knows the peer "near" there; its dials are recorded and refused.
 func newFetchingNode() *fetchingNode {
 	a := &fetchingNode{Node: &Node{ip: "n", clock: clock.Real{}, cfg: settings.Settings{Zone: "a", Mesh: &settings.Mesh{}, Listen: settings.Listen{Peers: "n:1"}}}}
 	a.controlLog = slog.New(slog.DiscardHandler)
@@ -43,7 +44,7 @@
 	return a
 }
 
-// after runs fetchDueState as the control goroutine does for the given time, and returns the hosts queried meanwhile.
+// requestedDuring runs fetchDueState as the control goroutine does for the given time, and returns the hosts queried meanwhile.
 func (a *fetchingNode) requestedDuring(d time.Duration) []string {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(tickPeriod) {
 		a.fetchDueState(time.Now())
@@ -51,9 +52,9 @@
 	synctest.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	asked := a.requested
+	requested := a.requested
 	a.requested = nil
-	return slices.Compact(asked)
+	return slices.Compact(requested)
 }
 
 // Guards against each node fetching a state of a thousand routes from another zone if it learns of the version there first.
@@ -65,11 +66,11 @@
 		a.scheduleFetch(time.Now(), "far", 2)
 		c.Assert(a.requestedDuring(crossZoneFetchDelay/2), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "near", 2)
-		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the own zone is queried at once"))
+		c.Assert(a.requestedDuring(tickPeriod), qt.DeepEquals, []string{"near"}, qt.Commentf("a node of the local zone is queried at once"))
 		a.state.Store(&desired.State{Version: 2})
 		c.Assert(a.requestedDuring(time.Second), qt.HasLen, 0)
 		a.scheduleFetch(time.Now(), "far", 3)
-		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("no node of the own zone has it"))
+		c.Assert(a.requestedDuring(crossZoneFetchDelay+2*tickPeriod), qt.DeepEquals, []string{"far"}, qt.Commentf("no node of the local zone has it"))
 	})
 }
 
@@ -114,8 +115,8 @@
 		{message{Zone: "a", Version: 4}, true},
 		{message{Zone: "a", Version: 5}, false},
 	} {
-		c.Check(len(a.newAnswer(&x.to).State) > 0, qt.Equals, x.given, qt.Commentf("%+v", x.to))
+		c.Check(len(a.newResponse(&x.to).State) > 0, qt.Equals, x.given, qt.Commentf("%+v", x.to))
 	}
 	a.control.zoneHosts = a.control.zoneHosts[:follow.SmallZoneSize]
-	c.Check(a.newAnswer(&message{Zone: "b", Version: 4}).State, qt.Not(qt.HasLen), 0, qt.Commentf("a small zone has no followers of its own"))
+	c.Check(a.newResponse(&message{Zone: "b", Version: 4}).State, qt.Not(qt.HasLen), 0, qt.Commentf("a small zone has no followers of its own"))
 }
--- a/pkg/mesh/peer.go
+++ b/pkg/mesh/peer.go
@@ -62,7 +62,7 @@
 	// races with the other side closing the connection.
 	peerIdleTimeout = 30 * time.Second
 	// crashAvoidanceTime is how long requests avoid a server that crashed. The restarted server is known by its first heartbeat; if the server is up
-	// without one, a single request finds out afterwards, which its node refuses at no cost.
+	// without one, a single request afterwards shows whether it is listening; if it isn't, its node refuses the request at no cost.
 	crashAvoidanceTime = 5 * time.Second
 	// recordSpreadTime is how long a server's record takes to reach all nodes: some rounds of exchanges.
 	recordSpreadTime = time.Second
@@ -92,7 +92,7 @@
 	return p
 }
 
-// updateFromRecord takes over what a record says about the peer's server.
+// updateFromRecord updates the peer with its server's record; zone is this node's availability zone.
 func (p *peer) updateFromRecord(now time.Time, r directory.Record, zone string) {
 	p.sameZone.Store(r.Zone == zone)
 	p.slots.Store(int64(r.Slots))
@@ -133,7 +133,7 @@
 	return p.zone
 }
 
-// receivedReply takes over the load that came with an answer and ends the backoff.
+// receivedReply records the load and the stopping state that came with an answer and ends the backoff.
 func (p *peer) receivedReply(now time.Time, r peerReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +145,7 @@
 	p.setStopping(now, r.Stopping)
 }
 
-// setStopping notes whether the peer says that it is stopping; p.mu must be held.
+// setStopping records whether the peer reports that it is stopping; p.mu must be held.
 func (p *peer) setStopping(now time.Time, stopping bool) {
 	switch {
 	case !stopping:
@@ -206,8 +206,8 @@
 	return p.crashedLifetime != "" && p.crashedLifetime == p.lifetime && now.Before(p.crashedUntil)
 }
 
-// usable reports whether requests may be sent to the peer: it isn't backed off and its server isn't down. After a backoff it gets one request at a time
-// until it answers.
+// usable reports whether requests may be sent to the peer: it isn't backed off and its server isn't down. After a backoff it
+// gets one request at a time until it answers.
 func (p *peer) usable(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/mesh/team_quotas.go
+++ b/pkg/mesh/team_quotas.go
@@ -23,8 +23,8 @@
 	unresponsiveUntil map[string]time.Time
 }
 
-// quotaRules returns the operator's quota settings as rules of package quota.
-func quotaRules(m *settings.Mesh) quota.Config {
+// quotaConfig returns the operator's quota settings as the configuration of package quota.
+func quotaConfig(m *settings.Mesh) quota.Config {
 	return quota.Config{Window: m.QuotaWindow, Excess: m.QuotaExcess, Slack: m.QuotaSlack, Zones: len(m.Zones)}
 }
 
@@ -162,7 +162,7 @@
 // returns the response, and whether an owner gave it.
 func (n *Node) requestTokensFromOwner(ctx context.Context, zone string, team *desired.Team, want int) (quotaResponse, bool) {
 	req := quotaRequest{Team: team.Name, Want: want, Zone: n.cfg.Zone}
-	host := n.roles.Load().rings[zone].OwnerOf(team.Name)
+	host := n.roles.Load().quotaOwners[zone].OwnerOf(team.Name)
 	for range 2 {
 		if host == n.ip {
 			res := n.grantTokens(&req)
