--- a/pkg/cli/cases_test.go
+++ b/pkg/cli/cases_test.go
@@ -29,7 +29,7 @@
 
 // masks replace output that differs between runs by fixed words.
 var masks = []struct {
-	pattern     *regexp.Regexp
+	pattern *regexp.Regexp
 	replacement string
 }{
 	{regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`), "CHANGE-ID"},
@@ -71,7 +71,7 @@
 	objs, err := config.Parse(file, data)
 	c.Assert(err, qt.IsNil)
 	ctx := context.Background()
-	c.Assert(node.WriteFirst(ctx, mem.Platform(), config.Document{Version: 1, ChangeID: "first", Author: "ama", Objects: objs}), qt.IsNil)
+	c.Assert(node.WriteInitialDocument(ctx, mem.Platform(), config.Document{Version: 1, ChangeID: "first", Author: "ama", Objects: objs}), qt.IsNil)
 	k, err := keys.Open(keys.Files{
 		CA: filepath.Join(dir, keys.FileCA), Cert: filepath.Join(dir, "hire-ledger-0.crt"),
 		Key: filepath.Join(dir, "hire-ledger-0.key"), TokenSecret: filepath.Join(dir, keys.FileSecret),
--- a/pkg/cli/cli_change.go
+++ b/pkg/cli/cli_change.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return err
 		}
-		if len(r.Behind) == 0 && len(r.Silent) == 0 {
+		if len(r.Behind) == 0 && len(r.Unresponsive) == 0 {
 			fmt.Fprintf(e.stdout, "version %d is in force at all %d daemons, %.1f s after it was accepted\n",
 				version, len(r.InForce), time.Since(start).Seconds())
 			return nil
@@ -68,10 +68,10 @@
 			for vm, v := range r.Behind {
 				fmt.Fprintf(e.stdout, "behind: %s has version %d\n", vm, v)
 			}
-			for _, vm := range r.Silent {
+			for _, vm := range r.Unresponsive {
 				fmt.Fprintf(e.stdout, "no answer: %s\n", vm)
 			}
-			return &NotInForceError{version, len(r.Behind), len(r.Silent)}
+			return &NotInForceError{version, len(r.Behind), len(r.Unresponsive)}
 		}
 		select {
 		case <-time.After(pollPeriod):
@@ -83,9 +83,9 @@
 
 // changeFlags holds the flags that all commands which make a change share.
 type changeFlags struct {
-	wait    bool
+	wait bool
 	maxWait time.Duration
-	note    string
+	note string
 }
 
 // register adds the flags to fs.
--- a/pkg/cli/query_status.go
+++ b/pkg/cli/query_status.go
@@ -79,7 +79,7 @@
 // versionsTable writes one row for each daemon: in force, behind or unresponsive.
 func versionsTable(t io.Writer, r node.VersionReport) {
 	slices.Sort(r.InForce)
-	slices.Sort(r.Silent)
+	slices.Sort(r.Unresponsive)
 	writeRow(t, "VM", fmt.Sprintf("VERSION %d", r.Version))
 	for _, vm := range r.InForce {
 		writeRow(t, vm, "in force")
@@ -87,7 +87,7 @@
 	for vm, v := range r.Behind {
 		writeRow(t, vm, fmt.Sprintf("behind, has %d", v))
 	}
-	for _, vm := range r.Silent {
+	for _, vm := range r.Unresponsive {
 		writeRow(t, vm, "no answer")
 	}
 }
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	log := f.Part("keys")
+	log := f.Logger("keys")
 	k.OnRejected = func(err error) { log.Warn("certificate rejected", "err", err) }
 	return k, nil
 }
@@ -67,7 +67,7 @@
 // newNode provides the node.
 func newNode(cfg settings.Settings, p store.Platform, k *keys.Store, c clock.Clock, m *metric.Set, f logging.Factory) (*node.Node, error) {
 	return node.New(node.Options{
-		Settings: cfg, Platform: p, Keys: k, Clock: c, Metrics: m, Logger: f.Part,
+		Settings: cfg, Platform: p, Keys: k, Clock: c, Metrics: m, Logger: f.Logger,
 	})
 }
 
@@ -97,7 +97,7 @@
 
 // watchSignals logs the state on SIGUSR1, and reloads the key files on SIGHUP and every keyReloadPeriod.
 func watchSignals(lc fx.Lifecycle, n *node.Node, k *keys.Store, c clock.Clock, f logging.Factory) {
-	log := f.Part("daemon")
+	log := f.Logger("daemon")
 	w := &signalWatch{
 		dump:   func() any { return n.Dump() },
 		reload: func() { reloadKeys(k, log) },
--- a/pkg/daemon/mesh_daemon.go
+++ b/pkg/daemon/mesh_daemon.go
@@ -42,7 +42,7 @@
 
 // newMeshLoggerFactory provides loggers that write JSON lines to w through a queue, which is flushed on stop.
 func newMeshLoggerFactory(lc fx.Lifecycle, cfg settings.Settings, w io.Writer, c clock.Clock) logging.Factory {
-	q := logging.NewQueue(w, c, logging.DefaultQueue)
+	q := logging.NewQueue(w, c, logging.DefaultQueueSize)
 	lc.Append(fx.Hook{OnStop: func(context.Context) error {
 		q.Close(flushTimeout)
 		return nil
@@ -63,7 +63,7 @@
 	store := &platform.StoreClient{URL: cfg.Platform.URL, HTTP: mesh.NewStoreHTTP(ip)}
 	return mesh.New(mesh.Options{
 		Settings: cfg, Names: platform.Headers, Store: store.Store(), Decode: platform.DecodeState,
-		Control: platform.Control, Clock: c, Logger: f.Part,
+		Control: platform.ControlHandler, Clock: c, Logger: f.Logger,
 	})
 }
 
@@ -74,7 +74,7 @@
 
 // watchMeshSignals logs the state on SIGUSR1 and reloads the settings file on SIGHUP.
 func watchMeshSignals(lc fx.Lifecycle, file string, n *mesh.Node, f logging.Factory) {
-	log := f.Part("daemon")
+	log := f.Logger("daemon")
 	w := &signalWatch{
 		dump:   func() any { return n.Dump() },
 		reload: func() { reloadSettings(file, n, log) },
--- a/pkg/mesh/authenticate.go
+++ b/pkg/mesh/authenticate.go
@@ -18,9 +18,9 @@
 
 var (
 	// unknownKey: the newest desired state has no such key.
-	unknownKey = &keyRefusal{wire.ReasonNoKey, http.StatusUnauthorized}
+	unknownKey = &keyRefusal{wire.ReasonNoTeamKey, http.StatusUnauthorized}
 	// unverifiableKey: a newer desired state that this node doesn't have may have added or removed the key.
-	unverifiableKey = &keyRefusal{wire.ReasonOldState, http.StatusServiceUnavailable}
+	unverifiableKey = &keyRefusal{wire.ReasonStaleState, http.StatusServiceUnavailable}
 )
 
 // needsKeys reports whether requests need a key, except on public routes. With strict revocation they need one even
@@ -102,8 +102,8 @@
 	if !n.cfg.Mesh.StrictRevoke {
 		return true
 	}
-	now := clock.Boot(n.clock)
-	n.proofs.withKeeper(func(k *freshness.ProofTracker) { accept = k.MayAcceptKey(now, s.Version) })
+	now := clock.BootNow(n.clock)
+	n.proofs.withTracker(func(t *freshness.ProofTracker) { accept = t.MayAcceptKey(now, s.Version) })
 	return accept
 }
 
@@ -114,8 +114,8 @@
 	}
 	certain := true
 	if n.cfg.Mesh.StrictRevoke {
-		now := clock.Boot(n.clock)
-		n.proofs.withKeeper(func(k *freshness.ProofTracker) { certain = k.MayRejectUnknownKey(now, s.Version) })
+		now := clock.BootNow(n.clock)
+		n.proofs.withTracker(func(t *freshness.ProofTracker) { certain = t.MayRejectUnknownKey(now, s.Version) })
 	}
 	return certain
 }
--- a/pkg/mesh/client_connections_test.go
+++ b/pkg/mesh/client_connections_test.go
@@ -12,15 +12,15 @@
 	c := qt.New(t)
 	s := newThreeServerSite(t)
 	n := s.nodes[0]
-	n.clients.SetMost(20)
+	n.clients.SetLimit(20)
 	for range 60 {
-		kept := &http.Client{Transport: &http.Transport{}}
-		defer kept.CloseIdleConnections()
+		persistent := &http.Client{Transport: &http.Transport{}}
+		defer persistent.CloseIdleConnections()
 		all := s.clients
-		s.clients = kept
+		s.clients = persistent
 		status, _, _ := s.request(0, http.MethodGet, "/read/x", "q", defaultTimeLeft)
 		s.clients = all
 		c.Assert(status, qt.Equals, http.StatusOK)
 	}
-	c.Assert(n.clients.Open() <= 20, qt.IsTrue, qt.Commentf("%d open", n.clients.Open()))
+	c.Assert(n.clients.OpenCount() <= 20, qt.IsTrue, qt.Commentf("%d open", n.clients.OpenCount()))
 }
--- a/pkg/mesh/control_loop.go
+++ b/pkg/mesh/control_loop.go
@@ -48,7 +48,7 @@
 	nextUsableLog time.Time
 	nextCallsLog  time.Time
 	calls         map[string]callgraph.Rates // calls per run, by route
-	shares        map[string]bool            // routes with an admitted_share metric
+	shares        map[string]bool            // kinds with an admitted_share metric
 }
 
 // tickPeriod is the time between checks for due work.
@@ -79,8 +79,8 @@
 	}
 }
 
-// enqueueAndWait passes work to the control goroutine and waits until it is done. It returns false if ctx ends or the node is halted first;
-// the work may still run then, so the caller must not read what it sets.
+// enqueueAndWait passes work to the control goroutine and waits until it is done. It returns false if ctx ends or the node is
+// halted first; the work may still run then, so the caller must not read what it sets.
 func (n *Node) enqueueAndWait(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	work := func() {
@@ -106,7 +106,7 @@
 
 // tick does the work of the control goroutine that is due.
 func (n *Node) tick(ctx context.Context) {
-	if d := clock.NoteSuspension(n.clock); d > 0 {
+	if d := clock.DetectSuspension(n.clock); d > 0 {
 		n.handleSuspension(d)
 	}
 	now := n.clock.Now()
@@ -119,7 +119,7 @@
 	n.sendCleared(now)
 	if !now.Before(n.control.nextSweep) {
 		n.control.nextSweep = now.Add(sweepPeriod)
-		n.forEachPool((*httpconn.Pool).Sweep)
+		n.forEachPool((*httpconn.Pool).CloseExpired)
 		n.poison.RemoveExpired(now)
 	}
 	if !now.Before(n.control.nextStatsUpdate) {
--- a/pkg/mesh/explain_failure_test.go
+++ b/pkg/mesh/explain_failure_test.go
@@ -54,7 +54,7 @@
 func (s *site) logTo(log *logBuffer) {
 	factory := logging.Factory{W: log, Clock: clock.Real{}, JSON: true, PerSecond: 1000}
 	for _, n := range s.nodes {
-		n.callLog = factory.Part("call").With("node", n.ip)
+		n.callLog = factory.Logger("call").With("node", n.ip)
 	}
 }
 
@@ -113,6 +113,7 @@
 	c.Assert(hasLine(lines, "call: not served", "tried", "3"), qt.IsTrue)
 }
 
+// metricsText returns the metrics of a node in the Prometheus text format.
 func metricsText(n *Node) string {
 	var b bytes.Buffer
 	n.metrics.writeText(&b)
--- a/pkg/mesh/listeners.go
+++ b/pkg/mesh/listeners.go
@@ -16,7 +16,7 @@
 func (n *Node) newServers(l settings.Listen, control http.Handler) []*http.Server {
 	servers := []*http.Server{
 		n.newPeerServer(l.Peers),
-		n.clientServer(l.Outbound),
+		n.newClientServer(l.Outbound),
 		n.newServer(l.Control, control),
 	}
 	if l.Ready != l.Control {
@@ -30,16 +30,16 @@
 
 // clientDescriptorShare is the share of the process's file descriptors for client connections; the rest is for the backend server, other nodes and
 // the store. Above it the connections that have been idle longest are closed. Without a bound, clients that open a connection for each attempt
-// and keep it can use up all descriptors; the node then says that it is ready but accepts no connection until some have been idle for
+// and keep it can use up all descriptors; the node then reports that it is ready but accepts no connection until some have been idle for
 // idleTimeout. With a bound of 20, all of 60 clients that keep their connections open are answered, and 20 connections remain.
 const clientDescriptorShare = 0.5
 
-// clientServer returns the HTTP server for clients and the local backend server.
-func (n *Node) clientServer(addr string) *http.Server {
+// newClientServer returns the HTTP server for clients and the local backend server.
+func (n *Node) newClientServer(addr string) *http.Server {
 	s := n.newServer(addr, n.outboundHandler())
-	n.clients.SetMost(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
-	n.clients.Closed = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
-	s.ConnState = n.clients.Follow
+	n.clients.SetLimit(int(clientDescriptorShare * float64(clientconns.MaxDescriptors())))
+	n.clients.OnEvicted = func(closed int) { n.metrics.add(int64(closed), "client_connections_closed_total") }
+	s.ConnState = n.clients.TrackState
 	return s
 }
 
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// isListenerClosed reports whether an error says that the listener was closed.
+// isListenerClosed reports whether an error means that the listener was closed.
 func isListenerClosed(err error) bool {
 	return eris.Is(err, http.ErrServerClosed) || eris.Is(err, net.ErrClosed)
 }
--- a/pkg/mesh/lost_requests.go
+++ b/pkg/mesh/lost_requests.go
@@ -20,17 +20,17 @@
 	lostAttemptWindow = 100 * time.Millisecond
 	// inProgressTimeout bounds such a query.
 	inProgressTimeout = 250 * time.Millisecond
-	// maxInProgressBytes bounds the query: MostAsked ids, each of which may be as long as a header line usually may.
+	// maxInProgressBytes bounds the query: awaited.MaxQueried ids, each of which may be as long as a header line usually may.
 	maxInProgressBytes = awaited.MaxQueried * (8 << 10)
 )
 
-// inProgressQuery asks a node which of the requests, by attempt id, it doesn't have.
+// inProgressQuery queries a node which of the requests, by attempt id, it doesn't have.
 type inProgressQuery struct {
 	IDs []string `codec:"i"`
 }
 
-// inProgressReply lists the requests that the node doesn't have.
-type inProgressReply struct {
+// inProgressResponse lists the requests that the node doesn't have.
+type inProgressResponse struct {
 	Missing []string `codec:"m"`
 }
 
@@ -41,7 +41,7 @@
 // then. The wait ends with errRequestMissing when the peer turns out not to have the request. Once-only work is never
 // given up this way, since that wouldn't make it any clearer whether it ran.
 func (d *delivery) roundTrip(ctx context.Context, p *peer, usual time.Duration, req *httpconn.Request) (*httpconn.Response, error) {
-	if d.q.Once || d.q.stream != nil || d.n.off[settings.Silence] {
+	if d.q.Once || d.q.stream != nil || d.n.off[settings.UnresponsivePeers] {
 		return p.pool.Do(ctx, req)
 	}
 	waiting, giveUp := context.WithCancelCause(ctx)
@@ -78,7 +78,7 @@
 	for _, r := range overdue {
 		q.IDs = append(q.IDs, r.ID)
 	}
-	var a inProgressReply
+	var a inProgressResponse
 	if err := n.queryNodeSince(ctx, overdue[0].Sent, p.host, inProgressPath, inProgressTimeout, &q, &a); err != nil {
 		n.controlLog.Debug("in-progress query failed", "peer", p.host, "err", err)
 		a.Missing = nil // unknown, so the requests keep waiting
@@ -86,14 +86,14 @@
 	for _, r := range p.awaited.FinishQuery(n.clock.Now(), overdue, a.Missing) {
 		n.metrics.count("requests_lost_total")
 		n.callLog.Warn("request lost on an unresponsive connection", "peer", p.host, "request", r.ID, "waited_ms", n.clock.Now().Sub(r.Sent).Milliseconds())
-		p.pool.DropRested(r.Sent)
+		p.pool.CloseIdleBefore(r.Sent)
 	}
 }
 
-// serveInProgress tells another node which of its requests this node doesn't have.
+// serveInProgress answers another node's query with those of its requests that this node doesn't have.
 func (n *Node) serveInProgress(w http.ResponseWriter, r *http.Request) {
 	var q inProgressQuery
 	if n.readNodeRequest(w, r, maxInProgressBytes, &q, func() bool { return len(q.IDs) <= awaited.MaxQueried }) {
-		n.writeNodeResponse(w, inProgressReply{Missing: n.peerRequests.Missing(q.IDs)})
+		n.writeNodeResponse(w, inProgressResponse{Missing: n.peerRequests.Missing(q.IDs)})
 	}
 }
--- a/pkg/mesh/network_test.go
+++ b/pkg/mesh/network_test.go
@@ -66,11 +66,12 @@
 // maxDeadConnUse is how long a connection that is unresponsive on TCP may be used, with a margin for a busy machine.
 const maxDeadConnUse = deadConnDetectTime + 3*time.Second
 
+// A TCP connection whose other end is cut off fails its request within maxDeadConnUse, and isn't used again when it was idle.
 func TestUnresponsiveTCPConnectionIsDropped(t *testing.T) {
 	c := qt.New(t)
 	l := serveDropping(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	dial := Network{}.dialFunc("127.0.0.1", l.Addr().String(), time.Second)
-	p := &httpconn.Pool{Dial: dial, Clock: clock.Real{}, Idle: time.Minute}
+	p := &httpconn.Pool{Dial: dial, Clock: clock.Real{}, IdleTimeout: time.Minute}
 	t.Cleanup(p.Close)
 	get := func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/pkg/mesh/node.go
+++ b/pkg/mesh/node.go
@@ -33,24 +33,24 @@
 	decode  func([]byte) (*desired.State, error)
 	clock   clock.Clock
 	network Network
-	off     map[settings.Mechanism]bool // never changed
+	off     map[settings.Mechanism]bool // mechanisms that are switched off; never changed
 	ip      string
 	epoch   int64 // identifies this process among earlier ones of the node
 
 	callLog, controlLog *slog.Logger
 
-	state      atomic.Pointer[desired.State]
-	watch      stateWatch
-	proofs     freshnessProofs
-	quotas     teamQuotas
-	roles      atomic.Pointer[teamRoles]
-	storeEpoch storeEpoch
-	knowledge  startKnowledge
-	view       atomic.Pointer[view]
-	started    time.Time
-	knownNodes atomic.Int64 // number of known nodes, including this one
-	stop       stopState
-	backend    *backend
+	state          atomic.Pointer[desired.State]
+	followTracker  sharedFollowTracker
+	proofs         freshnessProofs
+	quotas         teamQuotas
+	roles          atomic.Pointer[teamRoles]
+	storeEpoch     storeEpoch
+	learnedRestore learnedRestore
+	view           atomic.Pointer[view]
+	started        time.Time
+	knownNodes     atomic.Int64 // number of known nodes, including this one
+	stop           stopState
+	backend        *backend
 
 	gateMu sync.Mutex
 	gate   gate.Gate
@@ -61,7 +61,7 @@
 	retryBudgetMu      sync.Mutex
 	retryBudget        overload.RetryBudget
 	poison             poison.Table
-	timeLimits         clock.Limits       // of requests in flight
+	timeLimits         clock.Deadlines    // of requests in flight
 	peerRequests       awaited.InProgress // requests of other nodes in flight here
 	serverNotListening atomic.Bool        // the local backend server has crashed and hasn't been seen since
 	clients            clientconns.Connections
@@ -69,11 +69,11 @@
 	peersMu sync.Mutex
 	peers   map[string]*peer
 
-	events     chan func()
-	done       chan struct{} // closed when the node is halted; made before the start, since a signal handler may enqueue work by then
-	control    controlState
-	records    recordWriter
-	storeWatch storeAvailability
+	events            chan func()
+	done              chan struct{} // closed when the node is halted; made before the start, since a signal handler may enqueue work by then
+	control           controlState
+	records           recordWriter
+	storeAvailability storeAvailability
 
 	servers []*http.Server
 	cancel  context.CancelFunc
@@ -94,7 +94,7 @@
 	}
 	n := &Node{
 		cfg: o.Settings, names: o.Names, store: o.Store, decode: o.Decode, clock: o.Clock, network: o.Network,
-		off: o.Settings.Mesh.OffSet(), ip: host, epoch: o.Clock.Now().UnixMilli(),
+		off: o.Settings.Mesh.DisabledMechanisms(), ip: host, epoch: o.Clock.Now().UnixMilli(),
 		callLog: o.Logger("call"), controlLog: o.Logger("control"),
 		peers:  make(map[string]*peer),
 		events: make(chan func(), eventQueueSize),
@@ -111,14 +111,14 @@
 	n.stats.learner.NoLateCalls = n.off[settings.LateCalls]
 	n.gate.FIFO = n.off[settings.GateOrder]
 	n.metrics.init()
-	n.poison.Policy = o.Settings.Mesh.HeldBack.Rules()
-	n.watch.peersQueried = make(chan struct{})
-	n.watch.ApplyBound = o.Settings.Mesh.Apply
+	n.poison.Policy = o.Settings.Mesh.Quarantine.Policy()
+	n.followTracker.peersQueried = make(chan struct{})
+	n.followTracker.ApplyBound = o.Settings.Mesh.Apply
 	n.proofs.Bound, n.proofs.schedule.Bound = o.Settings.Mesh.Revoke, o.Settings.Mesh.Revoke
-	n.quotas.owner.Config = quotaRules(o.Settings.Mesh)
+	n.quotas.owner.Config = quotaConfig(o.Settings.Mesh)
 	n.roles.Store(&teamRoles{})
-	n.knowledge.fromPeer = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
-	n.knowledge.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
+	n.learnedRestore.fromPeer = o.Settings.Mesh.FirstStart // there is nothing to learn from others yet
+	n.learnedRestore.complete.Store(o.Settings.Mesh.FirstStart || n.off[settings.LearnedMemory])
 	n.updateRetryBudget()
 	n.view.Store(&view{})
 	n.servers = n.newServers(o.Settings.Listen, o.Control(n))
@@ -134,7 +134,7 @@
 	context.AfterFunc(ctx, func() { close(n.done) })
 	n.started = n.clock.Now()
 	if n.cfg.Mesh.FirstStart {
-		n.quotas.owner.FillOnceAt = clock.Boot(n.clock).Add(quota.SettleTime)
+		n.quotas.owner.FillOnceAt = clock.BootNow(n.clock).Add(quota.SettleTime)
 	}
 	for _, s := range n.servers {
 		if err := n.listen(s); err != nil {
--- a/pkg/mesh/quota_owner.go
+++ b/pkg/mesh/quota_owner.go
@@ -52,33 +52,33 @@
 	if !team.HasQuota() {
 		return quotaResponse{Wait: unknownTeamWait}
 	}
-	g := n.quotas.owner.Grant(clock.Boot(n.clock), q.Team, quotaLimit(team), q.Want, q.Zone != n.cfg.Zone)
+	g := n.quotas.owner.Grant(clock.BootNow(n.clock), q.Team, quotaLimit(team), q.Want, q.Zone != n.cfg.Zone)
 	return quotaResponse{Tokens: g.Tokens, Wait: g.Wait}
 }
 
-// unknownTeamWait is when to request again for a team without a limit in the desired state here: a newer state is on its way.
+// unknownTeamWait is when to request again for a team without a limit in the desired state here: a newer state is about to arrive.
 const unknownTeamWait = 100 * time.Millisecond
 
-// zoneOwner returns the owner of a team's quota in this zone. Where that isn't known it returns this node's host, which tells the requester
-// that this node isn't the owner.
+// zoneOwner returns the owner of a team's quota in this zone. Where that isn't known it returns this node's host, by which the requester
+// recognizes that this node isn't the owner.
 func (n *Node) zoneOwner(team string) string {
-	if host := n.roles.Load().rings[n.cfg.Zone].OwnerOf(team); host != "" {
+	if host := n.roles.Load().quotaOwners[n.cfg.Zone].OwnerOf(team); host != "" {
 		return host
 	}
 	return n.ip
 }
 
-// updateQuotaOwnership applies a new assignment of owners in this zone and hands tokens over to new owners; a nil ring means no owners.
+// updateQuotaOwnership applies a new assignment of owners in this zone and hands tokens over to new owners; nil owners means that there are none.
 // presentFraction is the fraction of the zone's known nodes that is present.
-func (n *Node) updateQuotaOwnership(now time.Time, ring *quota.ShardOwners, presentFraction float64) {
+func (n *Node) updateQuotaOwnership(now time.Time, owners *quota.ShardOwners, presentFraction float64) {
 	limits := quotaLimits(n.state.Load())
-	owns := func(shard int) bool { return ring != nil && ring[shard] == n.ip }
+	owns := func(shard int) bool { return owners != nil && owners[shard] == n.ip }
 	n.quotas.mu.Lock()
-	released := n.quotas.owner.UpdateOwnership(clock.Boot(n.clock), owns, presentFraction, n.quotaGrantDelay(now), limits)
+	released := n.quotas.owner.UpdateOwnership(clock.BootNow(n.clock), owns, presentFraction, n.quotaGrantDelay(now), limits)
 	n.quotas.mu.Unlock()
 	byOwner := make(map[string][]quota.Balance)
 	for _, b := range released {
-		if host := ring.OwnerOf(b.Team); host != "" {
+		if host := owners.OwnerOf(b.Team); host != "" {
 			byOwner[host] = append(byOwner[host], b)
 		}
 	}
@@ -102,7 +102,7 @@
 	if !n.readNodeRequest(w, r, maxMessageBytes, &balances, func() bool { return true }) {
 		return
 	}
-	now, state := clock.Boot(n.clock), n.state.Load()
+	now, state := clock.BootNow(n.clock), n.state.Load()
 	n.quotas.mu.Lock()
 	for _, b := range balances {
 		if team := state.Team(b.Team); team.HasQuota() && b.Tokens > 0 {
--- a/pkg/node/call_answer.go
+++ b/pkg/node/call_answer.go
@@ -12,71 +12,73 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// wholeAnswer is the size in bytes up to which an answer is held whole; a longer one is streamed on.
-const wholeAnswer = 64 << 10
+// maxBufferedAnswer is the size in bytes up to which an answer is buffered; a longer one is streamed.
+const maxBufferedAnswer = 64 << 10
 
-// answer is what became of one attempt.
+// answer is the result of one attempt.
 type answer struct {
-	meta   wire.Answer
-	status int // 0 where no backend server answered
-	header http.Header
-	body   []byte
-	rest   io.ReadCloser // what follows body, or nil
-	heard  bool          // a daemon sent it; without, the attempt never arrived or its answer was lost
+	meta       wire.Answer
+	status     int // 0 if no backend server answered
+	header     http.Header
+	body       []byte
+	rest       io.ReadCloser // what follows body, or nil
+	fromDaemon bool          // false if the attempt never arrived or its answer was lost
 }
 
-func refusal(reason wire.Reason, after time.Duration) *answer {
-	return &answer{meta: wire.Answer{Outcome: wire.NotRun, Reason: reason, AfterMS: after.Milliseconds()}}
+// notRunAnswer returns an answer for a call that certainly didn't run, with the time after which the client may retry.
+func notRunAnswer(reason wire.Reason, after time.Duration) *answer {
+	return &answer{meta: wire.Answer{Outcome: wire.NotRun, Reason: reason, RetryAfterMS: after.Milliseconds()}}
 }
 
-func uncertain(reason wire.Reason) *answer {
+// unknownAnswer returns an answer for a call that may have run.
+func unknownAnswer(reason wire.Reason) *answer {
 	return &answer{meta: wire.Answer{Outcome: wire.Unknown, Reason: reason}}
 }
 
-// readBody takes in the answer's body, whole if it is short.
+// readBody reads the start of the body, and closes it if that is all; otherwise rest streams what follows.
 func (a *answer) readBody(body io.ReadCloser) error {
 	buf := make([]byte, 0, 512)
 	w := bytes.NewBuffer(buf)
-	_, err := io.CopyN(w, body, wholeAnswer)
+	_, err := io.CopyN(w, body, maxBufferedAnswer)
 	a.body = w.Bytes()
 	if errors.Is(err, io.EOF) {
 		return body.Close()
 	}
 	if err != nil {
-		_ = body.Close() // the reading error says more
+		_ = body.Close() // the read error matters more
 		return err
 	}
 	a.rest = body
 	return nil
 }
 
-// finish releases what is left of a streamed answer that nobody will read.
-func (a *answer) finish() {
+// discardRest closes a streamed answer that nobody will read.
+func (a *answer) discardRest() {
 	if a.rest != nil {
-		_ = a.rest.Close() // it was not wanted
+		_ = a.rest.Close() // nobody reads it, so its error doesn't matter
 		a.rest = nil
 	}
 }
 
-// recorded is the form in which a home keeps the answer, or nil if it is too long.
-func (a *answer) recorded() *onceonly.RecordedAnswer {
+// toRecorded returns the answer in the form that a home stores, or nil if it is streamed or no backend server gave it.
+func (a *answer) toRecorded() *onceonly.RecordedAnswer {
 	if a.rest != nil || a.status == 0 {
 		return nil
 	}
 	return &onceonly.RecordedAnswer{Status: a.status, Header: a.header, Body: a.body}
 }
 
-// replayed makes an answer out of a home's record.
-func replayed(rec *onceonly.RecordedAnswer) *answer {
+// answerFromRecord returns the answer that a home stored, or status 409 if it stored none.
+func answerFromRecord(rec *onceonly.RecordedAnswer) *answer {
 	if rec == nil || !rec.Complete {
-		// The work ran, and its answer is no longer here: say so rather than send half of it.
+		// The work ran, but its answer isn't stored: report that instead of a partial answer.
 		return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: http.StatusConflict, header: http.Header{}}
 	}
 	return &answer{meta: wire.Answer{Outcome: wire.Ran}, status: rec.Status, header: rec.Header.Clone(), body: rec.Body}
 }
 
-// statusOf gives the status of an answer that no backend server gave.
-func statusOf(a *answer) int {
+// httpStatus returns the HTTP status of an answer, derived from its reason and outcome if no backend server gave it.
+func httpStatus(a *answer) int {
 	switch {
 	case a.status != 0:
 		return a.status
@@ -84,9 +86,9 @@
 		return http.StatusNotFound
 	case a.meta.Reason == wire.ReasonBadRequest:
 		return http.StatusBadRequest
-	case a.meta.Reason == wire.ReasonMismatch:
+	case a.meta.Reason == wire.ReasonKeyMismatch:
 		return http.StatusUnprocessableEntity
-	case a.meta.Reason == wire.ReasonRetries:
+	case a.meta.Reason == wire.ReasonRetryBudget:
 		return http.StatusTooManyRequests
 	case a.meta.Outcome == wire.NotRun:
 		return http.StatusServiceUnavailable
@@ -95,7 +97,8 @@
 	}
 }
 
-// writeTo sends the answer. A body that breaks off breaks the connection, so that it is never taken for whole.
+// writeTo sends the answer. If a streamed body breaks off, it aborts the connection, so that the client can't take the
+// answer for complete.
 func (a *answer) writeTo(w http.ResponseWriter) {
 	h := w.Header()
 	for k, v := range a.header {
@@ -104,12 +107,12 @@
 	if a.rest == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
-	w.WriteHeader(statusOf(a))
+	w.WriteHeader(httpStatus(a))
 	_, err := w.Write(a.body)
 	if a.rest == nil {
 		return
 	}
-	defer a.finish()
+	defer a.discardRest()
 	if err == nil {
 		_, err = io.Copy(w, a.rest)
 	}
@@ -118,21 +121,21 @@
 	}
 }
 
-// Headers that tell a caller when to come back: the standard one in whole seconds, and ours in milliseconds.
+// Headers that tell a caller when to retry: the standard one in whole seconds, and Rockspoke's in milliseconds.
 const (
 	headerRetryAfter   = "Retry-After"
 	headerRetryAfterMS = "Rockspoke-Retry-After-Ms"
 )
 
-// toCaller sends the answer to a caller or a backend server, with the outcome in place of the internal header.
-func (n *Node) toCaller(w http.ResponseWriter, a *answer) {
+// writeToCaller sends the answer to a caller or a backend server, with the outcome in place of the internal header.
+func (n *Node) writeToCaller(w http.ResponseWriter, a *answer) {
 	h := w.Header()
 	h.Set(wire.HeaderOutcome, string(a.meta.Outcome))
 	if a.meta.Reason != wire.ReasonNone {
 		h.Set(wire.HeaderReason, string(a.meta.Reason))
 	}
 	if a.status == 0 && a.meta.Reason != wire.ReasonBadRequest && a.meta.Reason != wire.ReasonNoRoute {
-		after := time.Duration(a.meta.AfterMS) * time.Millisecond
+		after := time.Duration(a.meta.RetryAfterMS) * time.Millisecond
 		if after == 0 {
 			after = n.jitter(defaultRetryAfter)
 		}
@@ -142,5 +145,5 @@
 	a.writeTo(w)
 }
 
-// defaultRetryAfter is the middle of the jittered time after which a refused caller is asked to come back.
+// defaultRetryAfter is the middle of the jittered time after which a refused caller may retry.
 const defaultRetryAfter = 500 * time.Millisecond
--- a/pkg/node/call_request.go
+++ b/pkg/node/call_request.go
@@ -14,7 +14,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// request is a call's content, held whole so that it can be sent again.
+// request is a call's content, buffered whole so that it can be sent again.
 type request struct {
 	method string
 	host   string // without a port
@@ -24,7 +24,7 @@
 	body   []byte
 }
 
-// RequestError reports a request that can't be taken, with the HTTP status to answer.
+// RequestError reports a request that can't be served, with the HTTP status to return.
 type RequestError struct {
 	Status int
 	Reason string
@@ -33,7 +33,7 @@
 // Error gives the reason.
 func (e *RequestError) Error() string { return fmt.Sprintf("request refused: %s", e.Reason) }
 
-// readRequest takes a request in, up to limit bytes of body; the error is a *RequestError.
+// readRequest reads a request with a body of at most limit bytes; the error is a *RequestError.
 func readRequest(r *http.Request, limit int64) (*request, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	if err != nil {
@@ -48,19 +48,19 @@
 		host = h
 	}
 	h := r.Header.Clone()
-	wire.StripHop(h)
+	wire.StripHopByHop(h)
 	return &request{method: r.Method, host: host, uri: r.URL.RequestURI(), path: r.URL.Path, header: h, body: body}, nil
 }
 
-// match is what routes and classes look at.
+// match returns the fields by which routes and classes match the request.
 func (q *request) match() config.Match {
 	return config.Match{Host: q.host, Method: q.method, Path: q.path}
 }
 
-// signature tells calls of the same content to the same service apart from others.
+// signature returns a hash of the request's content and the service, by which retries are recognized.
 func (q *request) signature(service string) uint64 {
 	d := xxhash.New()
-	for _, s := range []string{q.method, service, q.uri, q.header.Get(wire.HeaderKey)} {
+	for _, s := range []string{q.method, service, q.uri, q.header.Get(wire.HeaderIdempotencyKey)} {
 		_, _ = d.WriteString(s) // never fails
 		_, _ = d.Write([]byte{0})
 	}
@@ -68,13 +68,13 @@
 	return d.Sum64()
 }
 
-// checkKey checks a caller's idempotency key; the error is a *RequestError.
-func checkKey(key string) error {
-	if len(key) > wire.MaxKey {
-		return &RequestError{http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes", wire.HeaderKey, wire.MaxKey)}
+// validateKey checks a caller's idempotency key; the error is a *RequestError.
+func validateKey(key string) error {
+	if len(key) > wire.MaxKeyBytes {
+		return &RequestError{http.StatusBadRequest, fmt.Sprintf("%s is longer than %d bytes", wire.HeaderIdempotencyKey, wire.MaxKeyBytes)}
 	}
 	if strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c > '~' }) {
-		return &RequestError{http.StatusBadRequest, wire.HeaderKey + " must be printable ASCII"}
+		return &RequestError{http.StatusBadRequest, wire.HeaderIdempotencyKey + " must be printable ASCII"}
 	}
 	return nil
 }
--- a/pkg/node/call_runner.go
+++ b/pkg/node/call_runner.go
@@ -8,52 +8,55 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// runLocal takes a call through the gate to this VM's backend server.
+// runLocal admits a call through the gate and sends it to the local backend server; it returns the server's answer or the
+// reason for a rejection.
 func (n *Node) runLocal(ctx context.Context, in *inbound, q *request) *answer {
 	if n.cfg.Backend.Address == "" || in.call.Service != n.cfg.Service {
-		return refusal(wire.ReasonNoServer, 0)
+		return notRunAnswer(wire.ReasonNoServer, 0)
 	}
 	if n.leaving.Load() {
-		return refusal(wire.ReasonLeaving, 0)
+		return notRunAnswer(wire.ReasonLeaving, 0)
 	}
 	arrived := n.clock.Now()
 	route := "run/" + in.call.Class
-	if in.deadline.Sub(arrived) < n.needs.least(route) {
+	if in.deadline.Sub(arrived) < n.latencyFloors.floor(route) {
 		n.metrics.Inc("refused_deadline")
-		return refusal(wire.ReasonDeadline, 0)
+		return notRunAnswer(wire.ReasonDeadline, 0)
 	}
-	reason := n.gate.enter(ctx, arrived, in.call.Priority.Favor(in.call.Depth), in.deadline)
+	reason := n.gate.enter(ctx, arrived, in.call.Priority.AtDepth(in.call.Depth), in.deadline)
 	if reason != wire.ReasonNone {
-		n.countRefusal(reason)
-		return refusal(reason, 0)
+		n.countRejection(reason)
+		return notRunAnswer(reason, 0)
 	}
 	started := n.clock.Now()
 	n.metrics.Observe("queue_time", started.Sub(arrived).Microseconds())
 	if ctx.Err() != nil {
 		n.gate.done(started, 0, 0, false)
-		return refusal(wire.ReasonDeadline, 0)
+		return notRunAnswer(wire.ReasonDeadline, 0)
 	}
-	a := n.toBackend(ctx, in, q)
+	a := n.callBackend(ctx, in, q)
 	if a.rest != nil {
-		a.rest = &slotReader{ReadCloser: a.rest, release: func() { n.release(in, started, false) }}
+		a.rest = &slotReader{ReadCloser: a.rest, releaseSlot: func() { n.releaseSlot(in, started, false) }}
 	} else {
-		n.release(in, started, a.meta.Outcome == wire.Ran)
+		n.releaseSlot(in, started, a.meta.Outcome == wire.Ran)
 	}
-	return n.judge(in, a, route, started)
+	return n.classifyAnswer(in, a, route, started)
 }
 
-// release gives the slot back with the time that the call spent in the backend server itself.
-func (n *Node) release(in *inbound, started time.Time, counted bool) {
+// releaseSlot frees the call's slot and tells the gate its slot hold time, and the part of it that was spent in the
+// backend server itself rather than in outbound calls.
+func (n *Node) releaseSlot(in *inbound, started time.Time, counted bool) {
 	now := n.clock.Now()
 	held := now.Sub(started)
-	n.gate.done(now, held, max(held-in.read(now).waited, 0), counted)
+	n.gate.done(now, held, max(held-in.stats(now).waited, 0), counted)
 }
 
-// judge settles the outcome: a server's own refusal is believed only where nothing was called under it.
-func (n *Node) judge(in *inbound, a *answer, route string, started time.Time) *answer {
+// classifyAnswer sets the final outcome of a run. It counts a server's own refusal as not run only if the server made no
+// outbound calls for the call, since otherwise part of the work may be done.
+func (n *Node) classifyAnswer(in *inbound, a *answer, route string, started time.Time) *answer {
 	now := n.clock.Now()
-	r := in.read(now)
-	a.meta.Below = max(a.meta.Below, r.level)
+	r := in.stats(now)
+	a.meta.LevelBelow = max(a.meta.LevelBelow, r.level)
 	a.meta.OnceOnly = a.meta.OnceOnly || r.onceBelow
 	if a.meta.Outcome != wire.Ran {
 		if a.meta.Outcome == wire.NotRun {
@@ -61,20 +64,21 @@
 		}
 		return a
 	}
-	if refusedByServer(a) && r.outbound == 0 {
+	if isServerRefusal(a) && r.outbound == 0 {
 		n.metrics.Inc("refused_server")
-		a.finish()
-		return refusal(wire.ReasonRefused, 0)
+		a.discardRest()
+		return notRunAnswer(wire.ReasonServerRefused, 0)
 	}
 	if a.status < 500 {
-		n.needs.observe(now, route, now.Sub(started))
+		n.latencyFloors.observe(now, route, now.Sub(started))
 	}
 	return a
 }
 
-func (n *Node) countRefusal(reason wire.Reason) {
+// countRejection counts a rejection by the gate under its reason.
+func (n *Node) countRejection(reason wire.Reason) {
 	switch reason {
-	case wire.ReasonLevel:
+	case wire.ReasonBelowLevel:
 		n.metrics.Inc("refused_level")
 	case wire.ReasonDeadline:
 		n.metrics.Inc("refused_deadline")
@@ -83,29 +87,30 @@
 	}
 }
 
-// slotReader gives the backend server's slot back when a streamed answer ends.
+// slotReader frees the backend server's slot when a streamed answer ends.
 type slotReader struct {
 	io.ReadCloser
-	release func()
-	closed  bool
+	releaseSlot func()
+	closed      bool
 }
 
-// Close closes the stream and gives the slot back once.
+// Close closes the stream and frees the slot once.
 func (r *slotReader) Close() error {
 	if !r.closed {
 		r.closed = true
-		r.release()
+		r.releaseSlot()
 	}
 	return r.ReadCloser.Close()
 }
 
-// stamp adds what this node shows of itself to an answer on its way back.
-func (n *Node) stamp(a *answer, tokens int) {
+// addNodeState adds this node's load, level, leaving state and configuration version, and the retry tokens to return, to
+// an answer.
+func (n *Node) addNodeState(a *answer, tokens int) {
 	r := n.gate.read(n.clock.Now())
-	a.meta.Own = r.Level
-	a.meta.Calls = r.Running + r.Queued
+	a.meta.OwnLevel = r.Level
+	a.meta.CallsAtServer = r.Running + r.Queued
 	a.meta.Limit = r.Limit
-	a.meta.Tokens = tokens
+	a.meta.ReturnedTokens = tokens
 	a.meta.Leaving = n.leaving.Load()
-	a.meta.Version = n.snapshot.Load().version()
+	a.meta.ConfigVersion = n.snapshot.Load().version()
 }
--- a/pkg/node/call_sender.go
+++ b/pkg/node/call_sender.go
@@ -13,99 +13,101 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// sending is a call on its way out, with all of its attempts.
-type sending struct {
+// outgoingCall is a call that this node sends, with the state of all its attempts.
+type outgoingCall struct {
 	treatment *config.Treatment
 	call      wire.Call
 	deadline  time.Time
 	req       *request
 	ledger    *ledger.Ledger
-	// otherAttempts says that attempts under the key may exist besides the one in hand.
+	// otherAttempts says that attempts under the key may exist besides the current one.
 	otherAttempts bool
-	// sent is called when the first attempt leaves.
-	sent func()
+	// onAttempt, if set, is called before each attempt.
+	onAttempt func()
 }
 
-// routeName is the name under which times of the call are learned, and route that for levels.
-func (s *sending) routeName() string { return s.treatment.Service + "/" + s.treatment.Class }
+// latencyRoute returns the route under which the call's latency is tracked.
+func (s *outgoingCall) latencyRoute() string { return s.treatment.Service + "/" + s.treatment.Class }
 
-func (s *sending) route() level.Route {
+// levelRoute returns the route under which the call's admission level is tracked.
+func (s *outgoingCall) levelRoute() level.Route {
 	return level.Route{Service: s.treatment.Service, Class: s.treatment.Class}
 }
 
-// send makes the attempts of a call and returns the last answer.
-func (n *Node) send(ctx context.Context, s *sending) *answer {
+// send makes the attempts of a call and returns the last answer. It refuses a call that its remaining time or its
+// priority doesn't allow.
+func (n *Node) send(ctx context.Context, s *outgoingCall) *answer {
 	now := n.clock.Now()
-	route := s.routeName()
-	if s.deadline.Sub(now) < n.needs.least(route) {
+	route := s.latencyRoute()
+	if s.deadline.Sub(now) < n.latencyFloors.floor(route) {
 		n.metrics.Inc("refused_deadline")
-		return n.refuse(ctx, s, wire.ReasonDeadline)
+		return n.refuseBeforeAttempt(ctx, s, wire.ReasonDeadline)
 	}
-	if lvl := n.routeLevel(now, s); s.call.Priority.Favor(s.call.Depth+1) < lvl {
+	if lvl := n.routeLevel(now, s); s.call.Priority.AtDepth(s.call.Depth+1) < lvl {
 		n.metrics.Inc("refused_local")
-		a := n.refuse(ctx, s, wire.ReasonLevel)
-		a.meta.Below = lvl
+		a := n.refuseBeforeAttempt(ctx, s, wire.ReasonBelowLevel)
+		a.meta.LevelBelow = lvl
 		return a
 	}
 	var a *answer
 	if s.call.Key == "" {
-		a = n.sendRepeatable(ctx, s)
+		a = n.sendRetryable(ctx, s)
 	} else {
-		a = n.sendOnce(ctx, s)
+		a = n.sendOnceOnly(ctx, s)
 		a.meta.OnceOnly = true
 	}
 	end := n.clock.Now()
-	// What this very call met goes up, not what other calls met some time ago.
-	a.meta.Below = max(a.meta.Below, n.lowestLevel(end, s.treatment))
+	// Report the level that this call met, not a level that earlier calls met.
+	a.meta.LevelBelow = max(a.meta.LevelBelow, n.lowestLevel(end, s.treatment))
 	if a.meta.Outcome == wire.Ran && a.status < 500 {
-		n.needs.observe(end, route, end.Sub(now))
+		n.latencyFloors.observe(end, route, end.Sub(now))
 	}
 	return a
 }
 
-// routeLevel is the level that the call meets: the lowest among the servers that it may go to, since
-// any of them will do, or the highest seen below them.
-func (n *Node) routeLevel(now time.Time, s *sending) priority.Priority {
-	return max(n.lowestLevel(now, s.treatment), n.levels.Current(now, s.route()))
+// routeLevel returns the admission level that the call must reach: the lowest among the servers that may run it, since one
+// of them is enough, or the level seen in the services below them if that is higher.
+func (n *Node) routeLevel(now time.Time, s *outgoingCall) priority.Priority {
+	return max(n.lowestLevel(now, s.treatment), n.levels.Current(now, s.levelRoute()))
 }
 
-// sendRepeatable tries servers until one answers or the tokens are spent.
-func (n *Node) sendRepeatable(ctx context.Context, s *sending) *answer {
+// sendRetryable tries servers until an answer needs no retry or the retry tokens are spent.
+func (n *Node) sendRetryable(ctx context.Context, s *outgoingCall) *answer {
 	var tried []*routing.Server
-	a := refusal(wire.ReasonNoServer, 0)
+	a := notRunAnswer(wire.ReasonNoServer, 0)
 	lost := false
 	defer func() {
-		// A refusal of the last attempt says nothing of one whose answer was lost.
+		// That the last attempt didn't run says nothing of one whose answer was lost.
 		if lost && a.meta.Outcome == wire.NotRun {
 			a.meta.Outcome = wire.Unknown
 		}
 	}()
 	for first := true; ; first = false {
 		now := n.clock.Now()
-		srv, found := n.pick(now, s.treatment, s.call.Priority.Favor(s.call.Depth+1), tried)
+		srv, found := n.pickServer(now, s.treatment, s.call.Priority.AtDepth(s.call.Depth+1), tried)
 		if found != routing.Picked {
-			if first && found == routing.AtLevel {
-				a = refusal(wire.ReasonLevel, 0)
+			if first && found == routing.BelowLevel {
+				a = notRunAnswer(wire.ReasonBelowLevel, 0)
 			}
 			return a
 		}
 		if first {
-			srv.Fresh(s.treatment.RetryShare)
-		} else if !n.payRetry(s, srv) {
+			srv.EarnRetry(s.treatment.RetryShare)
+		} else if !n.takeRetryTokens(s, srv) {
 			return a
 		}
 		tried = append(tried, srv)
-		a.finish()
-		a = n.lendAndAttempt(ctx, s, srv)
+		a.discardRest()
+		a = n.attemptWithLoan(ctx, s, srv)
 		lost = lost || a.meta.Outcome == wire.Unknown
-		if !n.worthRetry(ctx, s, a) {
+		if !n.shouldRetry(ctx, s, a) {
 			return a
 		}
 	}
 }
 
-// payRetry takes a token of the request and of the target; without both there is no retry.
-func (n *Node) payRetry(s *sending, srv *routing.Server) bool {
+// takeRetryTokens takes one retry token of the request and one of the server; it reports false unless both have one.
+func (n *Node) takeRetryTokens(s *outgoingCall, srv *routing.Server) bool {
 	if s.ledger.Balance() == 0 || !srv.TakeRetry() || !s.ledger.Spend() {
 		n.metrics.Inc("retries_denied")
 		return false
@@ -114,14 +116,14 @@
 	return true
 }
 
-// worthRetry tells whether another attempt is safe and sensible.
-func (n *Node) worthRetry(ctx context.Context, s *sending, a *answer) bool {
+// shouldRetry tells whether another attempt is safe and useful.
+func (n *Node) shouldRetry(ctx context.Context, s *outgoingCall, a *answer) bool {
 	if ctx.Err() != nil || !n.clock.Now().Before(s.deadline) {
 		return false
 	}
 	switch a.meta.Outcome {
 	case wire.NotRun:
-		return a.meta.Reason.Elsewhere()
+		return a.meta.Reason.OtherServerMayAccept()
 	case wire.Unknown:
 		return !a.meta.OnceOnly
 	default:
@@ -129,24 +131,26 @@
 	}
 }
 
-// lendAndAttempt makes one attempt with a share of the tokens.
-func (n *Node) lendAndAttempt(ctx context.Context, s *sending, srv *routing.Server) *answer {
-	if s.sent != nil {
-		s.sent()
+// attemptWithLoan makes one attempt, with a part of the retry tokens lent to it, and settles the loan.
+func (n *Node) attemptWithLoan(ctx context.Context, s *outgoingCall, srv *routing.Server) *answer {
+	if s.onAttempt != nil {
+		s.onAttempt()
 	}
 	call := s.call
 	call.Depth++
-	call.Tokens = s.ledger.Lend()
+	call.RetryTokens = s.ledger.Lend()
 	a := n.attempt(ctx, srv, call, s.deadline, s.req)
-	n.settleLoan(s.ledger, call.Tokens, a)
+	n.settleLoan(s.ledger, call.RetryTokens, a)
 	n.observeLevel(s, a)
 	return a
 }
 
+// settleLoan returns to the ledger the tokens that an attempt gave back: all of them if it certainly didn't run, none if
+// its answer was lost.
 func (n *Node) settleLoan(l *ledger.Ledger, lent int, a *answer) {
 	switch {
-	case a.heard:
-		l.Return(lent, a.meta.Tokens)
+	case a.fromDaemon:
+		l.Return(lent, a.meta.ReturnedTokens)
 	case a.meta.Outcome == wire.NotRun:
 		l.Return(lent, lent)
 	default:
@@ -154,47 +158,48 @@
 	}
 }
 
-// observeLevel learns from answers of daemons; an attempt that got none teaches nothing.
-func (n *Node) observeLevel(s *sending, a *answer) {
-	if !a.heard {
+// observeLevel learns the admission level from a daemon's answer; other answers carry none.
+func (n *Node) observeLevel(s *outgoingCall, a *answer) {
+	if !a.fromDaemon {
 		return
 	}
-	n.levels.Observe(n.clock.Now(), s.route(), a.meta.Below)
+	n.levels.Observe(n.clock.Now(), s.levelRoute(), a.meta.LevelBelow)
 }
 
-func (n *Node) pick(now time.Time, t *config.Treatment, p priority.Priority, tried []*routing.Server) (s *routing.Server, o routing.Outcome) {
-	groups := n.groups(t)
-	n.random(func(r *rand.Rand) { s, o = routing.Pick(now, r, groups, p, tried) })
+// pickServer chooses a server for a call of priority p among those that aren't in tried.
+func (n *Node) pickServer(now time.Time, t *config.Treatment, p priority.Priority, tried []*routing.Server) (s *routing.Server, o routing.Outcome) {
+	groups := n.serverGroups(t)
+	n.withRand(func(r *rand.Rand) { s, o = routing.Pick(now, r, groups, p, tried) })
 	return s, o
 }
 
-// lowestLevel returns the lowest level among the servers of the treatment, 0 if there are none.
+// lowestLevel returns the lowest admission level among the treatment's servers, 0 if there are none.
 func (n *Node) lowestLevel(now time.Time, t *config.Treatment) priority.Priority {
 	low := priority.Max
-	any := false
-	for _, g := range n.groups(t) {
+	found := false
+	for _, g := range n.serverGroups(t) {
 		if g.Weight == 0 {
 			continue
 		}
-		for _, list := range [][]*routing.Server{g.Near, g.Far} {
+		for _, list := range [][]*routing.Server{g.SameZone, g.OtherZones} {
 			for _, s := range list {
-				any = true
+				found = true
 				low = min(low, s.Level(now))
 			}
 		}
 	}
-	if !any {
+	if !found {
 		return 0
 	}
 	return low
 }
 
-// attempt sends the call to one server's daemon and takes in what the answer shows of it.
+// attempt sends the call to one server's daemon and records what the answer shows of the server.
 func (n *Node) attempt(ctx context.Context, srv *routing.Server, call wire.Call, deadline time.Time, q *request) *answer {
 	now := n.clock.Now()
-	call.RemainMS = deadline.Sub(now).Milliseconds()
-	if call.RemainMS <= 0 {
-		return refusal(wire.ReasonDeadline, 0)
+	call.RemainingMS = deadline.Sub(now).Milliseconds()
+	if call.RemainingMS <= 0 {
+		return notRunAnswer(wire.ReasonDeadline, 0)
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline.Sub(now))
 	srv.Begin()
@@ -205,41 +210,42 @@
 	} else {
 		a.rest = &cancelReader{ReadCloser: a.rest, cancel: cancel}
 	}
-	n.takeIn(ctx, srv, a)
+	n.recordAttempt(ctx, srv, a)
 	return a
 }
 
-func (n *Node) takeIn(ctx context.Context, srv *routing.Server, a *answer) {
+// recordAttempt records an attempt's result for the server: the state that its answer carries, or a failure.
+func (n *Node) recordAttempt(ctx context.Context, srv *routing.Server, a *answer) {
 	now := n.clock.Now()
 	switch {
-	case a.heard:
-		srv.Answered(now, a.meta)
-		if a.meta.Version > n.snapshot.Load().version() {
-			n.wantFrom(srv.VM)
+	case a.fromDaemon:
+		srv.ObserveAnswer(now, a.meta)
+		if a.meta.ConfigVersion > n.snapshot.Load().version() {
+			n.requestExchange(srv.VM)
 		}
 	case a.meta.Reason == wire.ReasonNoServer:
-		srv.Failed(now, true)
+		srv.ObserveFailure(now, true)
 	case a.meta.Outcome == wire.Unknown && context.Cause(ctx) != context.Canceled:
 		n.metrics.Inc("lost_answers")
-		srv.Failed(now, false)
+		srv.ObserveFailure(now, false)
 	}
 }
 
-// refuse gives a refusal before any attempt. For a caller's own key the home settles it first, since
-// an earlier attempt may have come by another way.
-func (n *Node) refuse(ctx context.Context, s *sending, reason wire.Reason) *answer {
+// refuseBeforeAttempt refuses a call that this node hasn't sent. If earlier attempts under its key may exist, as another
+// entry may have sent one, the key's home settles the key first.
+func (n *Node) refuseBeforeAttempt(ctx context.Context, s *outgoingCall, reason wire.Reason) *answer {
 	if s.call.Key == "" || !s.otherAttempts {
-		return refusal(reason, 0)
+		return notRunAnswer(reason, 0)
 	}
-	reply, err := n.settle(ctx, s)
+	reply, err := n.settleAtHome(ctx, s)
 	if err != nil {
-		return uncertain(reason)
+		return unknownAnswer(reason)
 	}
 	if reply.Outcome == wire.NotRun {
-		return refusal(reason, time.Duration(reply.AfterMS)*time.Millisecond)
+		return notRunAnswer(reason, time.Duration(reply.AfterMS)*time.Millisecond)
 	}
-	// It ran or runs: a repeat would be joined or answered at the home, so let this one through.
-	a := n.sendOnce(ctx, s)
+	// The work ran or is running, so the home would join the call or replay its answer: send it.
+	a := n.sendOnceOnly(ctx, s)
 	a.meta.OnceOnly = true
 	return a
 }
--- a/pkg/node/caller_server.go
+++ b/pkg/node/caller_server.go
@@ -18,7 +18,7 @@
 	"github.com/rockspoke/rockspoke/pkg/wire"
 )
 
-// pathToken is where a caller gets a token for its once-only request; the query names the service.
+// pathToken is where a caller gets a token for a once-only request; the query names the service.
 const pathToken = "/.rockspoke/token"
 
 // startHTTP binds the listeners for callers and for the backend server's outbound calls.
@@ -34,6 +34,7 @@
 	return err
 }
 
+// serveHTTP binds a listener and serves it; field is the setting that names its address.
 func (n *Node) serveHTTP(field, address string, h http.HandlerFunc) (*http.Server, error) {
 	ln, err := n.network.Listen(address)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return s, nil
 }
 
-// serveCaller takes a request from a caller.
+// serveCaller handles a caller's HTTP request.
 func (n *Node) serveCaller(w http.ResponseWriter, r *http.Request) {
 	n.metrics.Inc("entry_requests")
 	wire.StripInternalExcept(r.Header, wire.HeaderTimeout)
@@ -62,79 +63,80 @@
 	}
 	n.running.Add(1)
 	defer n.running.Add(-1)
-	a := n.entry(r)
-	defer a.finish()
+	a := n.handleCaller(r)
+	defer a.discardRest()
 	switch a.meta.Outcome {
 	case wire.NotRun:
 		n.metrics.Inc("entry_refused")
 	case wire.Unknown:
 		n.metrics.Inc("entry_unknown")
 	}
-	n.toCaller(w, a)
+	n.writeToCaller(w, a)
 }
 
-// entry makes a root request out of a caller's request and sends it on.
-func (n *Node) entry(r *http.Request) *answer {
-	timeout, err := callerTimeout(r.Header)
-	key := r.Header.Get(wire.HeaderKey)
+// handleCaller validates a caller's request, finds its route and sends it as a root request.
+func (n *Node) handleCaller(r *http.Request) *answer {
+	timeout, err := parseTimeout(r.Header)
+	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	if err == nil {
-		err = checkKey(key)
+		err = validateKey(key)
 	}
 	var q *request
 	if err == nil {
 		q, err = readRequest(r, n.cfg.Limits.RequestBytes)
 	}
 	if err != nil {
-		return badRequest(err)
+		return badRequestAnswer(err)
 	}
 	plan := n.snapshot.Load().plan
 	if plan == nil {
-		return refusal(wire.ReasonNoServer, time.Second)
+		return notRunAnswer(wire.ReasonNoServer, time.Second)
 	}
-	t, _ := plan.Route(q.match())
+	t, _ := plan.RequestTreatment(q.match())
 	if t == nil {
-		return refusal(wire.ReasonNoRoute, 0)
+		return notRunAnswer(wire.ReasonNoRoute, 0)
 	}
 	if timeout == 0 || timeout > t.Timeout {
 		timeout = t.Timeout
 	}
 	q.header.Del(wire.HeaderTimeout)
-	return n.guarded(r.Context(), t, q, key, customerOf(r), timeout)
+	return n.sendGuarded(r.Context(), t, q, key, customerOf(r), timeout)
 }
 
-// guarded meets the caller's repeats before the request goes on.
-func (n *Node) guarded(ctx context.Context, t *config.Treatment, q *request, key, customer string, timeout time.Duration) *answer {
+// sendGuarded sends a root request unless it is a retry by the caller that joins an attempt in flight or exceeds the
+// retry budget.
+func (n *Node) sendGuarded(ctx context.Context, t *config.Treatment, q *request, key, customer string, timeout time.Duration) *answer {
 	now := n.clock.Now()
 	deadline := now.Add(timeout)
 	v, e, flight := n.guard.Begin(now, repeat.Attempt{
-		Key: key, Customer: customer, OnceOnly: t.OnceOnly, Retries: t.Retries, Share: t.RepeatShare,
+		Key: key, Customer: customer, OnceOnly: t.OnceOnly, RetryTokens: t.Retries, RetryShare: t.RepeatShare,
 	})
-	if v != repeat.Fresh {
+	if v != repeat.FirstAttempt {
 		n.metrics.Inc("entry_repeats")
 	}
 	switch v {
 	case repeat.Join:
-		return n.join(ctx, flight, deadline)
-	case repeat.OverShare, repeat.Spent:
+		return n.awaitFlight(ctx, flight, deadline)
+	case repeat.OverRetryShare, repeat.BudgetSpent:
 		n.metrics.Inc("entry_repeats_refused")
-		a := refusal(wire.ReasonRetries, n.jitter(2*defaultRetryAfter))
-		if t.OnceOnly || v == repeat.Spent {
-			// What became of the attempts before isn't looked up for one that comes too often.
+		a := notRunAnswer(wire.ReasonRetryBudget, n.jitter(2*defaultRetryAfter))
+		if t.OnceOnly || v == repeat.BudgetSpent {
+			// The outcome of earlier attempts isn't looked up for a retry over the budget.
 			a.meta.Outcome = wire.Unknown
 		}
 		return a
 	}
-	// A repeat is the same root request, through whichever entry it comes: it has the same rank, and
-	// the once-only calls below it derive the same keys.
+	// A caller's retry is the same root request, through whichever entry it comes: it gets the same rank, and the
+	// once-only calls below it derive the same keys.
 	root := uuid.NewString()
 	if key != "" {
 		root = onceonly.RootRequestID(t.Service, key)
 	}
-	s := &sending{
+	s := &outgoingCall{
 		treatment: t, deadline: deadline, req: q, ledger: e.Ledger,
-		sent: func() { n.guard.Sent(e) },
+		onAttempt: func() { n.guard.MarkForwarded(e) },
 		call: wire.Call{
-			Root: root, Service: t.Service, Class: t.Class,
+			RootID: root, Service: t.Service, Class: t.Class,
 			Priority: priority.New(t.Tier, root, now),
 		},
 	}
@@ -148,12 +150,13 @@
 	cancel()
 	n.guard.End(n.clock.Now(), e, a)
 	if key != "" && !t.OnceOnly && (a.meta.Outcome != wire.Ran || a.status >= http.StatusInternalServerError) {
-		n.noteRepeat(key, e)
+		n.queueRetryNote(key, e)
 	}
 	return a
 }
 
-func (n *Node) sendRoot(ctx context.Context, s *sending, key string) *answer {
+// sendRoot sends a root request; once-only work without the caller's key gets a token.
+func (n *Node) sendRoot(ctx context.Context, s *outgoingCall, key string) *answer {
 	if !s.treatment.OnceOnly {
 		return n.send(ctx, s)
 	}
@@ -162,14 +165,14 @@
 	if key == "" {
 		var ok bool
 		if s.call.Key, ok = n.newToken(s.treatment, s.call.Priority); !ok {
-			return refusal(wire.ReasonNoServer, 0)
+			return notRunAnswer(wire.ReasonNoServer, 0)
 		}
 	}
 	return n.send(ctx, s)
 }
 
-// join waits for a running attempt of the same request and shares its answer.
-func (n *Node) join(ctx context.Context, f *repeat.Flight, deadline time.Time) *answer {
+// awaitFlight waits for an attempt of the same request that is in flight and returns a copy of its answer.
+func (n *Node) awaitFlight(ctx context.Context, f *repeat.InFlight, deadline time.Time) *answer {
 	t := time.NewTimer(deadline.Sub(n.clock.Now()))
 	defer t.Stop()
 	select {
@@ -179,15 +182,16 @@
 			shared.header = a.header.Clone()
 			return &shared
 		}
-		return uncertain(wire.ReasonRunning)
+		return unknownAnswer(wire.ReasonInProgress)
 	case <-ctx.Done():
 	case <-t.C:
 	}
-	return uncertain(wire.ReasonRunning)
+	return unknownAnswer(wire.ReasonInProgress)
 }
 
-func badRequest(err error) *answer {
-	a := refusal(wire.ReasonBadRequest, 0)
+// badRequestAnswer returns the answer to an invalid request, with the status of a *RequestError.
+func badRequestAnswer(err error) *answer {
+	a := notRunAnswer(wire.ReasonBadRequest, 0)
 	var bad *RequestError
 	if errors.As(err, &bad) {
 		a.status = bad.Status
@@ -197,8 +201,8 @@
 	return a
 }
 
-// callerTimeout reads the caller's own time limit; the error is a *RequestError.
-func callerTimeout(h http.Header) (time.Duration, error) {
+// parseTimeout returns the time limit in the caller's headers, 0 if there is none; the error is a *RequestError.
+func parseTimeout(h http.Header) (time.Duration, error) {
 	s := h.Get(wire.HeaderTimeout)
 	if s == "" {
 		return 0, nil
@@ -210,7 +214,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// customerOf names the customer by its credentials, or by its address where it shows none.
+// customerOf identifies the customer by its credentials, or by its address if it sends none.
 func customerOf(r *http.Request) string {
 	if c := r.Header.Get("Authorization"); c != "" {
 		return c
@@ -222,7 +226,7 @@
 	return host
 }
 
-// serveToken issues a token for one once-only request, which may be sent by any entry.
+// serveToken issues a token for one once-only request, which may be sent through any entry.
 func (n *Node) serveToken(w http.ResponseWriter, r *http.Request) {
 	plan := n.snapshot.Load().plan
 	service := r.URL.Query().Get("service")
@@ -230,7 +234,7 @@
 		http.Error(w, fmt.Sprintf("there is no service %q; give one as ?service=NAME", service), http.StatusNotFound)
 		return
 	}
-	t := plan.Call(service, config.Match{Method: http.MethodPost})
+	t := plan.CallTreatment(service, config.Match{Method: http.MethodPost})
 	token, ok := n.newToken(t, priority.Max)
 	if !ok {
 		w.Header().Set(headerRetryAfter, "1")
@@ -238,5 +242,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = fmt.Fprintln(w, token) // a caller that left needs none
+	_, _ = fmt.Fprintln(w, token) // a caller that disconnected needs no token
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -37,22 +37,22 @@
 	metrics     *metric.Set
 	log         logs
 
-	// Control state: written by the control goroutine, read through the snapshot.
+	// Control state: only the control goroutine changes it; calls read the snapshot.
 	control  chan func(*controlState)
 	snapshot atomic.Pointer[snapshot]
 
-	// What calls share.
-	pool     routing.Pool
-	levels   level.View
-	needs    needTable
-	gate     *gatekeeper
-	home     *homeKeeper
-	guard    repeat.Guard
-	notes    chan repeat.Note
-	inbounds sync.Map // id to *inbound
-	nextID   atomic.Uint64
-	running  atomic.Int64 // calls and runs in progress; a stop waits for none to be left
-	leaving  atomic.Bool
+	// State that all calls share.
+	pool          routing.Pool
+	levels        level.View
+	latencyFloors latencyFloorTable
+	gate          *lockedGate
+	home          *lockedHome
+	guard         repeat.Guard
+	notes         chan repeat.RetryNotice
+	inbounds      sync.Map // id to *inbound
+	nextID        atomic.Uint64
+	running       atomic.Int64 // calls and runs in progress; Stop waits until it is 0
+	leaving       atomic.Bool
 
 	rndMu sync.Mutex
 	rnd   *rand.Rand
@@ -60,24 +60,25 @@
 	peers   *peerClients
 	backend *http.Transport
 
-	callers  *http.Server // nil unless the settings name a listener
+	callers  *http.Server // nil unless the settings name its address
 	outbound *http.Server // likewise
 	peerHTTP *http3.Server
 	stop     context.CancelFunc
 	ctx      context.Context
-	stopped  chan struct{} // closed when the control goroutine has ended
+	stopped  chan struct{} // closed when the control goroutine returns
 	once     sync.Once
 }
 
-// logs holds the loggers of the parts.
+// logs holds a logger for each part of the daemon.
 type logs struct {
 	call, control, peer, leave, once *slog.Logger
 }
 
-// New makes a daemon that isn't started yet.
+// New returns a daemon that isn't started yet; the error is a *keys.IdentityError if the keys belong to
+// another VM or zone.
 func New(opts Options) (*Node, error) {
 	cfg := opts.Settings
-	cfg.Fill()
+	cfg.SetDefaults()
 	if id := opts.Keys.Current().Identity; id.Role != keys.RoleVM || id.Name != cfg.VM || id.Zone != cfg.Zone {
 		return nil, &keys.IdentityError{Want: fmt.Sprintf("VM %s in zone %s", cfg.VM, cfg.Zone), Have: id.Name + " in zone " + id.Zone}
 	}
@@ -91,13 +92,13 @@
 	}
 	n := &Node{
 		cfg: cfg, clock: opts.Clock, platform: opts.Platform, keys: opts.Keys,
-		network: opts.Network.fill(), metrics: opts.Metrics,
+		network: opts.Network.withDefaults(), metrics: opts.Metrics,
 		log: logs{
 			call: logger("call"), control: logger("control"), peer: logger("peer"),
 			leave: logger("leave"), once: logger("once-only"),
 		},
 		control: make(chan func(*controlState), 256),
-		notes:   make(chan repeat.Note, maxNotes),
+		notes:   make(chan repeat.RetryNotice, maxQueuedNotes),
 		rnd:     rand.New(rand.NewPCG(seed, 1)),
 		stopped: make(chan struct{}),
 	}
@@ -105,7 +106,7 @@
 	if n.metrics == nil {
 		n.metrics = metric.NewSet()
 	}
-	n.home = newHomeKeeper(onceonly.Home{
+	n.home = newLockedHome(onceonly.Home{
 		Service: cfg.Service, VM: cfg.VM, Incarnation: n.incarnation,
 		Memory: onceonly.KeyMemory{
 			Window: cfg.OnceOnly.Window, MaxKeys: cfg.OnceOnly.MaxKeys, AnswerBytes: cfg.OnceOnly.AnswerBytes,
@@ -115,15 +116,15 @@
 	return n, nil
 }
 
-// gateTick is the period at which the gate checks its queue.
-const gateTick = 10 * time.Millisecond
+// gateTickPeriod is the period at which the gate checks its queue.
+const gateTickPeriod = 10 * time.Millisecond
 
-// Start binds the listeners, learns the configuration and begins to serve.
+// Start binds the listeners, loads the configuration and begins to serve.
 func (n *Node) Start(ctx context.Context) error {
 	n.ctx, n.stop = context.WithCancel(context.WithoutCancel(ctx))
-	n.gate = newGatekeeper(admission.NewGate(admission.Settings{
-		Slots: 1, Floor: n.cfg.Admission.Floor, Target: n.cfg.Admission.Target,
-		MaxSojourn: n.cfg.Admission.MaxSojourn, Ramp: n.cfg.Backend.Ramp,
+	n.gate = newLockedGate(admission.NewGate(admission.Settings{
+		Slots: 1, MinLimit: n.cfg.Admission.Floor, TargetDelay: n.cfg.Admission.Target,
+		MaxSojourn: n.cfg.Admission.MaxSojourn, RampTime: n.cfg.Backend.Ramp,
 	}, n.clock.Now()))
 	n.backend = n.newBackendTransport()
 	if err := n.startPeers(); err != nil {
@@ -132,12 +133,12 @@
 		return err
 	}
 	state := newControlState(n)
-	n.learn(ctx, state)
-	n.publish(state)
+	n.loadState(ctx, state)
+	n.publishSnapshot(state)
 	go n.controlLoop(state)
-	go n.tickGate()
+	go n.runGateTicks()
 	if cfg := n.cfg.Listen; cfg.Callers != "" {
-		go n.sendNotes()
+		go n.broadcastRetryNotes()
 	}
 	if err := n.startHTTP(); err != nil {
 		return errors.Join(err, n.Close())
@@ -147,21 +148,23 @@
 	return nil
 }
 
-func (n *Node) tickGate() {
-	ticks, stop := n.clock.NewTicker(gateTick)
+// runGateTicks ticks the gate and publishes its metrics until the daemon stops.
+func (n *Node) runGateTicks() {
+	ticks, stop := n.clock.NewTicker(gateTickPeriod)
 	defer stop()
 	for {
 		select {
 		case <-ticks:
 			n.gate.tick(n.clock.Now())
-			n.publishGate()
+			n.publishGateMetrics()
 		case <-n.ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) publishGate() {
+// publishGateMetrics sets the metrics of the gate's limit, running and queued calls, and level.
+func (n *Node) publishGateMetrics() {
 	r := n.gate.read(n.clock.Now())
 	n.metrics.Set("limit", int64(r.Limit))
 	n.metrics.Set("running", int64(r.Running))
@@ -169,13 +172,13 @@
 	n.metrics.Set("level", int64(r.Level))
 }
 
-// Close stops the daemon at once, without leaving first.
+// Close stops the daemon at once: it neither leaves first nor waits for calls in progress.
 func (n *Node) Close() error {
 	n.once.Do(func() {
 		n.stop()
 		for _, s := range []*http.Server{n.callers, n.outbound} {
 			if s != nil {
-				_ = s.Close() // open connections are cut on purpose
+				_ = s.Close() // Close also ends open connections, as intended
 			}
 		}
 		if n.peerHTTP != nil {
@@ -192,21 +195,21 @@
 	return nil
 }
 
-// random calls fn with the daemon's random source.
-func (n *Node) random(fn func(*rand.Rand)) {
+// withRand calls fn with the daemon's random source locked.
+func (n *Node) withRand(fn func(*rand.Rand)) {
 	n.rndMu.Lock()
 	defer n.rndMu.Unlock()
 	fn(n.rnd)
 }
 
-// jitter returns d spread by half of it to either side.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	var f float64
-	n.random(func(r *rand.Rand) { f = r.Float64() })
+	n.withRand(func(r *rand.Rand) { f = r.Float64() })
 	return time.Duration(float64(d) * (0.5 + f))
 }
 
-// Incarnation returns the name of this life of the daemon.
+// Incarnation returns the ID of this run of the daemon; a later run's ID sorts after it.
 func (n *Node) Incarnation() string { return n.incarnation }
 
 // VM returns the name of the daemon's VM.
--- a/pkg/node/node_report.go
+++ b/pkg/node/node_report.go
@@ -15,20 +15,20 @@
 	"github.com/rockspoke/rockspoke/pkg/routing"
 )
 
-// Status is a short account of a daemon.
+// Status summarizes a daemon's state.
 type Status struct {
-	VM          string            `json:"vm"`
-	Zone        string            `json:"zone"`
-	Service     string            `json:"service,omitempty"`
-	Incarnation string            `json:"incarnation"`
-	Version     int64             `json:"version"`
-	Leaving     bool              `json:"leaving"`
-	Gate        admission.Reading `json:"gate"`
-	KeyRanges   int               `json:"key_ranges"`
-	VMs         int               `json:"vms"`
+	VM          string             `json:"vm"`
+	Zone        string             `json:"zone"`
+	Service     string             `json:"service,omitempty"`
+	Incarnation string             `json:"incarnation"`
+	Version     int64              `json:"version"`
+	Leaving     bool               `json:"leaving"`
+	Gate        admission.Snapshot `json:"gate"`
+	KeyRanges   int                `json:"key_ranges"`
+	VMs         int                `json:"vms"`
 }
 
-// Status returns a short account of the daemon.
+// Status returns a summary of the daemon's state.
 func (n *Node) Status() Status {
 	snap := n.snapshot.Load()
 	st := Status{
@@ -39,25 +39,25 @@
 	return st
 }
 
-// Dump is the whole state of a daemon that helps to see what it does.
+// Dump holds a daemon's state for debugging.
 type Dump struct {
-	Status    Status                       `json:"status"`
-	At        time.Time                    `json:"at"`
-	Levels    map[string]priority.Priority `json:"levels"` // learned from answers, by route
-	Needs     map[string]time.Duration     `json:"needs_ns"`
-	Servers   []routing.Reading            `json:"servers"`
-	Calls     []CallReading                `json:"calls"` // in progress, at most maxDumpCalls
-	Keys      onceonly.Counts              `json:"keys"`
-	Ranges    []int                        `json:"ranges"`
-	RangeRows map[string]int64             `json:"range_rows"` // versions by service
-	Neighbors []string                     `json:"neighbors"`
-	Nodes     map[string]member.NodeInfo   `json:"nodes"`
-	PeerConns int                          `json:"peer_connections"`
-	Repeats   int                          `json:"repeat_keys"`
+	Status        Status                       `json:"status"`
+	At            time.Time                    `json:"at"`
+	Levels        map[string]priority.Priority `json:"levels"` // learned from answers, by service and class
+	LatencyFloors map[string]time.Duration     `json:"needs_ns"`
+	Servers       []routing.Snapshot           `json:"servers"`
+	Calls         []ActiveCall                 `json:"calls"` // calls in progress, at most maxDumpCalls
+	Keys          onceonly.Counts              `json:"keys"`
+	Ranges        []int                        `json:"ranges"`
+	RangeRows     map[string]int64             `json:"range_rows"` // row versions by service
+	Neighbors     []string                     `json:"neighbors"`
+	Nodes         map[string]member.NodeInfo   `json:"nodes"`
+	PeerConns     int                          `json:"peer_connections"`
+	Repeats       int                          `json:"repeat_keys"`
 }
 
-// CallReading is a call in progress.
-type CallReading struct {
+// ActiveCall describes an inbound call in progress.
+type ActiveCall struct {
 	ID       string            `json:"id"`
 	Root     string            `json:"root"`
 	Class    string            `json:"class"`
@@ -67,7 +67,7 @@
 	Outbound int               `json:"outbound"`
 }
 
-// maxDumpCalls bounds the calls that a dump shows.
+// maxDumpCalls limits the calls that a dump lists.
 const maxDumpCalls = 200
 
 // Dump returns the state of the daemon.
@@ -75,14 +75,14 @@
 	now := n.clock.Now()
 	snap := n.snapshot.Load()
 	d := Dump{
-		Status: n.Status(), At: now, Levels: n.levels.All(now), Needs: n.needs.all(),
-		RangeRows: map[string]int64{}, Nodes: snap.nodes, PeerConns: n.peers.count(), Repeats: n.guard.Len(),
+		Status: n.Status(), At: now, Levels: n.levels.All(now), LatencyFloors: n.latencyFloors.all(),
+		RangeRows: map[string]int64{}, Nodes: snap.nodes, PeerConns: n.peers.count(), Repeats: n.guard.KeyCount(),
 	}
 	for _, s := range n.pool.All() {
-		d.Servers = append(d.Servers, s.Read(now))
+		d.Servers = append(d.Servers, s.Snapshot(now))
 	}
 	n.inbounds.Range(func(_, x any) bool {
-		d.Calls = append(d.Calls, x.(*inbound).reading(now))
+		d.Calls = append(d.Calls, x.(*inbound).activeCall(now))
 		return len(d.Calls) < maxDumpCalls
 	})
 	n.home.with(func(h *onceonly.Home) {
@@ -98,18 +98,20 @@
 	return d
 }
 
-func (in *inbound) reading(now time.Time) CallReading {
-	r := in.read(now)
-	return CallReading{
-		ID: in.id, Root: in.call.Root, Class: in.call.Class, Priority: in.call.Priority,
+// activeCall returns the call's state for a dump.
+func (in *inbound) activeCall(now time.Time) ActiveCall {
+	r := in.stats(now)
+	return ActiveCall{
+		ID: in.id, Root: in.call.RootID, Class: in.call.Class, Priority: in.call.Priority,
 		Tokens: in.ledger.Balance(), LeftMS: in.deadline.Sub(now).Milliseconds(), Outbound: r.outbound,
 	}
 }
 
-func (t *needTable) all() map[string]time.Duration {
+// all returns the latency floor of each route.
+func (t *latencyFloorTable) all() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	t.routes.Range(func(k, x any) bool {
-		out[k.(string)] = time.Duration(x.(*need).current.Load())
+		out[k.(string)] = time.Duration(x.(*routeLatency).floor.Load())
 		return true
 	})
 	return out
@@ -118,7 +120,7 @@
 // Metrics returns the daemon's metrics.
 func (n *Node) Metrics() *metric.Set { return n.metrics }
 
-// Explanation tells how a request would be treated, and why.
+// Explanation says how a request would be handled, and why.
 type Explanation struct {
 	Route    string        `json:"route,omitempty"`
 	Service  string        `json:"service"`
@@ -132,7 +134,7 @@
 	Why      []string      `json:"why"`
 }
 
-// TargetView is one target of a policy with the VMs that it picks now.
+// TargetView is one target of a policy with the VMs that it selects now.
 type TargetView struct {
 	Selector string   `json:"selector"`
 	Weight   int      `json:"weight"`
@@ -140,7 +142,7 @@
 	Leaving  []string `json:"leaving,omitempty"`
 }
 
-// NoRouteError reports a request that no route takes.
+// NoRouteError reports a request that matches no route.
 type NoRouteError struct{ Match config.Match }
 
 // Error describes the request.
@@ -148,13 +150,13 @@
 	return fmt.Sprintf("no route takes %s %s on host %q", e.Match.Method, e.Match.Path, e.Match.Host)
 }
 
-// Explain tells how a caller's request would be treated; the error is a *NoRouteError.
+// Explain returns how a caller's request would be handled; the error is a *NoRouteError.
 func (n *Node) Explain(m config.Match) (Explanation, error) {
 	snap := n.snapshot.Load()
 	if snap.plan == nil {
 		return Explanation{}, &NoRouteError{m}
 	}
-	t, route := snap.plan.Route(m)
+	t, route := snap.plan.RequestTreatment(m)
 	if t == nil {
 		return Explanation{}, &NoRouteError{m}
 	}
@@ -174,6 +176,7 @@
 	return e, nil
 }
 
+// targetViews lists the treatment's targets, or all of the service's VMs as one target if there are none.
 func targetViews(snap *snapshot, t *config.Treatment) []TargetView {
 	if len(t.Targets) == 0 {
 		return []TargetView{targetView(snap, t.Service, "", 1, func(routing.Candidate) bool { return true })}
@@ -186,10 +189,11 @@
 	return views
 }
 
-func targetView(snap *snapshot, service, selector string, weight int, picks func(routing.Candidate) bool) TargetView {
+// targetView lists the service's VMs that selects accepts, those that leave apart.
+func targetView(snap *snapshot, service, selector string, weight int, selects func(routing.Candidate) bool) TargetView {
 	v := TargetView{Selector: selector, Weight: weight, VMs: []string{}}
 	for _, c := range snap.candidates {
-		if c.VM.Service != service || !picks(c) {
+		if c.VM.Service != service || !selects(c) {
 			continue
 		}
 		if c.Leaving {
@@ -201,14 +205,14 @@
 	return v
 }
 
-// maxHistory bounds a history query in versions.
+// maxHistory limits the versions that History returns.
 const maxHistory = 100
 
-// History returns the newest versions, the newest first.
+// History returns up to most documents, the newest first, starting with the version in force here.
 func (n *Node) History(ctx context.Context, most int) ([]config.Document, error) {
 	var list []config.Document
 	for v := n.snapshot.Load().version(); v > 0 && len(list) < min(most, maxHistory); v-- {
-		doc, err := n.Version(ctx, v)
+		doc, err := n.DocumentVersion(ctx, v)
 		if err != nil {
 			return list, err
 		}
@@ -217,8 +221,8 @@
 	return list, nil
 }
 
-// ReleaseRanges gives a VM's key ranges to others on an operator's word that the VM is gone for good.
-// Its memory counts as lost. It must be asked of a daemon of the same service.
+// ReleaseRanges gives a VM's key ranges to other nodes when an operator states that the VM is gone for good, and
+// returns how many it gave. The ranges' key memory counts as lost. The daemon must serve the VM's service.
 func (n *Node) ReleaseRanges(ctx context.Context, vm string) (int, error) {
 	v, err := n.rangeView(ctx)
 	if err != nil {
@@ -232,7 +236,7 @@
 	}
 	row, moved := v.row.ReassignLost(func(o onceonly.Owner) bool { return o.VM == vm }, nodes)
 	if !moved {
-		return 0, &HandoverError{fmt.Sprintf("%s owns no key range of service %s, or there is no other node", vm, n.cfg.Service)}
+		return 0, &HandoverError{fmt.Sprintf("%s owns no key range of service %s, or no other node can own them", vm, n.cfg.Service)}
 	}
 	count := 0
 	for _, o := range v.row.Owners {
@@ -240,8 +244,8 @@
 			count++
 		}
 	}
-	if !n.changeRow(ctx, row, "released by an operator") {
-		return 0, &HandoverError{"the row couldn't be changed; ask again"}
+	if !n.commitAndAdoptRow(ctx, row, "released by an operator") {
+		return 0, &HandoverError{"the row of key ranges couldn't be changed; retry"}
 	}
 	return count, nil
 }
--- a/pkg/onceonly/key_expiry.go
+++ b/pkg/onceonly/key_expiry.go
@@ -70,7 +70,7 @@
 	if st == Finished {
 		return Decision{Action: Replay, Outcome: wire.Ran, Answer: &RecordedAnswer{}}
 	}
-	return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
+	return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonAnswerLost}
 }
 
 // Knows reports whether the memory holds a record or an expired state of the key.
--- a/pkg/onceonly/key_memory.go
+++ b/pkg/onceonly/key_memory.go
@@ -131,12 +131,12 @@
 	}
 	if !token && m.InQuietWindow(now, key.Range()) {
 		return Decision{
-			Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet,
+			Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonHistoryLost,
 			RetryAfter: m.quietUntil[key.Range()].Sub(now),
 		}
 	}
 	if !m.ensureCapacity() {
-		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonMemory, RetryAfter: time.Second}
+		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonKeyMemoryFull, RetryAfter: time.Second}
 	}
 	m.put(key, &Record{State: Running, Fingerprint: fingerprint, Pinned: token})
 	return Decision{Action: Run}
@@ -145,10 +145,10 @@
 // decideKnown returns the decision on an attempt whose key has a record.
 func (m *KeyMemory) decideKnown(now time.Time, rec *Record, fingerprint uint64) Decision {
 	if rec.State == Closed {
-		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, RetryAfter: rec.Until.Sub(now)}
+		return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonKeyClosed, RetryAfter: rec.Until.Sub(now)}
 	}
 	if rec.Fingerprint != fingerprint {
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonMismatch}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonKeyMismatch}
 	}
 	switch rec.State {
 	case Running:
@@ -156,7 +156,7 @@
 	case Finished:
 		return Decision{Action: Replay, Outcome: wire.Ran, Answer: rec.Answer}
 	default:
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonAnswerLost}
 	}
 }
 
@@ -225,23 +225,23 @@
 		case Finished:
 			return Decision{Action: Replay, Outcome: wire.Ran, Answer: rec.Answer}
 		case Running:
-			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonRunning}
+			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonInProgress}
 		default:
-			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonLost}
+			return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonAnswerLost}
 		}
 	}
 	if st, ok := m.expiredState(key); ok {
 		return decideExpired(st)
 	}
 	if !token && m.InQuietWindow(now, key.Range()) {
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonQuiet}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonHistoryLost}
 	}
 	if !m.ensureCapacity() {
-		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonMemory}
+		return Decision{Action: Refuse, Outcome: wire.Unknown, Reason: wire.ReasonKeyMemoryFull}
 	}
 	m.put(key, &Record{State: Closed, Until: closedUntil, Pinned: token})
 	m.expiries = append(m.expiries, expiry{closedUntil, key})
-	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonClosed, RetryAfter: closedUntil.Sub(now)}
+	return Decision{Action: Refuse, Outcome: wire.NotRun, Reason: wire.ReasonKeyClosed, RetryAfter: closedUntil.Sub(now)}
 }
 
 // put sets the key's record.
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -47,7 +47,7 @@
 // Previewed is the response to a dry run of a change.
 type Previewed struct {
 	Differences []config.Difference `json:"differences"`
-	Matches     []PolicyMatch       `json:"catches"`
+	Matches     []PolicyMatch             `json:"catches"`
 }
 
 // PolicyMatch lists the objects that a policy's selector would match.
@@ -150,7 +150,7 @@
 		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "version", Msg: "isn't a number"}}})
 		return
 	}
-	doc, err := s.Node.Version(c, v)
+	doc, err := s.Node.DocumentVersion(c, v)
 	writeResult(c, doc, err)
 }
 
@@ -161,7 +161,7 @@
 		writeProblem(c, &config.InvalidError{Faults: []config.FieldError{{Field: "want", Msg: "isn't a number"}}})
 		return
 	}
-	c.JSON(http.StatusOK, s.Node.Versions(c, want))
+	c.JSON(http.StatusOK, s.Node.ReportVersions(c, want))
 }
 
 // defaultHistoryVersions is the number of versions that a history query returns by default.
@@ -186,7 +186,7 @@
 
 // getChange responds with the version as which a change was accepted, or 0.
 func (s *Server) getChange(c *gin.Context) {
-	v, err := s.Node.Settle(c, c.Param("id"))
+	v, err := s.Node.ChangeVersion(c, c.Param("id"))
 	writeResult(c, Accepted{Version: v, ChangeID: c.Param("id")}, err)
 }
 
@@ -216,7 +216,7 @@
 		return
 	}
 	out := Previewed{Differences: diffs}
-	for policy, matched := range config.Catches(objs) {
+	for policy, matched := range config.PolicyMatches(objs) {
 		out.Matches = append(out.Matches, PolicyMatch{policy, matched})
 	}
 	c.JSON(http.StatusOK, out)
--- a/pkg/repeat/repeat_guard_test.go
+++ b/pkg/repeat/repeat_guard_test.go
@@ -9,27 +9,28 @@
 
 var begin = time.Unix(1_000_000, 0)
 
+// attempt returns an attempt under the key, with 2 retry tokens and a retry share of 0.2.
 func attempt(key string) Attempt {
-	return Attempt{Key: key, Customer: "c", Retries: 2, Share: 0.2}
+	return Attempt{Key: key, Customer: "c", RetryTokens: 2, RetryShare: 0.2}
 }
 
-func TestRepeatsShareOneBudget(t *testing.T) {
+func TestRetriesOfAKeyShareOneBudget(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	v, e, _ := g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Fresh)
+	c.Assert(v, qt.Equals, FirstAttempt)
 	for range 2 {
-		g.Sent(e)
+		g.MarkForwarded(e)
 		g.End(begin, e, nil)
 		v, e, _ = g.Begin(begin, attempt("k"))
-		c.Assert(v, qt.Equals, Repeat)
+		c.Assert(v, qt.Equals, Retry)
 	}
 	g.End(begin, e, nil)
 	v, _, _ = g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Spent)
+	c.Assert(v, qt.Equals, BudgetSpent)
 }
 
-func TestRepeatOfARequestThatNeverLeftIsFree(t *testing.T) {
+func TestRetryOfARequestThatWasNotForwardedTakesNoToken(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	_, e, _ := g.Begin(begin, attempt("k"))
@@ -38,7 +39,7 @@
 	c.Assert(e.Ledger.Balance(), qt.Equals, 2)
 }
 
-func TestRepeatJoinsTheRunningAttempt(t *testing.T) {
+func TestRetryJoinsTheAttemptInProgress(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	_, e, _ := g.Begin(begin, attempt("k"))
@@ -49,42 +50,42 @@
 	c.Assert(f.Result, qt.Equals, "answer")
 }
 
-func TestCustomerRepeatsAreAShareOfItsFreshRequests(t *testing.T) {
+func TestRetriesOfACustomerAreLimitedToAShareOfItsFirstAttempts(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
-	taken := 0
+	retried := 0
 	for i := range 100 {
 		key := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		_, e, _ := g.Begin(begin, attempt(key))
 		g.End(begin, e, nil)
-		if v, e, _ := g.Begin(begin, attempt(key)); v == Repeat {
-			taken++
+		if v, e, _ := g.Begin(begin, attempt(key)); v == Retry {
+			retried++
 			g.End(begin, e, nil)
 		}
 	}
-	c.Assert(taken >= burst && taken <= burst+20, qt.IsTrue, qt.Commentf("%d repeats of 100 requests", taken))
+	c.Assert(retried >= retryBurst && retried <= retryBurst+20, qt.IsTrue, qt.Commentf("%d retries of 100 requests", retried))
 }
 
-// TestNoteOfAnotherEntryCounts is the case in which a caller that went on through another zone's entry
-// got a second retry budget.
-func TestNoteOfAnotherEntryCounts(t *testing.T) {
+// TestNoticeOfAnotherEntryLimitsTheBudget: a client that retries through another zone's entry must not get a second retry
+// budget.
+func TestNoticeOfAnotherEntryLimitsTheBudget(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
-	g.Learn(begin, Note{Key: "k", Left: 1})
+	g.ApplyNotice(begin, RetryNotice{Key: "k", TokensLeft: 1})
 	v, e, _ := g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Repeat)
+	c.Assert(v, qt.Equals, Retry)
 	c.Assert(e.Ledger.Balance(), qt.Equals, 0)
-	g.Sent(e)
+	g.MarkForwarded(e)
 	g.End(begin, e, nil)
 	v, _, _ = g.Begin(begin, attempt("k"))
-	c.Assert(v, qt.Equals, Spent)
+	c.Assert(v, qt.Equals, BudgetSpent)
 }
 
-func TestOldKeysAreForgotten(t *testing.T) {
+func TestKeysExpire(t *testing.T) {
 	c := qt.New(t)
 	var g Guard
 	_, e, _ := g.Begin(begin, attempt("k"))
 	g.End(begin, e, nil)
-	g.Begin(begin.Add(keepKey+2*time.Second), attempt("other"))
-	c.Assert(g.Len(), qt.Equals, 1)
+	g.Begin(begin.Add(keyRetention+2*time.Second), attempt("other"))
+	c.Assert(g.KeyCount(), qt.Equals, 1)
 }
