--- a/pkg/cli/cases_test.go
+++ b/pkg/cli/cases_test.go
@@ -29,7 +29,7 @@
 
 // masks replace output that differs between runs by fixed words.
 var masks = []struct {
-	pattern *regexp.Regexp
+	pattern     *regexp.Regexp
 	replacement string
 }{
 	{regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`), "CHANGE-ID"},
--- a/pkg/cli/cli_change.go
+++ b/pkg/cli/cli_change.go
@@ -83,9 +83,9 @@
 
 // changeFlags holds the flags that all commands which make a change share.
 type changeFlags struct {
-	wait bool
+	wait    bool
 	maxWait time.Duration
-	note string
+	note    string
 }
 
 // register adds the flags to fs.
--- a/pkg/operator/operator_server.go
+++ b/pkg/operator/operator_server.go
@@ -47,7 +47,7 @@
 // Previewed is the response to a dry run of a change.
 type Previewed struct {
 	Differences []config.Difference `json:"differences"`
-	Matches     []PolicyMatch             `json:"catches"`
+	Matches     []PolicyMatch       `json:"catches"`
 }
 
 // PolicyMatch lists the objects that a policy's selector would match.
