--- a/pkg/cli/cli_exit.go
+++ b/pkg/cli/cli_exit.go
@@ -45,14 +45,14 @@
 
 // NotInForceError reports a change that was accepted but isn't in force at every daemon yet.
 type NotInForceError struct {
-	Version int64
-	Behind  int
-	Silent  int
+	Version      int64
+	Behind       int // number of daemons with an older version
+	Unresponsive int // number of daemons that did not respond
 }
 
 // Error returns the version and the numbers of daemons that are behind or unresponsive.
 func (e *NotInForceError) Error() string {
-	return fmt.Sprintf("version %d is accepted; %d daemons are behind and %d didn't answer", e.Version, e.Behind, e.Silent)
+	return fmt.Sprintf("version %d is accepted; %d daemons are behind and %d didn't answer", e.Version, e.Behind, e.Unresponsive)
 }
 
 // exitStatus returns the exit status for the error of a command.
