--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -16,7 +16,7 @@
 {"some":"other program"}
 `
 
-func TestLinesThatArentOursAreLeftOut(t *testing.T) {
+func TestReadSkipsUnparsableLines(t *testing.T) {
 	c := qt.New(t)
 	lines, skipped, err := Read("f", strings.NewReader(logText))
 	c.Assert(err, qt.IsNil)
@@ -25,18 +25,18 @@
 	c.Assert(lines[1].Source, qt.Equals, "f 4.6012 node-1")
 }
 
-func TestStoryIsInOrderWithBeliefs(t *testing.T) {
+func TestTimelineIsOrderedAndHasStateChanges(t *testing.T) {
 	c := qt.New(t)
 	lines, _, _ := Read("f", strings.NewReader(logText))
 	var got []string
-	for _, l := range Story(lines, "abc") {
+	for _, l := range Timeline(lines, "abc") {
 		got = append(got, l.Msg)
 	}
 	c.Assert(got, qt.DeepEquals, []string{"control: admission", "call: request retried", "call: not served"})
-	c.Assert(Story(lines, "nobody"), qt.HasLen, 0)
+	c.Assert(Timeline(lines, "nobody"), qt.HasLen, 0)
 }
 
-func TestCausesAreCounted(t *testing.T) {
+func TestCausesCountLoggedAndSuppressedLines(t *testing.T) {
 	c := qt.New(t)
 	lines, _, _ := Read("f", strings.NewReader(logText))
 	causes := Causes(lines)
@@ -50,10 +50,10 @@
 	f.Add(logText)
 	f.Fuzz(func(t *testing.T, s string) {
 		lines, _, err := Read("f", strings.NewReader(s))
-		if err != nil && len(s) < maxLine {
+		if err != nil && len(s) < maxLineBytes {
 			t.Fatal(err)
 		}
 		Causes(lines)
-		Story(lines, "abc")
+		Timeline(lines, "abc")
 	})
 }
