--- a/pkg/soak/backend_answers.go
+++ b/pkg/soak/backend_answers.go
@@ -13,23 +13,23 @@
 	"github.com/rockspoke/rockspoke/platform/standin"
 )
 
-// ServeHTTP takes one request.
+// ServeHTTP records one request as an arrival, checks its headers, and rejects or runs it.
 func (b *backendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	instance, f := b.state()
+	instance, f := b.instanceAndFault()
 	id := r.Header.Get(standin.Headers.AttemptID)
 	w.Header().Set(standin.Headers.AttemptID, id)
 	a := arrival{ID: id, Service: b.vm.service, Instance: instance, VM: b.vm.ip, At: time.Now(), Team: r.Header.Get(standin.Headers.Team)}
 	if r.Header.Get(standin.Headers.Key) != "" {
 		b.history.found("key", id+" showed the server its key")
 	}
-	if meant := r.Header.Get(standin.Headers.Instance); meant != "" && meant != instance {
+	if wantInstance := r.Header.Get(standin.Headers.Instance); wantInstance != "" && wantInstance != instance {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if want := callerOf(id); want != r.Header.Get(standin.Headers.Caller) {
+	if wantCaller := callingService(id); wantCaller != r.Header.Get(standin.Headers.Caller) {
 		b.history.found("caller service", fmt.Sprintf("%s came with %q", id, r.Header.Get(standin.Headers.Caller)))
 	}
-	if rand.Float64() < f.Shed {
+	if rand.Float64() < f.RefusalRate {
 		b.history.addArrival(a)
 		w.Header().Set(standin.Headers.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -40,56 +40,58 @@
 	b.run(w, r, id, f)
 }
 
-// run works on a request and answers it.
+// run simulates the work on a request, with the internal call of the service if it has one, and writes the response
+// that f allows.
 func (b *backendServer) run(w http.ResponseWriter, r *http.Request, id string, f serverFault) {
-	time.Sleep(time.Duration(float64(serverWork) * float64(max(f.Slow, 1)) * (0.5 + rand.Float64())))
-	ok := rand.Float64() >= f.Fail
+	time.Sleep(time.Duration(float64(serverRunTime) * float64(max(f.Slowdown, 1)) * (0.5 + rand.Float64())))
+	ok := rand.Float64() >= f.FailureRate
 	if called := b.vm.site.callOf(b.vm.service); called != "" && ok {
-		ok = b.call(called, id, r)
+		ok = b.callInternal(called, id, r)
 	}
-	if rand.Float64() < f.Cut {
-		hijack(w, "")
+	if rand.Float64() < f.LostAnswerRate {
+		writeRawAndClose(w, "")
 		return
 	}
 	if !ok {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	body := answerTo(id)
-	if rand.Float64() < f.Extra {
-		hijack(w, fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\n\r\nextra",
+	body := answerBody(id)
+	if rand.Float64() < f.ExtraBytesRate {
+		writeRawAndClose(w, fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\n\r\nextra",
 			standin.Headers.AttemptID, id, standin.SealHeader, sealOf(id), len(body), body))
 		return
 	}
 	w.Header().Set(standin.SealHeader, sealOf(id))
-	_, _ = io.WriteString(w, body) // a caller that left doesn't read it
+	_, _ = io.WriteString(w, body) // the caller may have disconnected
 }
 
-// call makes the inner call of a run.
-func (b *backendServer) call(path, id string, r *http.Request) bool {
-	left, err := strconv.Atoi(r.Header.Get(standin.Headers.TimeLeft))
-	if err != nil || left <= 0 {
+// callInternal makes the internal call of the run with the given ID, within the time left in r, and reports whether
+// it got the right response.
+func (b *backendServer) callInternal(path, id string, r *http.Request) bool {
+	leftMS, err := strconv.Atoi(r.Header.Get(standin.Headers.TimeLeft))
+	if err != nil || leftMS <= 0 {
 		return false
 	}
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+b.vm.at(portOutbound)+path, nil)
 	if err != nil {
 		return false
 	}
-	inner := id + "." + b.vm.service
+	callID := id + "." + b.vm.service
 	req.Host = routeHost
-	req.Header.Set(standin.Headers.AttemptID, inner)
-	req.Header.Set(standin.Headers.TimeLeft, strconv.Itoa(left))
-	res, err := b.calls.Do(req)
+	req.Header.Set(standin.Headers.AttemptID, callID)
+	req.Header.Set(standin.Headers.TimeLeft, strconv.Itoa(leftMS))
+	res, err := b.callClient.Do(req)
 	if err != nil {
 		return false
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
-	return err == nil && res.StatusCode == http.StatusOK && string(body) == answerTo(inner)
+	return err == nil && res.StatusCode == http.StatusOK && string(body) == answerBody(callID)
 }
 
-// hijack writes raw bytes and ends the connection.
-func hijack(w http.ResponseWriter, raw string) {
+// writeRawAndClose writes raw to the connection and closes it; with an empty raw it resets the connection.
+func writeRawAndClose(w http.ResponseWriter, raw string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -101,16 +103,17 @@
 	_ = conn.Close()
 }
 
-// callerOf returns the service beside which a request began: an identity is the service of its VM, a dash and
-// a number, and a dot and a service for each call below.
-func callerOf(id string) string {
+// callingService returns the service that sent the request with the given ID. An ID is the service of the entry VM, a
+// dash and numbers, then a dot and the calling service for each internal call.
+func callingService(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[i+1:]
 	}
 	return id[:strings.IndexByte(id, '-')]
 }
 
-// answerTo is the body of the answer to a request.
-func answerTo(id string) string { return "answer to " + id + strings.Repeat(" .", 200) }
+// answerBody returns the body of the response to the request with the given ID.
+func answerBody(id string) string { return "answer to " + id + strings.Repeat(" .", 200) }
 
+// sealOf returns the value of the seal header in the response to the request with the given ID.
 func sealOf(id string) string { return "seal of " + id }
--- a/pkg/soak/backend_server.go
+++ b/pkg/soak/backend_server.go
@@ -12,109 +12,110 @@
 	"github.com/rockspoke/rockspoke/platform/standin"
 )
 
-// serverFault is how a backend server misbehaves; its zero value is a sound one.
+// serverFault is how a backend server misbehaves; the zero value is a healthy one. Fractions are from 0 to 1.
 type serverFault struct {
-	Slow  int     // times its usual work
-	Fail  float64 // share of runs that end in a failure
-	Shed  float64 // share of requests that it refuses
-	Cut   float64 // share of runs whose answer is lost
-	Extra float64 // share of answers with more bytes behind them
+	Slowdown       int     // factor on the usual run time
+	FailureRate    float64 // fraction of runs that fail
+	RefusalRate    float64 // fraction of requests rejected without a run
+	LostAnswerRate float64 // fraction of runs whose response is lost
+	ExtraBytesRate float64 // fraction of responses followed by surplus bytes
 }
 
-// backendServer is one backend server of the soak.
+// backendServer is one simulated backend server.
 type backendServer struct {
-	vm       *vm
-	history  *history
-	calls    *http.Client // through the node on its VM
-	register *http.Client
+	vm             *vm
+	history        *history
+	callClient     *http.Client // sends calls through the node on its VM
+	registerClient *http.Client
 
-	faults overlapping[serverFault]
+	faults overlappingFaults[serverFault]
 
-	mu       sync.Mutex
-	instance string
-	born     int64 // Unix milliseconds
-	life     int
-	seq      int64
-	draining bool
+	mu        sync.Mutex
+	instance  string
+	startedMS int64 // Unix milliseconds
+	lifetime  int
+	seq       int64
+	draining  bool
 }
 
-// The servers' constants.
+// Constants of the backend servers.
 const (
-	serverSlots  = 64
-	serverWork   = 8 * time.Millisecond
-	beatPeriod   = 500 * time.Millisecond
-	registerTime = time.Second
-	// drainTime is how long requests may still arrive after a leave was acknowledged.
-	drainTime = 2 * time.Second
+	serverSlots     = 64
+	serverRunTime   = 8 * time.Millisecond
+	heartbeatPeriod = 500 * time.Millisecond
+	registerTimeout = time.Second
+	// drainDuration is how long requests may still arrive after a drain was acknowledged.
+	drainDuration = 2 * time.Second
 )
 
-// renew begins a new life of the server.
-func (b *backendServer) renew() {
+// startNewInstance starts a new lifetime of the server under a new instance.
+func (b *backendServer) startNewInstance() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.life++
-	b.instance = fmt.Sprintf("i-%s-%d", b.vm.ip, b.life)
-	b.born = time.Now().UnixMilli()
+	b.lifetime++
+	b.instance = fmt.Sprintf("i-%s-%d", b.vm.ip, b.lifetime)
+	b.startedMS = time.Now().UnixMilli()
 	b.seq, b.draining = 0, false
 }
 
-// startAgain begins a new life under the instance that the server has. It returns a heartbeat of the life before, which may still come. It reports false for
-// a server that is leaving: what arrives after that is told by its instance, which goes on then.
-func (b *backendServer) startAgain() (late directory.Registration, ok bool) {
-	late = b.registration()
+// restartSameInstance starts a new lifetime of the server under the same instance. It returns a heartbeat of the
+// previous lifetime, to be delivered late. It returns false and changes nothing in the lifetime of a server that is
+// draining: the check for requests after a drain goes by the instance, which a restart would keep in use.
+func (b *backendServer) restartSameInstance() (late directory.Registration, ok bool) {
+	late = b.nextHeartbeat()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.draining {
 		return late, false
 	}
-	b.born = max(time.Now().UnixMilli(), b.born+1)
+	b.startedMS = max(time.Now().UnixMilli(), b.startedMS+1)
 	b.seq = 0
 	return late, true
 }
 
-// registration returns the next heartbeat.
-func (b *backendServer) registration() directory.Registration {
+// nextHeartbeat returns the next heartbeat, with a new sequence number.
+func (b *backendServer) nextHeartbeat() directory.Registration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
 	return directory.Registration{
-		Instance: b.instance, StartedMS: b.born, Address: b.vm.at(portBackend), Service: b.vm.service, Zone: b.vm.zone,
+		Instance: b.instance, StartedMS: b.startedMS, Address: b.vm.at(portBackend), Service: b.vm.service, Zone: b.vm.zone,
 		Release: "v1", Slots: serverSlots, Draining: b.draining, CallSeq: b.seq,
 	}
 }
 
-// state returns what requests need.
-func (b *backendServer) state() (instance string, f serverFault) {
+// instanceAndFault returns the current instance and the fault in effect.
+func (b *backendServer) instanceAndFault() (instance string, f serverFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.instance, b.faults.now()
+	return b.instance, b.faults.current()
 }
 
-// beat sends one heartbeat; it reports whether it was acknowledged.
-func (b *backendServer) beat() bool {
-	return standin.Register(b.register, b.vm.at(portControl), b.registration()) == nil
+// sendHeartbeat sends one heartbeat and reports whether the node acknowledged it.
+func (b *backendServer) sendHeartbeat() bool {
+	return standin.Register(b.registerClient, b.vm.at(portControl), b.nextHeartbeat()) == nil
 }
 
-// keepBeating sends heartbeats until ctx ends.
-func (b *backendServer) keepBeating(ctx context.Context) {
-	for clock.Sleep(ctx, beatPeriod) {
-		b.beat()
+// sendHeartbeats sends a heartbeat each heartbeatPeriod until ctx ends.
+func (b *backendServer) sendHeartbeats(ctx context.Context) {
+	for clock.Sleep(ctx, heartbeatPeriod) {
+		b.sendHeartbeat()
 	}
 }
 
-// leave says that the server drains, until that is acknowledged or the time is up.
-func (b *backendServer) leave() {
+// drain sends heartbeats that say the server is draining, until one is acknowledged or drainAckTimeout has passed.
+func (b *backendServer) drain() {
 	b.mu.Lock()
 	b.draining = true
 	instance := b.instance
 	b.mu.Unlock()
-	for end := time.Now().Add(leaveTime); time.Now().Before(end); time.Sleep(beatPeriod) {
-		if b.beat() {
+	for end := time.Now().Add(drainAckTimeout); time.Now().Before(end); time.Sleep(heartbeatPeriod) {
+		if b.sendHeartbeat() {
 			b.history.addLeave(leaving{Instance: instance, At: time.Now()})
 			return
 		}
 	}
 }
 
-// leaveTime is how long a server asks for the acknowledgement of its leave.
-const leaveTime = 3 * time.Second
+// drainAckTimeout limits the wait for the acknowledgement of a drain.
+const drainAckTimeout = 3 * time.Second
--- a/pkg/soak/caller.go
+++ b/pkg/soak/caller.go
@@ -14,19 +14,20 @@
 	"github.com/rockspoke/rockspoke/platform/standin"
 )
 
-// caller sends requests into one VM's node, on kept connections, until the process there is gone.
+// caller sends requests to the node of one VM over persistent connections.
 type caller struct {
-	vm     *vm
-	client *http.Client
-	rnd    *rand.Rand
-	keys   *rand.Rand // draws the keys: what rnd draws doesn't change with them
-	count  int
+	vm      *vm
+	client  *http.Client
+	rnd     *rand.Rand
+	keyRand *rand.Rand // draws the keys; separate, so that they leave the draws of rnd unchanged
+	sent    int
 }
 
-// callerLimit is how long a caller waits for an answer.
-const callerLimit = 2 * time.Second
+// callerTimeout is how long a caller waits for a response.
+const callerTimeout = 2 * time.Second
 
-// clientFrom returns an HTTP client that sends from a VM's address on kept connections and never repeats by itself.
+// clientFrom returns an HTTP client that connects from a VM's address and reuses connections. Each dial and each
+// request may take up to limit.
 func clientFrom(ip string, limit time.Duration) *http.Client {
 	d := net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 	return &http.Client{Timeout: limit, Transport: &http.Transport{
@@ -34,27 +35,28 @@
 	}}
 }
 
-// run sends requests at the rate until ctx ends; those in progress then go on.
+// run sends requests at random intervals, rate per second on average, until ctx ends. It returns then; requests in flight continue.
 func (c *caller) run(ctx context.Context, rate float64) {
 	s := c.vm.site
 	for clock.Sleep(ctx, time.Duration(c.rnd.ExpFloat64()/rate*float64(time.Second))) {
 		r := s.pick(c.rnd)
-		c.count++
+		c.sent++
 		a := attempt{
-			ID: fmt.Sprintf("%s-%d-%d", c.vm.service, c.vm.number, c.count), Route: r.path, Service: r.service,
-			Once: r.once, VM: c.vm.ip, Limit: callerLimit, Probe: r.probe, Key: s.teams.pick(c.keys),
+			ID: fmt.Sprintf("%s-%d-%d", c.vm.service, c.vm.number, c.sent), Route: r.path, Service: r.service,
+			Once: r.once, VM: c.vm.ip, Limit: callerTimeout, Probe: r.probe, Key: s.teams.pick(c.keyRand),
 		}
 		s.asking.Go(func() {
 			a.Begun = time.Now()
-			c.send(&a)
+			c.sendAttempt(&a)
 			a.Ended = time.Now()
 			s.history.addAttempt(a)
 		})
 	}
 }
 
-// send makes one attempt and notes what came back.
-func (c *caller) send(a *attempt) {
+// sendAttempt sends one request and sets Status and Own in a from the response. Without a whole response it leaves
+// them unset.
+func (c *caller) sendAttempt(a *attempt) {
 	method := http.MethodGet
 	if a.Once {
 		method = http.MethodPost
@@ -78,6 +80,6 @@
 		return
 	}
 	a.Status = res.StatusCode
-	a.Own = string(body) == answerTo(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
+	a.Own = string(body) == answerBody(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
 		res.Header.Get(standin.Headers.AttemptID) == a.ID
 }
--- a/pkg/soak/fault_servers.go
+++ b/pkg/soak/fault_servers.go
@@ -9,61 +9,68 @@
 	"github.com/rockspoke/rockspoke/platform/standin"
 )
 
-// holdServer gives a backend server a fault for a time.
-func (s *site) holdServer(kind string, v *vm, f serverFault, d time.Duration) {
-	over := s.history.begin(kind, false)
-	end := v.server.faults.hold(f)
+// injectServerFault applies f to the backend server of a VM for d and records it.
+func (s *site) injectServerFault(kind string, v *vm, f serverFault, d time.Duration) {
+	recordEnd := s.history.begin(kind, false)
+	end := v.server.faults.add(f)
 	time.Sleep(d)
 	end()
-	over()
+	recordEnd()
 }
 
+// slowServer slows a backend server down by a factor of 2 to 21 for d.
 func slowServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdServer(kind, s.oneOf(rnd), serverFault{Slow: 2 + rnd.IntN(20)}, d)
+	s.injectServerFault(kind, s.randomVM(rnd), serverFault{Slowdown: 2 + rnd.IntN(20)}, d)
 }
 
+// failServer makes a random fraction of the runs of a backend server fail for d.
 func failServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdServer(kind, s.oneOf(rnd), serverFault{Fail: rnd.Float64()}, d)
+	s.injectServerFault(kind, s.randomVM(rnd), serverFault{FailureRate: rnd.Float64()}, d)
 }
 
-func shedServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdServer(kind, s.oneOf(rnd), serverFault{Shed: rnd.Float64()}, d)
+// refuseAtServer makes a backend server reject a random fraction of its requests for d.
+func refuseAtServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
+	s.injectServerFault(kind, s.randomVM(rnd), serverFault{RefusalRate: rnd.Float64()}, d)
 }
 
-func cutAnswers(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdServer(kind, s.oneOf(rnd), serverFault{Cut: rnd.Float64() / 2}, d)
+// loseServerAnswers makes a backend server lose up to half of its responses for d.
+func loseServerAnswers(s *site, kind string, rnd *rand.Rand, d time.Duration) {
+	s.injectServerFault(kind, s.randomVM(rnd), serverFault{LostAnswerRate: rnd.Float64() / 2}, d)
 }
 
-func extraBytes(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdServer(kind, s.oneOf(rnd), serverFault{Extra: rnd.Float64() / 2}, d)
+// sendExtraBytes makes a backend server send surplus bytes after up to half of its responses for d.
+func sendExtraBytes(s *site, kind string, rnd *rand.Rand, d time.Duration) {
+	s.injectServerFault(kind, s.randomVM(rnd), serverFault{ExtraBytesRate: rnd.Float64() / 2}, d)
 }
 
-// restartServer ends a server's connections and has it start again under its instance; a heartbeat of the life before comes late.
+// restartServer resets the connections of a backend server and restarts it under the same instance. A heartbeat of
+// its previous lifetime arrives late.
 func restartServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	v := s.oneOf(rnd)
-	over := s.history.begin(kind, false, v.ip)
-	defer over()
-	late, ok := v.server.startAgain()
+	v := s.randomVM(rnd)
+	recordEnd := s.history.begin(kind, false, v.ip)
+	defer recordEnd()
+	late, ok := v.server.restartSameInstance()
 	if !ok {
 		return
 	}
-	s.proxy.reset(v.serverLink())
-	v.server.beat()
+	s.proxy.resetConns(v.serverLink())
+	v.server.sendHeartbeat()
 	time.Sleep(d / 2)
-	_ = standin.Register(v.server.register, v.at(portControl), late) // acknowledged or not, it has to change nothing
+	_ = standin.Register(v.server.registerClient, v.at(portControl), late) // whether acknowledged or not, it must change nothing
 }
 
-// foreignHeartbeats sends a node heartbeats that name no server.
+// foreignHeartbeats sends a node heartbeats that lack a service, name an unknown one or have no slots, and records
+// each one that is accepted.
 func foreignHeartbeats(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	v := s.oneOf(rnd)
-	over := s.history.begin(kind, false)
-	defer over()
+	v := s.randomVM(rnd)
+	recordEnd := s.history.begin(kind, false)
+	defer recordEnd()
 	for _, r := range []directory.Registration{
 		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, CallSeq: 1},
 		{Instance: "foreign", Address: v.at(portBackend), Service: "unheard-of", Zone: v.zone, Slots: 1, CallSeq: 1},
 		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, CallSeq: 1},
 	} {
-		if standin.Register(v.server.register, v.at(portControl), r) == nil {
+		if standin.Register(v.server.registerClient, v.at(portControl), r) == nil {
 			s.history.found("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
 		}
 	}
--- a/pkg/soak/fault_store.go
+++ b/pkg/soak/fault_store.go
@@ -8,42 +8,47 @@
 	"github.com/rockspoke/rockspoke/platform/standin"
 )
 
-// slowAnswer is the delay of a slow store.
-const slowAnswer = 400 * time.Millisecond
+// slowStoreDelay is the delay of each call to a slow store.
+const slowStoreDelay = 400 * time.Millisecond
 
-// holdStore gives the store a fault towards some VMs for a time.
-func (s *site) holdStore(kind string, vms []*vm, f standin.Fault, d time.Duration) {
-	over := s.history.begin(kind, false, ipsOf(vms...)...)
+// injectStoreFault applies f to the calls of vms to the store for d and records it.
+func (s *site) injectStoreFault(kind string, vms []*vm, f standin.Fault, d time.Duration) {
+	recordEnd := s.history.begin(kind, false, ipsOf(vms...)...)
 	var ends []func()
 	for _, v := range vms {
-		ends = append(ends, v.storeFaults.hold(f))
-		s.store.SetFault(v.ip, v.storeFaults.now())
+		ends = append(ends, v.storeFaults.add(f))
+		s.store.SetFault(v.ip, v.storeFaults.current())
 	}
 	time.Sleep(d)
 	for i, v := range vms {
 		ends[i]()
-		s.store.SetFault(v.ip, v.storeFaults.now())
+		s.store.SetFault(v.ip, v.storeFaults.current())
 	}
-	over()
+	recordEnd()
 }
 
+// refuseAtStore makes the store reject the requests of some VMs with status 503 or 429 for d.
 func refuseAtStore(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	status := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[rnd.IntN(2)]
-	s.holdStore(kind, s.some(rnd), standin.Fault{Status: status}, d)
+	s.injectStoreFault(kind, s.randomVMs(rnd), standin.Fault{Status: status}, d)
 }
 
-func silenceStore(s *site, kind string, _ *rand.Rand, d time.Duration) {
-	s.holdStore(kind, s.vms, standin.Fault{Unresponsive: true}, d)
+// makeStoreUnresponsive makes the store leave the requests of all VMs unanswered for d.
+func makeStoreUnresponsive(s *site, kind string, _ *rand.Rand, d time.Duration) {
+	s.injectStoreFault(kind, s.vms, standin.Fault{Unresponsive: true}, d)
 }
 
+// slowStore delays the calls of all VMs to the store by slowStoreDelay for d.
 func slowStore(s *site, kind string, _ *rand.Rand, d time.Duration) {
-	s.holdStore(kind, s.vms, standin.Fault{Delay: slowAnswer}, d)
+	s.injectStoreFault(kind, s.vms, standin.Fault{Delay: slowStoreDelay}, d)
 }
 
+// loseStoreAnswers makes the store lose its responses to some VMs for d.
 func loseStoreAnswers(s *site, kind string, rnd *rand.Rand, d time.Duration) {
-	s.holdStore(kind, s.some(rnd), standin.Fault{LoseResponse: true}, d)
+	s.injectStoreFault(kind, s.randomVMs(rnd), standin.Fault{LoseResponse: true}, d)
 }
 
+// forgetStoreHistory makes the store answer some VMs that follow changes that its history is gone.
 func forgetStoreHistory(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	s.holdStore(kind, s.some(rnd), standin.Fault{ForgetHistory: true}, faultLeast)
+	s.injectStoreFault(kind, s.randomVMs(rnd), standin.Fault{ForgetHistory: true}, minFaultDuration)
 }
--- a/pkg/soak/fault_table.go
+++ b/pkg/soak/fault_table.go
@@ -7,129 +7,131 @@
 	"time"
 )
 
-// fault is one kind of fault or planned work.
+// fault is one kind of fault or of planned work.
 type fault struct {
 	name    string
 	planned bool
-	// run injects it, which the history knows by its kind, for about the given time and returns when it is over.
+	// run injects the fault for about d, records it in the history under kind and returns when the fault has ended.
 	run func(s *site, kind string, rnd *rand.Rand, d time.Duration)
 }
 
-// faults lists all kinds.
-var faults = []fault{
+// baseFaults are the kinds that every schedule draws first. The other tables are drawn separately.
+var baseFaults = []fault{
 	{"link delayed", false, delayLinks},
 	{"link reset", false, resetLinks},
 	{"link cut", false, cutLinks},
-	{"link cut one way", false, cutOneWay},
-	{"zone cut off", false, cutZone},
+	{"link cut one way", false, cutLinksOneWay},
+	{"zone cut off", false, isolateZone},
 	{"server link reset", false, resetServerLink},
-	{"store link cut", false, cutStoreLink},
+	{"store link cut", false, cutStoreLinks},
 	{"store refuses", false, refuseAtStore},
-	{"store silent", false, silenceStore},
+	{"store silent", false, makeStoreUnresponsive},
 	{"store slow", false, slowStore},
 	{"store loses answers", false, loseStoreAnswers},
 	{"store forgets", false, forgetStoreHistory},
 	{"process paused", false, pauseNode},
 	{"process killed", false, killNode},
-	{"many processes killed", false, killMany},
+	{"many processes killed", false, killManyNodes},
 	{"server slow", false, slowServer},
 	{"server fails", false, failServer},
-	{"server refuses", false, shedServer},
-	{"server loses answers", false, cutAnswers},
-	{"server sends too much", false, extraBytes},
+	{"server refuses", false, refuseAtServer},
+	{"server loses answers", false, loseServerAnswers},
+	{"server sends too much", false, sendExtraBytes},
 	{"process stopped", true, stopNode},
-	{"settings read again", true, reloadNode},
-	{"server leaves", true, leaveServer},
-	{"state changed", true, changeRoutes},
+	{"settings read again", true, reloadSettings},
+	{"server leaves", true, replaceServer},
+	{"state changed", true, replaceRoute},
 }
 
-// laterFaults came after seeds had been kept as tests: they are drawn by themselves, so that what a seed drew before stays as it was.
-var laterFaults = []fault{
+// registrationFaults have a table and random stream of their own, so that kept regression seeds still draw the same
+// baseFaults.
+var registrationFaults = []fault{
 	{"server starts again under its id", false, restartServer},
 	{"foreign heartbeats", false, foreignHeartbeats},
 }
 
-// teamFaults came later still.
-var teamFaults = []fault{
+// keyAndStoreFaults have a table and random stream of their own for the same reason.
+var keyAndStoreFaults = []fault{
 	{"key changed", true, changeKey},
 	{"store comes back from a copy", false, storeComesBack},
 }
 
-// silentFaults came last.
-var silentFaults = []fault{
+// silentConnectionFaults have a table and random stream of their own for the same reason.
+var silentConnectionFaults = []fault{
 	{"connections go silent", false, silenceConnections},
 }
 
-// laterPerSecond of them come on average.
-const laterPerSecond = 0.4
+// addedFaultsPerSecond is the mean rate of faults from each table other than baseFaults.
+const addedFaultsPerSecond = 0.4
 
-// event is one fault of a schedule.
-type event struct {
-	at, lasts time.Duration
-	fault     fault
-	seed      uint64
+// scheduledFault is one fault of a schedule: its offset from the start of the run, its duration and its random seed.
+type scheduledFault struct {
+	start, duration time.Duration
+	fault           fault
+	seed            uint64
 }
 
-// plannedOnly is how many seeds there are for each one with planned work alone: cut requests show only there.
-const plannedOnly = 3
+// plannedOnlyEvery is the interval between seeds that have planned work alone: unplanned faults excuse cut requests,
+// so these show only in such seeds.
+const plannedOnlyEvery = 3
 
-// isPlannedOnly tells whether a seed has planned work alone.
-func isPlannedOnly(seed uint64) bool { return seed%plannedOnly == 0 }
+// isPlannedOnly reports whether a seed has planned work alone.
+func isPlannedOnly(seed uint64) bool { return seed%plannedOnlyEvery == 0 }
 
-// The bounds of one fault.
+// Bounds on the duration of a fault, and the rate of faults.
 const (
-	faultLeast = 200 * time.Millisecond
-	faultMost  = 3 * time.Second
-	// faultsPerSecond come on average, so that some overlap.
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	// faultsPerSecond is the mean rate of baseFaults, high enough that some overlap.
 	faultsPerSecond = 1.2
 )
 
-// schedule draws the faults of a run.
-func schedule(seed uint64, span time.Duration) []event {
+// schedule returns the faults of a run of length span, sorted by start. The same seed and span give the same faults.
+func schedule(seed uint64, span time.Duration) []scheduledFault {
 	if isPlannedOnly(seed) {
-		planned := slices.DeleteFunc(slices.Clone(faults), func(f fault) bool { return !f.planned })
-		events := draw(rand.New(rand.NewPCG(seed, 1)), planned, faultsPerSecond, span)
-		return inOrder(append(events, draw(rand.New(rand.NewPCG(seed, 3)), teamFaults[:1], laterPerSecond, span)...))
+		planned := slices.DeleteFunc(slices.Clone(baseFaults), func(f fault) bool { return !f.planned })
+		events := drawFaults(rand.New(rand.NewPCG(seed, 1)), planned, faultsPerSecond, span)
+		return sortByStart(append(events, drawFaults(rand.New(rand.NewPCG(seed, 3)), keyAndStoreFaults[:1], addedFaultsPerSecond, span)...))
 	}
-	events := draw(rand.New(rand.NewPCG(seed, 1)), faults, faultsPerSecond, span)
-	events = append(events, draw(rand.New(rand.NewPCG(seed, 2)), laterFaults, laterPerSecond, span)...)
-	events = append(events, draw(rand.New(rand.NewPCG(seed, 3)), teamFaults, laterPerSecond, span)...)
-	events = append(events, draw(rand.New(rand.NewPCG(seed, 4)), silentFaults, laterPerSecond, span)...)
-	return inOrder(events)
+	events := drawFaults(rand.New(rand.NewPCG(seed, 1)), baseFaults, faultsPerSecond, span)
+	events = append(events, drawFaults(rand.New(rand.NewPCG(seed, 2)), registrationFaults, addedFaultsPerSecond, span)...)
+	events = append(events, drawFaults(rand.New(rand.NewPCG(seed, 3)), keyAndStoreFaults, addedFaultsPerSecond, span)...)
+	events = append(events, drawFaults(rand.New(rand.NewPCG(seed, 4)), silentConnectionFaults, addedFaultsPerSecond, span)...)
+	return sortByStart(events)
 }
 
-// inOrder returns the events in order of time.
-func inOrder(events []event) []event {
-	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
+// sortByStart sorts the events by start, in place, and returns them.
+func sortByStart(events []scheduledFault) []scheduledFault {
+	slices.SortStableFunc(events, func(a, b scheduledFault) int { return cmp.Compare(a.start, b.start) })
 	return events
 }
 
-// draw draws faults of some kinds, so many a second on average.
-func draw(rnd *rand.Rand, kinds []fault, perSecond float64, span time.Duration) []event {
-	var events []event
+// drawFaults draws faults of the given kinds for a run of length span, at a mean rate of perSecond.
+func drawFaults(rnd *rand.Rand, kinds []fault, perSecond float64, span time.Duration) []scheduledFault {
+	var events []scheduledFault
 	for at := time.Duration(0); ; {
 		at += time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= span {
 			return events
 		}
-		events = append(events, event{
-			at: at, lasts: faultLeast + time.Duration(rnd.Float64()*float64(faultMost-faultLeast)),
+		events = append(events, scheduledFault{
+			start: at, duration: minFaultDuration + time.Duration(rnd.Float64()*float64(maxFaultDuration-minFaultDuration)),
 			fault: kinds[rnd.IntN(len(kinds))], seed: rnd.Uint64(),
 		})
 	}
 }
 
-// oneOf draws a VM.
-func (s *site) oneOf(rnd *rand.Rand) *vm { return s.vms[rnd.IntN(len(s.vms))] }
+// randomVM returns a random VM.
+func (s *site) randomVM(rnd *rand.Rand) *vm { return s.vms[rnd.IntN(len(s.vms))] }
 
-// some draws about a third of the VMs, one at least.
-func (s *site) some(rnd *rand.Rand) []*vm {
+// randomVMs returns a random third of the VMs, rounded down, and at least one.
+func (s *site) randomVMs(rnd *rand.Rand) []*vm {
 	all := slices.Clone(s.vms)
 	rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:max(len(all)/3, 1)]
 }
 
-// ipsOf returns the VMs' addresses.
+// ipsOf returns the IP addresses of the VMs.
 func ipsOf(vms ...*vm) []string {
 	var ips []string
 	for _, v := range vms {
--- a/pkg/soak/link_proxy.go
+++ b/pkg/soak/link_proxy.go
@@ -8,84 +8,86 @@
 	"time"
 )
 
-// link is a way from one VM to a place: a node, a backend server or the store.
+// link is a network path from a VM to a destination: a node, a backend server or the store.
 type link struct{ from, to string }
 
-// linkFault is how a link misbehaves; its zero value is a sound link.
+// linkFault is how a link misbehaves; the zero value is a healthy link.
 type linkFault struct {
-	Delay    time.Duration // added to every piece of data, each way
-	Mute     bool          // nothing gets to the other end, and nobody hears that
-	MuteBack bool          // the same for what comes back
+	Delay       time.Duration // added to each read, in both directions
+	Blocked     bool          // data and closes from the VM are held up, without an error
+	BlockedBack bool          // the same in the other direction
 }
 
-// linkProxy carries connections and knows the links' faults.
+// linkProxy forwards connections and applies the faults of their links.
 type linkProxy struct {
-	mu      sync.Mutex
-	faults  map[link]*overlapping[linkFault]
-	carried map[*carried]link
+	mu     sync.Mutex
+	faults map[link]*overlappingFaults[linkFault]
+	conns  map[*proxiedConn]link
 }
 
-// carried is one connection on its way through the proxy.
-type carried struct {
-	near, far *net.TCPConn
-	silent    atomic.Bool // for good: what comes is taken and goes nowhere, an end included
+// proxiedConn is one connection through the proxy.
+type proxiedConn struct {
+	client, server *net.TCPConn
+	silenced       atomic.Bool // for the rest of its life: data and closes are read and discarded
 }
 
-// The proxy's constants.
+// Constants of the proxy.
 const (
 	proxyBuffer = 32 << 10
-	// mutedPoll is the time between looks at whether a muted link speaks again.
-	mutedPoll = 5 * time.Millisecond
-	// proxyDial bounds the connection to the place itself.
-	proxyDial = time.Second
+	// blockedPollPeriod is the time between checks whether a link is still blocked.
+	blockedPollPeriod = 5 * time.Millisecond
+	// proxyDialTimeout limits the time to connect to the destination.
+	proxyDialTimeout = time.Second
 )
 
-// on returns the faults of a link.
-func (p *linkProxy) on(l link) *overlapping[linkFault] {
+// faultsOf returns the faults of a link, to add to or to read.
+func (p *linkProxy) faultsOf(l link) *overlappingFaults[linkFault] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults == nil {
-		p.faults = map[link]*overlapping[linkFault]{}
+		p.faults = map[link]*overlappingFaults[linkFault]{}
 	}
 	if p.faults[l] == nil {
-		p.faults[l] = &overlapping[linkFault]{}
+		p.faults[l] = &overlappingFaults[linkFault]{}
 	}
 	return p.faults[l]
 }
 
-func (p *linkProxy) fault(l link) linkFault { return p.on(l).now() }
+// currentFault returns the fault of a link that applies now.
+func (p *linkProxy) currentFault(l link) linkFault { return p.faultsOf(l).current() }
 
-// reset breaks all connections of a link.
-func (p *linkProxy) reset(l link) {
+// resetConns resets the open connections of a link.
+func (p *linkProxy) resetConns(l link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c, on := range p.carried {
+	for c, on := range p.conns {
 		if on == l {
-			c.breakOff()
+			c.reset()
 		}
 	}
 }
 
-// silence makes the connections of a link that are open go silent for good.
-func (p *linkProxy) silence(l link) {
+// silenceConns makes the open connections of a link unresponsive for the rest of their life.
+func (p *linkProxy) silenceConns(l link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c, on := range p.carried {
+	for c, on := range p.conns {
 		if on == l {
-			c.silent.Store(true)
+			c.silenced.Store(true)
 		}
 	}
 }
 
-// breakOff resets both ends; they may have been closed before, which is as good.
-func (c *carried) breakOff() {
-	for _, end := range []*net.TCPConn{c.near, c.far} {
+// reset resets both ends. An end that is already closed is left as it is.
+func (c *proxiedConn) reset() {
+	for _, end := range []*net.TCPConn{c.client, c.server} {
 		_ = end.SetLinger(0)
 		_ = end.Close()
 	}
 }
 
-// serve carries connections from the listening address to the target until ctx ends; to names the place.
+// serve forwards connections from the listening address to the target until ctx ends; to is the destination in the
+// name of their link. It returns once it listens, with an error if it can't.
 func (p *linkProxy) serve(ctx context.Context, closing *sync.WaitGroup, listen, target, to string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -98,59 +100,65 @@
 			if err != nil {
 				return // closed at the end of the run
 			}
-			go p.carry(ctx, conn.(*net.TCPConn), target, to)
+			go p.forward(ctx, conn.(*net.TCPConn), target, to)
 		}
 	}()
 	return nil
 }
 
-// carry connects on from the address of the VM that connected, so that the other end sees who it is.
-func (p *linkProxy) carry(ctx context.Context, near *net.TCPConn, target, to string) {
-	from, _, _ := net.SplitHostPort(near.RemoteAddr().String())
-	d := net.Dialer{Timeout: proxyDial, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
+// forward connects to the target and copies data both ways until both directions end. It connects from the address of
+// the VM that dialed, so that the target sees that address.
+func (p *linkProxy) forward(ctx context.Context, client *net.TCPConn, target, to string) {
+	from, _, _ := net.SplitHostPort(client.RemoteAddr().String())
+	d := net.Dialer{Timeout: proxyDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	conn, err := d.DialContext(ctx, "tcp", target)
 	if err != nil {
-		_ = near.SetLinger(0) // a dead port resets
-		_ = near.Close()
+		_ = client.SetLinger(0) // a port that nobody listens on resets too
+		_ = client.Close()
 		return
 	}
-	c := &carried{near: near, far: conn.(*net.TCPConn)}
+	c := &proxiedConn{client: client, server: conn.(*net.TCPConn)}
 	l := link{from, to}
-	p.keep(c, l)
-	defer p.drop(c)
+	p.track(c, l)
+	defer p.untrack(c)
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(ctx, c, c.near, c.far, func() bool { return p.fault(l).Mute }, l) })
-	both.Go(func() { p.pump(ctx, c, c.far, c.near, func() bool { return p.fault(l).MuteBack }, l) })
+	both.Go(func() { p.copyOneWay(ctx, c, c.client, c.server, func() bool { return p.currentFault(l).Blocked }, l) })
+	both.Go(func() {
+		p.copyOneWay(ctx, c, c.server, c.client, func() bool { return p.currentFault(l).BlockedBack }, l)
+	})
 	both.Wait()
-	_ = c.near.Close()
-	_ = c.far.Close()
+	_ = c.client.Close()
+	_ = c.server.Close()
 }
 
-func (p *linkProxy) keep(c *carried, l link) {
+// track adds c to the open connections of l.
+func (p *linkProxy) track(c *proxiedConn, l link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.carried == nil {
-		p.carried = map[*carried]link{}
+	if p.conns == nil {
+		p.conns = map[*proxiedConn]link{}
 	}
-	p.carried[c] = l
+	p.conns[c] = l
 }
 
-func (p *linkProxy) drop(c *carried) {
+// untrack removes c from the open connections.
+func (p *linkProxy) untrack(c *proxiedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.carried, c)
+	delete(p.conns, c)
 }
 
-// pump copies one direction; what a muted link holds up, an end included, goes on when it speaks again.
-func (p *linkProxy) pump(ctx context.Context, c *carried, src, dst *net.TCPConn, muted func() bool, l link) {
+// copyOneWay copies data from src to dst. While the link is blocked, data and closes wait; they are passed on when it
+// is unblocked.
+func (p *linkProxy) copyOneWay(ctx context.Context, c *proxiedConn, src, dst *net.TCPConn, blocked func() bool, l link) {
 	buf := make([]byte, proxyBuffer)
 	for {
 		n, err := src.Read(buf)
-		time.Sleep(p.fault(l).Delay)
-		for muted() && ctx.Err() == nil {
-			time.Sleep(mutedPoll)
+		time.Sleep(p.currentFault(l).Delay)
+		for blocked() && ctx.Err() == nil {
+			time.Sleep(blockedPollPeriod)
 		}
-		if c.silent.Load() {
+		if c.silenced.Load() {
 			if err != nil {
 				return
 			}
@@ -158,13 +166,13 @@
 		}
 		if n > 0 {
 			if _, werr := dst.Write(buf[:n]); werr != nil {
-				c.breakOff()
+				c.reset()
 				return
 			}
 		}
 		if err != nil {
-			if isReset(err) {
-				c.breakOff()
+			if isConnReset(err) {
+				c.reset()
 			}
 			_ = dst.CloseWrite() // the other direction may still be in use
 			return
--- a/pkg/soak/node_process.go
+++ b/pkg/soak/node_process.go
@@ -14,25 +14,25 @@
 	"github.com/rockspoke/rockspoke/pkg/settings"
 )
 
-// nodeProcess is one VM's process of rockspoked, with its settings file and log.
+// nodeProcess is the rockspoked process of one VM, with its settings file and log.
 type nodeProcess struct {
-	program  string
-	file     string // settings
-	log      *os.File
-	cfg      settings.Settings
-	onExit   func(err error)
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	exited   chan struct{}
-	expected bool // a signal of the soak ends it
-	paused   bool // was, since its start
+	program          string
+	settingsFile     string
+	log              *os.File
+	cfg              settings.Settings
+	onUnexpectedExit func(err error)
+	mu               sync.Mutex
+	cmd              *exec.Cmd
+	exited           chan struct{}
+	exitExpected     bool // the soak has sent a signal that ends it
+	pausedSinceStart bool
 
 	restarting sync.Mutex // held from the signal to the next start
 }
 
-// newNodeProcess writes the settings; the process isn't started.
+// newNodeProcess writes the settings file and creates the log in dir; it doesn't start the process.
 func newNodeProcess(program, dir string, cfg settings.Settings) (*nodeProcess, error) {
-	p := &nodeProcess{program: program, file: filepath.Join(dir, cfg.VM+".yaml"), cfg: cfg}
+	p := &nodeProcess{program: program, settingsFile: filepath.Join(dir, cfg.VM+".yaml"), cfg: cfg}
 	var err error
 	if p.log, err = os.Create(filepath.Join(dir, cfg.VM+".log")); err != nil {
 		return nil, err
@@ -45,12 +45,12 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.file, data, 0o600)
+	return os.WriteFile(p.settingsFile, data, 0o600)
 }
 
-// start starts the process.
+// start starts the process; onUnexpectedExit is called if it exits without a SIGTERM or SIGKILL from the soak.
 func (p *nodeProcess) start() error {
-	cmd := exec.Command(p.program, "-settings", p.file)
+	cmd := exec.Command(p.program, "-settings", p.settingsFile)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	cmd.Stdout, cmd.Stderr = p.log, p.log
 	if err := cmd.Start(); err != nil {
@@ -58,44 +58,44 @@
 	}
 	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.exited, p.expected, p.paused = cmd, exited, false, false
+	p.cmd, p.exited, p.exitExpected, p.pausedSinceStart = cmd, exited, false, false
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		expected := p.expected
+		expected := p.exitExpected
 		p.mu.Unlock()
 		close(exited)
 		if !expected {
-			p.onExit(err)
+			p.onUnexpectedExit(err)
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to the process; one that ended before needs none.
+// signal sends a signal to the process. It does nothing and returns nil if the process has exited.
 func (p *nodeProcess) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		p.expected = true
+		p.exitExpected = true
 	}
-	p.paused = p.paused || s == syscall.SIGSTOP
+	p.pausedSinceStart = p.pausedSinceStart || s == syscall.SIGSTOP
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
 	return nil
 }
 
-// wasPaused tells whether the process was paused since its start.
+// wasPaused reports whether the process has been paused since its start.
 func (p *nodeProcess) wasPaused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.paused
+	return p.pausedSinceStart
 }
 
-// await waits for the end of the process, and reports whether it came in time.
-func (p *nodeProcess) await(d time.Duration) bool {
+// waitForExit waits up to d for the process to exit and reports whether it did.
+func (p *nodeProcess) waitForExit(d time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
@@ -107,15 +107,15 @@
 	}
 }
 
-// end kills the process and closes its log.
-func (p *nodeProcess) end() {
+// killAndCloseLog kills the process, if it was ever started, and closes its log.
+func (p *nodeProcess) killAndCloseLog() {
 	if p.cmd != nil {
-		_ = p.signal(syscall.SIGCONT) // a paused one ends only once it goes on
+		_ = p.signal(syscall.SIGCONT) // a paused process exits only once it continues
 		_ = p.signal(syscall.SIGKILL)
-		p.await(endTime)
+		p.waitForExit(killTimeout)
 	}
 	_ = p.log.Close()
 }
 
-// endTime bounds the wait for a killed process.
-const endTime = 5 * time.Second
+// killTimeout limits the wait for the exit of a killed process.
+const killTimeout = 5 * time.Second
--- a/pkg/soak/overlapping_faults.go
+++ b/pkg/soak/overlapping_faults.go
@@ -5,32 +5,32 @@
 	"sync"
 )
 
-// overlapping are the faults that hold at one place: the newest counts, and when it is over an older one that still
-// lasts. Its zero value has none.
-type overlapping[T any] struct {
-	mu   sync.Mutex
-	held []*T
+// overlappingFaults are the faults in effect at one place. The newest applies; when it ends, the newest of those that
+// remain does. The zero value has none.
+type overlappingFaults[T any] struct {
+	mu     sync.Mutex
+	active []*T
 }
 
-// hold adds a fault; the returned function ends it.
-func (o *overlapping[T]) hold(f T) (end func()) {
+// add puts a fault into effect; the returned function ends it.
+func (o *overlappingFaults[T]) add(f T) (end func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	held := &f
-	o.held = append(o.held, held)
+	entry := &f
+	o.active = append(o.active, entry)
 	return func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.held = slices.DeleteFunc(o.held, func(x *T) bool { return x == held })
+		o.active = slices.DeleteFunc(o.active, func(x *T) bool { return x == entry })
 	}
 }
 
-// now returns the fault that counts, or a zero one.
-func (o *overlapping[T]) now() (f T) {
+// current returns the newest fault in effect, or the zero value if there is none.
+func (o *overlappingFaults[T]) current() (f T) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n := len(o.held); n > 0 {
-		f = *o.held[n-1]
+	if n := len(o.active); n > 0 {
+		f = *o.active[n-1]
 	}
 	return f
 }
--- a/pkg/soak/planned_work.go
+++ b/pkg/soak/planned_work.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// takeAway notes that planned work takes a VM's server away until the returned function is called. It reports false
-// if that would leave its service without any: no operator does that, and all who need it would fail.
-func (s *site) takeAway(v *vm) (back func(), ok bool) {
+// reserveOutage records that planned work takes the backend server of a VM down until release is called. It returns
+// false if no other server of the service would remain: no operator does that, and all requests that need the service
+// would fail.
+func (s *site) reserveOutage(v *vm) (release func(), ok bool) {
 	s.awayMu.Lock()
 	defer s.awayMu.Unlock()
-	all := 0
+	total := 0
 	for _, o := range s.vms {
 		if o.service == v.service {
-			all++
+			total++
 		}
 	}
-	if s.away[v.service]+1 >= all {
+	if s.away[v.service]+1 >= total {
 		return nil, false
 	}
 	if s.away == nil {
@@ -32,26 +33,26 @@
 	}, true
 }
 
-// stopNode stops a process in order and starts it again.
+// stopNode shuts a process down with SIGTERM and starts it again.
 func stopNode(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	v := s.oneOf(rnd)
-	back, ok := s.takeAway(v)
+	v := s.randomVM(rnd)
+	release, ok := s.reserveOutage(v)
 	if !ok {
 		return
 	}
-	defer back()
-	over := s.history.begin(kind, true, v.ip)
+	defer release()
+	recordEnd := s.history.begin(kind, true, v.ip)
 	v.restart(syscall.SIGTERM, restartPause)
-	over()
+	recordEnd()
 }
 
-// reloadNode has a process read its settings again, once or twice in a row.
-func reloadNode(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	v := s.oneOf(rnd)
-	over := s.history.begin(kind, true, v.ip)
-	defer over()
+// reloadSettings has a process reload its settings, once or twice in a row.
+func reloadSettings(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
+	v := s.randomVM(rnd)
+	recordEnd := s.history.begin(kind, true, v.ip)
+	defer recordEnd()
 	if !v.node.restarting.TryLock() {
-		return // nothing is there to be told
+		return // no process is running that could reload
 	}
 	defer v.node.restarting.Unlock()
 	for range 1 + rnd.IntN(2) {
@@ -59,25 +60,25 @@
 	}
 }
 
-// leaveServer lets a backend server drain, end and come back as a new one.
-func leaveServer(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	v := s.oneOf(rnd)
-	back, ok := s.takeAway(v)
+// replaceServer drains a backend server and starts a new instance in its place.
+func replaceServer(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
+	v := s.randomVM(rnd)
+	release, ok := s.reserveOutage(v)
 	if !ok {
 		return
 	}
-	defer back()
-	over := s.history.begin(kind, true, v.ip)
-	defer over()
-	v.server.leave()
-	time.Sleep(drainTime + faultLeast)
-	v.server.renew()
+	defer release()
+	recordEnd := s.history.begin(kind, true, v.ip)
+	defer recordEnd()
+	v.server.drain()
+	time.Sleep(drainDuration + minFaultDuration)
+	v.server.startNewInstance()
 }
 
-// changeRoutes adds a route and drops the one before.
-func changeRoutes(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	over := s.history.begin(kind, true)
-	defer over()
+// replaceRoute adds a route to the desired state and removes the one that was added before it.
+func replaceRoute(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
+	recordEnd := s.history.begin(kind, true)
+	defer recordEnd()
 	added := route{path: fmt.Sprintf("/n%d/", rnd.Uint32()), service: serviceBack, probe: true}
 	s.routesMu.Lock()
 	old := s.routes
--- a/pkg/soak/promise_checks.go
+++ b/pkg/soak/promise_checks.go
@@ -88,7 +88,7 @@
 		left[l.Instance] = l.At
 	}
 	for _, a := range h.arrivals {
-		if at, ok := left[a.Instance]; ok && a.At.Sub(at) > drainTime {
+		if at, ok := left[a.Instance]; ok && a.At.Sub(at) > drainDuration {
 			found = append(found, Finding{"leaving", fmt.Sprintf("%s came %v after %s had left", a.ID, a.At.Sub(at), a.Instance)})
 		}
 	}
--- a/pkg/soak/site.go
+++ b/pkg/soak/site.go
@@ -32,7 +32,7 @@
 	ip, service, zone string
 	node              *nodeProcess
 	server            *backendServer
-	storeFaults       overlapping[standin.Fault]
+	storeFaults       overlappingFaults[standin.Fault]
 }
 
 // at returns an address on the VM.
@@ -86,14 +86,14 @@
 	}
 	v.server = &backendServer{
 		vm: v, history: &s.history,
-		calls: clientFrom(v.ip, callerLimit), register: clientFrom(v.ip, registerTime),
+		callClient: clientFrom(v.ip, callerTimeout), registerClient: clientFrom(v.ip, registerTimeout),
 	}
-	v.server.renew()
+	v.server.startNewInstance()
 	var err error
 	if v.node, err = newNodeProcess(s.opts.Program, s.opts.Dir, s.settingsOf(v)); err != nil {
 		return nil, err
 	}
-	v.node.onExit = func(err error) {
+	v.node.onUnexpectedExit = func(err error) {
 		if !s.ending.Load() {
 			s.history.found("process", fmt.Sprintf("%s ended by itself: %v", v.ip, err))
 		}
--- a/pkg/soak/site_routes.go
+++ b/pkg/soak/site_routes.go
@@ -40,7 +40,7 @@
 	for _, r := range append([]route{routeRead, routePay, routePull, routeCall}, routes...) {
 		all = append(all, standin.Route{
 			Name: "r" + r.path, Host: routeHost, Prefix: r.path, Service: r.service, Once: r.once,
-			Priority: 1, MaxAttempts: 3, Timeout: 3 * callerLimit, Public: r == routeCall,
+			Priority: 1, MaxAttempts: 3, Timeout: 3 * callerTimeout, Public: r == routeCall,
 		})
 	}
 	row, err := standin.StateRow(s.version, all, s.teams.inForce()...)
--- a/pkg/soak/site_start.go
+++ b/pkg/soak/site_start.go
@@ -45,7 +45,7 @@
 	if err := v.node.start(); err != nil {
 		return err
 	}
-	go v.server.keepBeating(ctx)
+	go v.server.sendHeartbeats(ctx)
 	return nil
 }
 
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: callerLimit, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: callerTimeout, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
 	closeAfter(ctx, closing, srv)
 	closing.Go(func() { _ = srv.Serve(ln) }) // it ends when it is closed, and closes ln
 	return nil
@@ -76,8 +76,8 @@
 // ready waits until every node serves.
 func (s *site) ready() error {
 	for _, v := range s.vms {
-		client := clientFrom(v.ip, registerTime)
-		for end := time.Now().Add(startTime); ; time.Sleep(mutedPoll) {
+		client := clientFrom(v.ip, registerTimeout)
+		for end := time.Now().Add(startTime); ; time.Sleep(blockedPollPeriod) {
 			res, err := client.Get("http://" + v.at(portControl) + standin.ReadyPath)
 			if err == nil {
 				_ = res.Body.Close()
@@ -97,6 +97,6 @@
 func (s *site) end() {
 	s.ending.Store(true)
 	for _, v := range s.vms {
-		v.node.end()
+		v.node.killAndCloseLog()
 	}
 }
--- a/pkg/soak/site_teams.go
+++ b/pkg/soak/site_teams.go
@@ -163,11 +163,11 @@
 	defer s.keyMu.Unlock()
 	s.store.Snapshot()
 	time.Sleep(time.Duration(rnd.Float64() * float64(d)))
-	s.holdStore(kind, s.vms, standin.Fault{Unresponsive: true}, faultLeast)
+	s.injectStoreFault(kind, s.vms, standin.Fault{Unresponsive: true}, minFaultDuration)
 	s.store.Restore()
 	over := s.history.begin(kind, false)
 	defer over()
-	time.Sleep(faultLeast)
+	time.Sleep(minFaultDuration)
 	s.writeTeams()
 }
 
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -45,7 +45,7 @@
 	defer stop()
 	var callersDone sync.WaitGroup
 	for i, v := range s.vms {
-		c := &caller{vm: v, client: clientFrom(v.ip, callerLimit+lateTime), rnd: rand.New(rand.NewPCG(o.Seed, uint64(i+2))), keys: rand.New(rand.NewPCG(o.Seed, uint64(keyDraws+i)))}
+		c := &caller{vm: v, client: clientFrom(v.ip, callerTimeout+lateTime), rnd: rand.New(rand.NewPCG(o.Seed, uint64(i+2))), keyRand: rand.New(rand.NewPCG(o.Seed, uint64(keyDraws+i)))}
 		callersDone.Go(func() { c.run(callers, o.Rate) })
 	}
 	s.play(ctx, schedule(o.Seed, o.Faulty), begun)
@@ -65,13 +65,13 @@
 const settleTime = time.Second
 
 // play injects the faults and returns when the last is over.
-func (s *site) play(ctx context.Context, events []event, begun time.Time) {
+func (s *site) play(ctx context.Context, events []scheduledFault, begun time.Time) {
 	done := make(chan struct{}, len(events))
 	for _, e := range events {
-		clock.Sleep(ctx, time.Until(begun.Add(e.at)))
-		s.log.Info("fault", "kind", e.fault.name, "at", e.at, "lasts", e.lasts)
+		clock.Sleep(ctx, time.Until(begun.Add(e.start)))
+		s.log.Info("fault", "kind", e.fault.name, "at", e.start, "lasts", e.duration)
 		go func() {
-			e.fault.run(s, e.fault.name, rand.New(rand.NewPCG(e.seed, 1)), e.lasts)
+			e.fault.run(s, e.fault.name, rand.New(rand.NewPCG(e.seed, 1)), e.duration)
 			done <- struct{}{}
 		}()
 	}
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -61,13 +61,13 @@
 	c := qt.New(t)
 	names := func(seed uint64) (all []string) {
 		for _, e := range schedule(seed, time.Minute) {
-			all = append(all, e.fault.name+e.at.String())
+			all = append(all, e.fault.name+e.start.String())
 		}
 		return all
 	}
 	c.Assert(names(4), qt.DeepEquals, names(4))
 	c.Assert(slices.Equal(names(4), names(5)), qt.IsFalse)
-	for _, e := range schedule(plannedOnly, time.Minute) {
+	for _, e := range schedule(plannedOnlyEvery, time.Minute) {
 		c.Assert(e.fault.planned, qt.IsTrue)
 	}
 }
@@ -92,7 +92,7 @@
 		{"once", func(h *history) { h.addArrival(h.arrivals[0]) }},
 		{"refusal", func(h *history) { h.attempts[0].Status = http.StatusServiceUnavailable }},
 		{"answer", func(h *history) { h.attempts[0].Own = false }},
-		{"leaving", func(h *history) { h.addLeave(leaving{Instance: "i", At: judged.Add(-drainTime - time.Second)}) }},
+		{"leaving", func(h *history) { h.addLeave(leaving{Instance: "i", At: judged.Add(-drainDuration - time.Second)}) }},
 		{"final answer", func(h *history) { h.attempts[0].Ended = judged.Add(2 * time.Second) }},
 		{"planned work", func(h *history) { h.attempts[0].Status, h.attempts[0].Own = http.StatusBadGateway, false }},
 		{"desired state", func(h *history) {
@@ -171,29 +171,29 @@
 // A fault that ended took another one at the same place with it, and the checks excused what there was no cause for.
 func TestOverlappingFaultsEndOneByOne(t *testing.T) {
 	c := qt.New(t)
-	var o overlapping[linkFault]
-	endDelay := o.hold(linkFault{Delay: time.Second})
-	endMute := o.hold(linkFault{Mute: true})
-	c.Assert(o.now(), qt.Equals, linkFault{Mute: true})
+	var o overlappingFaults[linkFault]
+	endDelay := o.add(linkFault{Delay: time.Second})
+	endMute := o.add(linkFault{Blocked: true})
+	c.Assert(o.current(), qt.Equals, linkFault{Blocked: true})
 	endMute()
-	c.Assert(o.now(), qt.Equals, linkFault{Delay: time.Second})
+	c.Assert(o.current(), qt.Equals, linkFault{Delay: time.Second})
 	endDelay()
-	c.Assert(o.now(), qt.Equals, linkFault{})
+	c.Assert(o.current(), qt.Equals, linkFault{})
 }
 
 // Planned work that overlapped took all three servers of a service away for 0.15 s, and runs that need it failed.
 func TestPlannedWorkLeavesAServer(t *testing.T) {
 	c := qt.New(t)
 	s := &site{vms: []*vm{{service: "a"}, {service: "a"}, {service: "b"}, {service: "a"}}}
-	_, ok := s.takeAway(s.vms[0])
+	_, ok := s.reserveOutage(s.vms[0])
 	c.Assert(ok, qt.IsTrue)
-	back, ok := s.takeAway(s.vms[1])
+	back, ok := s.reserveOutage(s.vms[1])
 	c.Assert(ok, qt.IsTrue)
-	_, ok = s.takeAway(s.vms[3])
+	_, ok = s.reserveOutage(s.vms[3])
 	c.Assert(ok, qt.IsFalse)
 	back()
-	_, ok = s.takeAway(s.vms[3])
+	_, ok = s.reserveOutage(s.vms[3])
 	c.Assert(ok, qt.IsTrue)
-	_, ok = s.takeAway(s.vms[2])
+	_, ok = s.reserveOutage(s.vms[2])
 	c.Assert(ok, qt.IsFalse, qt.Commentf("its only one"))
 }
