--- a/pkg/soak/history.go
+++ b/pkg/soak/history.go
@@ -68,7 +68,7 @@
 // Finding is a broken promise.
 type Finding struct {
 	Promise string
-	What    string
+	Detail    string
 }
 
 func (h *history) addAttempt(a attempt) {
--- a/pkg/soak/run_report.go
+++ b/pkg/soak/run_report.go
@@ -12,16 +12,16 @@
 	Requests int
 	Served   int
 	Faults   map[string]int // by kind
-	Broken   []Finding
+	Findings   []Finding
 }
 
 // Text is the report in a few lines.
 func (r Report) Text() string {
 	text := fmt.Sprintf("seed %d: %d of %d requests served, faults %v\n", r.Seed, r.Served, r.Requests, r.Faults)
 	shown := map[string]int{}
-	for _, f := range r.Broken {
+	for _, f := range r.Findings {
 		if shown[f.Promise]++; shown[f.Promise] <= mostShown {
-			text += fmt.Sprintf("  broken: %s: %s\n", f.Promise, f.What)
+			text += fmt.Sprintf("  broken: %s: %s\n", f.Promise, f.Detail)
 		}
 	}
 	for promise, n := range shown {
@@ -37,7 +37,7 @@
 	h := &s.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := Report{Seed: s.opts.Seed, Requests: len(h.attempts), Faults: map[string]int{}, Broken: slices.Clone(h.broken)}
+	r := Report{Seed: s.opts.Seed, Requests: len(h.attempts), Faults: map[string]int{}, Findings: slices.Clone(h.broken)}
 	for _, a := range h.attempts {
 		if a.Own {
 			r.Served++
@@ -47,7 +47,7 @@
 		r.Faults[d.Kind]++
 	}
 	for _, c := range checks {
-		r.Broken = append(r.Broken, c(h, calmFrom)...)
+		r.Findings = append(r.Findings, c(h, calmFrom)...)
 	}
 	return r
 }
--- a/pkg/soak/run_seeds.go
+++ b/pkg/soak/run_seeds.go
@@ -32,7 +32,7 @@
 				firstErr = errors.Join(firstErr, fmt.Errorf("seed %d: %w", seed, err))
 				return
 			}
-			if len(r.Broken) > 0 {
+			if len(r.Findings) > 0 {
 				failed = append(failed, seed)
 			}
 			fmt.Fprint(w, r.Text())
@@ -41,7 +41,7 @@
 	all.Wait()
 	fmt.Fprintf(w, "%d seeds run, %d with broken promises %v\n", len(seeds), len(failed), failed)
 	if len(failed) > 0 {
-		return errors.Join(firstErr, &FoundError{failed})
+		return errors.Join(firstErr, &BrokenPromisesError{failed})
 	}
 	return firstErr
 }
@@ -62,10 +62,10 @@
 	return Run(ctx, o)
 }
 
-// FoundError reports that runs broke promises.
-type FoundError struct{ Seeds []uint64 }
+// BrokenPromisesError reports that runs broke promises.
+type BrokenPromisesError struct{ Seeds []uint64 }
 
 // Error names the seeds.
-func (e *FoundError) Error() string {
+func (e *BrokenPromisesError) Error() string {
 	return fmt.Sprintf("promises were broken with seeds %v", e.Seeds)
 }
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -17,8 +17,8 @@
 	Seed    uint64
 	VMs     int
 	Network int           // third number of the loopback addresses, so that runs can go on beside each other
-	Faulty  time.Duration // in which faults begin
-	Calm    time.Duration // afterwards
+	FaultPeriod  time.Duration // in which faults begin
+	RecoveryPeriod    time.Duration // afterwards
 	Rate    float64       // requests a second into each VM
 	Log     io.Writer
 }
@@ -48,9 +48,9 @@
 		c := &caller{vm: v, client: clientFrom(v.ip, callerLimit+lateTime), rnd: rand.New(rand.NewPCG(o.Seed, uint64(i+2))), keys: rand.New(rand.NewPCG(o.Seed, uint64(keyDraws+i)))}
 		callersDone.Go(func() { c.run(callers, o.Rate) })
 	}
-	s.play(ctx, schedule(o.Seed, o.Faulty), begun)
+	s.play(ctx, schedule(o.Seed, o.FaultPeriod), begun)
 	calmFrom := time.Now()
-	clock.Sleep(ctx, o.Calm)
+	clock.Sleep(ctx, o.RecoveryPeriod)
 	stop()
 	callersDone.Wait()
 	s.asking.Wait() // requests in progress end by themselves
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -31,10 +31,10 @@
 		t.Run("", func(t *testing.T) {
 			r, err := Run(context.Background(), Options{
 				Program: program, Dir: t.TempDir(), Seed: seed, VMs: 6, Network: 100 + i,
-				Faulty: 3 * time.Second, Calm: 5 * time.Second, Rate: 8, Log: os.Stderr,
+				FaultPeriod: 3 * time.Second, RecoveryPeriod: 5 * time.Second, Rate: 8, Log: os.Stderr,
 			})
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, r.Broken, qt.HasLen, 0, qt.Commentf("%s", r.Text()))
+			qt.Assert(t, r.Findings, qt.HasLen, 0, qt.Commentf("%s", r.Text()))
 			qt.Assert(t, r.Served > 0, qt.IsTrue)
 		})
 	}
