--- a/pkg/soak/backend_answers.go
+++ b/pkg/soak/backend_answers.go
@@ -20,14 +20,14 @@
 	w.Header().Set(standin.Headers.AttemptID, id)
 	a := arrival{ID: id, Service: b.vm.service, Instance: instance, VM: b.vm.ip, At: time.Now(), Team: r.Header.Get(standin.Headers.Team)}
 	if r.Header.Get(standin.Headers.Key) != "" {
-		b.history.found("key", id+" showed the server its key")
+		b.history.addFinding("key", id+" showed the server its key")
 	}
 	if meant := r.Header.Get(standin.Headers.Instance); meant != "" && meant != instance {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if want := callerOf(id); want != r.Header.Get(standin.Headers.Caller) {
-		b.history.found("caller service", fmt.Sprintf("%s came with %q", id, r.Header.Get(standin.Headers.Caller)))
+		b.history.addFinding("caller service", fmt.Sprintf("%s came with %q", id, r.Header.Get(standin.Headers.Caller)))
 	}
 	if rand.Float64() < f.Shed {
 		b.history.addArrival(a)
@@ -44,7 +44,7 @@
 func (b *backendServer) run(w http.ResponseWriter, r *http.Request, id string, f serverFault) {
 	time.Sleep(time.Duration(float64(serverWork) * float64(max(f.Slow, 1)) * (0.5 + rand.Float64())))
 	ok := rand.Float64() >= f.Fail
-	if called := b.vm.site.callOf(b.vm.service); called != "" && ok {
+	if called := b.vm.site.calledPath(b.vm.service); called != "" && ok {
 		ok = b.call(called, id, r)
 	}
 	if rand.Float64() < f.Cut {
--- a/pkg/soak/backend_server.go
+++ b/pkg/soak/backend_server.go
@@ -110,7 +110,7 @@
 	b.mu.Unlock()
 	for end := time.Now().Add(leaveTime); time.Now().Before(end); time.Sleep(beatPeriod) {
 		if b.beat() {
-			b.history.addLeave(leaving{Instance: instance, At: time.Now()})
+			b.history.addLeave(acknowledgedLeave{Instance: instance, At: time.Now()})
 			return
 		}
 	}
--- a/pkg/soak/caller.go
+++ b/pkg/soak/caller.go
@@ -38,13 +38,13 @@
 func (c *caller) run(ctx context.Context, rate float64) {
 	s := c.vm.site
 	for clock.Sleep(ctx, time.Duration(c.rnd.ExpFloat64()/rate*float64(time.Second))) {
-		r := s.pick(c.rnd)
+		r := s.pickRoute(c.rnd)
 		c.count++
 		a := attempt{
 			ID: fmt.Sprintf("%s-%d-%d", c.vm.service, c.vm.number, c.count), Route: r.path, Service: r.service,
-			Once: r.once, VM: c.vm.ip, Limit: callerLimit, Probe: r.probe, Key: s.teams.pick(c.keys),
+			Once: r.once, VM: c.vm.ip, Limit: callerLimit, Probe: r.probe, Key: s.teams.pickKey(c.keys),
 		}
-		s.asking.Go(func() {
+		s.callerRequests.Go(func() {
 			a.Begun = time.Now()
 			c.send(&a)
 			a.Ended = time.Now()
@@ -78,6 +78,6 @@
 		return
 	}
 	a.Status = res.StatusCode
-	a.Own = string(body) == answerTo(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
+	a.Served = string(body) == answerTo(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
 		res.Header.Get(standin.Headers.AttemptID) == a.ID
 }
--- a/pkg/soak/doc.go
+++ b/pkg/soak/doc.go
@@ -3,7 +3,7 @@
 // callers and backend servers see that the promises hold.
 //
 // soak_main.go reads the command line, seed_list.go and run_seeds.go run its
-// seeds, soak.go runs one of them and run_report.go tells what it showed.
+// seeds, soak.go runs one of them and run_report.go builds its report.
 //
 // site.go lays out the VMs, site_start.go starts what is on them: each has an
 // address, a backend server of the soak (backend_server.go and
@@ -12,9 +12,9 @@
 // between nodes, to backend servers and to the store go through link_proxy.go,
 // which delays, resets, mutes or cuts them one way. fault_table.go lists the
 // kinds of fault, fault_links.go, fault_processes.go, fault_servers.go,
-// fault_store.go and planned_work.go hold them. history.go keeps what was seen,
-// promise_checks.go judges it.
+// fault_store.go and planned_work.go inject them. history.go records what was seen,
+// promise_checks.go and team_checks.go check it against the promises.
 //
-// The time of day can't be moved from outside a process without powers that
-// the soak doesn't use, so clocks that jump aren't injected.
+// Clock jumps aren't injected: changing the time of day from outside a process
+// needs privileges that the soak doesn't use.
 package soak
--- a/pkg/soak/fault_links.go
+++ b/pkg/soak/fault_links.go
@@ -28,7 +28,7 @@
 
 // holdLinks gives links a fault for a time.
 func (s *site) holdLinks(kind string, vms []*vm, links []link, f linkFault, d time.Duration) {
-	over := s.history.begin(kind, false, ipsOf(vms...)...)
+	over := s.history.beginDisturbance(kind, false, ipsOf(vms...)...)
 	var ends []func()
 	for _, l := range links {
 		ends = append(ends, s.proxy.on(l).hold(f))
@@ -47,7 +47,7 @@
 }
 
 func resetLinks(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	for _, l := range linksOf(s.some(rnd), s.vms) {
 		s.proxy.reset(l)
 	}
@@ -69,7 +69,7 @@
 
 // silenceConnections makes the open connections of some VMs to the others, to their backend servers and to the store go silent for good.
 func silenceConnections(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	v := s.some(rnd)
 	for _, l := range linksOf(v, s.vms) {
 		s.proxy.silence(l)
@@ -101,7 +101,7 @@
 
 func resetServerLink(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
 	v := s.oneOf(rnd)
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	s.proxy.reset(v.serverLink())
 	over()
 }
--- a/pkg/soak/fault_processes.go
+++ b/pkg/soak/fault_processes.go
@@ -13,7 +13,7 @@
 // pauseNode stops a process for a time, as a machine that freezes.
 func pauseNode(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	v := s.oneOf(rnd)
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	v.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	v.signal(syscall.SIGCONT)
@@ -34,7 +34,7 @@
 
 // killAll kills processes and starts them again after a time.
 func (s *site) killAll(kind string, vms []*vm, down time.Duration) {
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	var all sync.WaitGroup
 	for _, v := range vms {
 		all.Go(func() { v.restart(syscall.SIGKILL, down) })
@@ -46,7 +46,7 @@
 // signal sends a signal to the VM's process unless it is being restarted.
 func (v *vm) signal(sig syscall.Signal) {
 	if err := v.node.signal(sig); err != nil {
-		v.site.history.found("process", v.ip+" can't be signalled: "+err.Error())
+		v.site.history.addFinding("process", v.ip+" can't be signalled: "+err.Error())
 	}
 }
 
@@ -57,17 +57,17 @@
 	v.signal(sig)
 	if !v.node.await(v.node.cfg.Mesh.Grace) {
 		if sig == syscall.SIGTERM && !v.node.wasPaused() {
-			v.site.history.found("stop", v.ip+" hadn't ended when its time was up")
+			v.site.history.addFinding("stop", v.ip+" hadn't ended when its time was up")
 		}
 		v.signal(syscall.SIGKILL)
 		v.signal(syscall.SIGCONT)
 		v.node.await(endTime)
 	}
 	time.Sleep(max(down, restartPause))
-	if v.site.ending.Load() {
+	if v.site.stopping.Load() {
 		return
 	}
 	if err := v.node.start(); err != nil {
-		v.site.history.found("process", v.ip+" doesn't start: "+err.Error())
+		v.site.history.addFinding("process", v.ip+" doesn't start: "+err.Error())
 	}
 }
--- a/pkg/soak/fault_servers.go
+++ b/pkg/soak/fault_servers.go
@@ -11,7 +11,7 @@
 
 // holdServer gives a backend server a fault for a time.
 func (s *site) holdServer(kind string, v *vm, f serverFault, d time.Duration) {
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	end := v.server.faults.hold(f)
 	time.Sleep(d)
 	end()
@@ -41,7 +41,7 @@
 // restartServer ends a server's connections and has it start again under its instance; a heartbeat of the life before comes late.
 func restartServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	v := s.oneOf(rnd)
-	over := s.history.begin(kind, false, v.ip)
+	over := s.history.beginDisturbance(kind, false, v.ip)
 	defer over()
 	late, ok := v.server.startAgain()
 	if !ok {
@@ -56,7 +56,7 @@
 // foreignHeartbeats sends a node heartbeats that name no server.
 func foreignHeartbeats(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
 	v := s.oneOf(rnd)
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	defer over()
 	for _, r := range []directory.Registration{
 		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, CallSeq: 1},
@@ -64,7 +64,7 @@
 		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, CallSeq: 1},
 	} {
 		if standin.Register(v.server.register, v.at(portControl), r) == nil {
-			s.history.found("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
+			s.history.addFinding("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
 		}
 	}
 }
--- a/pkg/soak/fault_store.go
+++ b/pkg/soak/fault_store.go
@@ -13,7 +13,7 @@
 
 // holdStore gives the store a fault towards some VMs for a time.
 func (s *site) holdStore(kind string, vms []*vm, f standin.Fault, d time.Duration) {
-	over := s.history.begin(kind, false, ipsOf(vms...)...)
+	over := s.history.beginDisturbance(kind, false, ipsOf(vms...)...)
 	var ends []func()
 	for _, v := range vms {
 		ends = append(ends, v.storeFaults.hold(f))
--- a/pkg/soak/fault_table.go
+++ b/pkg/soak/fault_table.go
@@ -51,8 +51,8 @@
 
 // teamFaults came later still.
 var teamFaults = []fault{
-	{"key changed", true, changeKey},
-	{"store comes back from a copy", false, storeComesBack},
+	{"key changed", true, rotateKey},
+	{"store comes back from a copy", false, restoreStoreFromCopy},
 }
 
 // silentFaults came last.
--- a/pkg/soak/history.go
+++ b/pkg/soak/history.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// attempt is one request of a caller.
+// attempt is one request of a caller and its outcome.
 type attempt struct {
 	ID      string
 	Route   string
 	Service string // of the route
 	Once    bool
-	VM      string // where it was sent in
+	VM      string // entry VM
 	Begun   time.Time
 	Ended   time.Time
 	Limit   time.Duration
-	Status  int     // 0: the connection broke
-	Own     bool    // a success that carries the backend server's mark and the whole body
-	Probe   bool    // of the desired state, not of the service
-	Key     keyLife // that it carries, as of when it was sent
+	Status  int       // 0: the connection broke
+	Served  bool      // a success that carries the backend server's mark and the whole body
+	Probe   bool      // of the desired state, not of the service
+	Key     keyRecord // carried by the request, as of when it was sent
 }
 
 // arrival is a request at a backend server.
@@ -29,10 +29,10 @@
 	VM       string
 	At       time.Time
 	Ran      bool
-	Team     string // as the server was told
+	Team     string // from the request's header
 }
 
-// disturbance is a time in which something was done to a VM or to the store.
+// disturbance is a period in which a fault or planned work affected VMs or the store.
 type disturbance struct {
 	Kind    string
 	VMs     []string // empty: all
@@ -41,22 +41,22 @@
 	Planned bool
 }
 
-// leaving is an acknowledged leave of a backend server.
-type leaving struct {
+// acknowledgedLeave is an acknowledged leave of a backend server.
+type acknowledgedLeave struct {
 	Instance string
 	At       time.Time
 }
 
-// history is what was seen in a run.
+// history records what callers and backend servers saw in a run.
 type history struct {
 	mu           sync.Mutex
 	attempts     []attempt
 	arrivals     []arrival
 	disturbances []*disturbance
-	leaves       []leaving
-	versions     []stateChange
-	broken       []Finding
-	keys         []keyLife // at the end
+	leaves       []acknowledgedLeave
+	stateChanges []stateChange
+	findings     []Finding
+	keys         []keyRecord // set at the end of the run
 }
 
 // stateChange is an acknowledged change of the desired state.
@@ -68,7 +68,7 @@
 // Finding is a broken promise.
 type Finding struct {
 	Promise string
-	Detail    string
+	Detail  string
 }
 
 func (h *history) addAttempt(a attempt) {
@@ -83,27 +83,27 @@
 	h.arrivals = append(h.arrivals, a)
 }
 
-func (h *history) addLeave(l leaving) {
+func (h *history) addLeave(l acknowledgedLeave) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leaves = append(h.leaves, l)
 }
 
-func (h *history) addVersion(v stateChange) {
+func (h *history) addStateChange(v stateChange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.versions = append(h.versions, v)
+	h.stateChanges = append(h.stateChanges, v)
 }
 
-// found notes a promise that is seen broken at once.
-func (h *history) found(promise, what string) {
+// addFinding records a violation that is detected during the run.
+func (h *history) addFinding(promise, what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.broken = append(h.broken, Finding{promise, what})
+	h.findings = append(h.findings, Finding{promise, what})
 }
 
-// begin notes the start of a disturbance; the returned function notes its end.
-func (h *history) begin(kind string, planned bool, vms ...string) func() {
+// beginDisturbance records the start of a disturbance at vms, or at all if none are named; the returned function records its end.
+func (h *history) beginDisturbance(kind string, planned bool, vms ...string) func() {
 	d := &disturbance{Kind: kind, VMs: vms, From: time.Now(), Planned: planned}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// touches tells whether the disturbance overlaps the span at the VM; an empty VM stands for any.
-func (d *disturbance) touches(vm string, from, to time.Time) bool {
+// overlaps reports whether the disturbance affected the VM between from and to; an empty vm means any.
+func (d *disturbance) overlaps(vm string, from, to time.Time) bool {
 	if d.From.After(to) || (!d.To.IsZero() && d.To.Before(from)) {
 		return false
 	}
@@ -131,10 +131,10 @@
 	return false
 }
 
-// calm tells whether no disturbance that counts touched the VM in the span.
-func (h *history) calm(vm string, from, to time.Time, counts func(*disturbance) bool) bool {
+// undisturbed reports whether no disturbance selected by counts affected the VM between from and to.
+func (h *history) undisturbed(vm string, from, to time.Time, counts func(*disturbance) bool) bool {
 	for _, d := range h.disturbances {
-		if counts(d) && d.touches(vm, from, to) {
+		if counts(d) && d.overlaps(vm, from, to) {
 			return false
 		}
 	}
--- a/pkg/soak/planned_work.go
+++ b/pkg/soak/planned_work.go
@@ -10,25 +10,25 @@
 // takeAway notes that planned work takes a VM's server away until the returned function is called. It reports false
 // if that would leave its service without any: no operator does that, and all who need it would fail.
 func (s *site) takeAway(v *vm) (back func(), ok bool) {
-	s.awayMu.Lock()
-	defer s.awayMu.Unlock()
+	s.stoppedServersMu.Lock()
+	defer s.stoppedServersMu.Unlock()
 	all := 0
 	for _, o := range s.vms {
 		if o.service == v.service {
 			all++
 		}
 	}
-	if s.away[v.service]+1 >= all {
+	if s.stoppedServers[v.service]+1 >= all {
 		return nil, false
 	}
-	if s.away == nil {
-		s.away = map[string]int{}
+	if s.stoppedServers == nil {
+		s.stoppedServers = map[string]int{}
 	}
-	s.away[v.service]++
+	s.stoppedServers[v.service]++
 	return func() {
-		s.awayMu.Lock()
-		defer s.awayMu.Unlock()
-		s.away[v.service]--
+		s.stoppedServersMu.Lock()
+		defer s.stoppedServersMu.Unlock()
+		s.stoppedServers[v.service]--
 	}, true
 }
 
@@ -40,7 +40,7 @@
 		return
 	}
 	defer back()
-	over := s.history.begin(kind, true, v.ip)
+	over := s.history.beginDisturbance(kind, true, v.ip)
 	v.restart(syscall.SIGTERM, restartPause)
 	over()
 }
@@ -48,7 +48,7 @@
 // reloadNode has a process read its settings again, once or twice in a row.
 func reloadNode(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
 	v := s.oneOf(rnd)
-	over := s.history.begin(kind, true, v.ip)
+	over := s.history.beginDisturbance(kind, true, v.ip)
 	defer over()
 	if !v.node.restarting.TryLock() {
 		return // nothing is there to be told
@@ -67,7 +67,7 @@
 		return
 	}
 	defer back()
-	over := s.history.begin(kind, true, v.ip)
+	over := s.history.beginDisturbance(kind, true, v.ip)
 	defer over()
 	v.server.leave()
 	time.Sleep(drainTime + faultLeast)
@@ -76,19 +76,19 @@
 
 // changeRoutes adds a route and drops the one before.
 func changeRoutes(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	over := s.history.begin(kind, true)
+	over := s.history.beginDisturbance(kind, true)
 	defer over()
 	added := route{path: fmt.Sprintf("/n%d/", rnd.Uint32()), service: serviceBack, probe: true}
 	s.routesMu.Lock()
 	old := s.routes
 	s.routesMu.Unlock()
 	if err := s.changeState([]route{added}); err != nil {
-		s.history.found("soak", err.Error())
+		s.history.addFinding("soak", err.Error())
 		return
 	}
 	change := stateChange{At: time.Now(), Added: added.path}
 	if len(old) > 0 {
 		change.Dropped = old[0].path
 	}
-	s.history.addVersion(change)
+	s.history.addStateChange(change)
 }
--- a/pkg/soak/promise_checks.go
+++ b/pkg/soak/promise_checks.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// checks judge a run, one promise each.
+// checks each test one promise on the history of a run and return the violations.
 var checks = []func(h *history, calmFrom time.Time) []Finding{
-	checkOnce, checkRefusals, checkAnswers, checkLeaving, checkFinalAnswers, checkPlannedWork, checkState, checkRepeats, checkRecovery,
-	checkTeams, checkRevoked, checkSoundKeys, checkQuota,
+	checkOnceOnly, checkRefusals, checkAnswers, checkLeaving, checkFinalAnswers, checkPlannedWork, checkDesiredState, checkRetryBudget, checkRecovery,
+	checkTeams, checkRevokedKeys, checkValidKeys, checkQuota,
 }
 
 // The bounds of the checks.
 const (
-	// lateTime is how long after its limit callers wait for the final answer; half of it is late.
-	lateTime = time.Second
-	// touchTime before a request no disturbance may have been for a bound in time to hold.
-	touchTime = 3 * time.Second
-	// applyTime is within which a change of the desired state is in force.
+	// finalAnswerGrace is how long past a request's limit callers wait for the final answer; an answer after half of it counts as late.
+	finalAnswerGrace = time.Second
+	// disturbanceMargin is how long before a request there must be no disturbance for time bounds to apply.
+	disturbanceMargin = 3 * time.Second
+	// applyTime is the time within which a change of the desired state must take effect.
 	applyTime = 2 * time.Second
-	// repeatRatio and repeatSlack bound the repeats that a service sees.
-	repeatRatio = 0.2
-	repeatSlack = 40
-	// servedAgain of the requests are served once all faults are over, after recoverTime.
-	servedAgain = 0.95
-	recoverTime = 3 * time.Second
-	// mostShown is how many requests a finding names.
-	mostShown = 3
+	// retryRatio and retrySlack bound the retries that reach a service: a share of its requests plus a constant.
+	retryRatio = 0.2
+	retrySlack = 40
+	// recoveredShare is the share of requests that must be served from recoveryTime after the last fault.
+	recoveredShare = 0.95
+	recoveryTime   = 3 * time.Second
+	// maxExamples is how many requests a finding names, and how many findings a report shows per promise.
+	maxExamples = 3
 )
 
-// runsByID counts the runs of each request.
+// runsByID returns how often each request was executed, by request ID.
 func (h *history) runsByID() map[string]int {
 	runs := map[string]int{}
 	for _, a := range h.arrivals {
@@ -41,8 +41,8 @@
 	return runs
 }
 
-// checkOnce finds once-only work that ran twice.
-func checkOnce(h *history, _ time.Time) (found []Finding) {
+// checkOnceOnly finds once-only requests that were executed more than once.
+func checkOnceOnly(h *history, _ time.Time) (found []Finding) {
 	runs := h.runsByID()
 	for _, a := range h.attempts {
 		if a.Once && runs[a.ID] > 1 {
@@ -52,7 +52,7 @@
 	return found
 }
 
-// checkRefusals finds once-only requests that were refused and ran.
+// checkRefusals finds once-only requests that were executed although the caller got a refusal.
 func checkRefusals(h *history, _ time.Time) (found []Finding) {
 	runs := h.runsByID()
 	for _, a := range h.attempts {
@@ -71,17 +71,17 @@
 	return false
 }
 
-// checkAnswers finds successes that aren't the request's own.
+// checkAnswers finds successes whose body isn't the complete answer to that request.
 func checkAnswers(h *history, _ time.Time) (found []Finding) {
 	for _, a := range h.attempts {
-		if a.Status == http.StatusOK && !a.Own {
+		if a.Status == http.StatusOK && !a.Served {
 			found = append(found, Finding{"answer", a.ID + " got a success that isn't its own"})
 		}
 	}
 	return found
 }
 
-// checkLeaving finds requests that came to a server long after its leave was acknowledged.
+// checkLeaving finds requests that reached a server more than drainTime after its leave was acknowledged.
 func checkLeaving(h *history, _ time.Time) (found []Finding) {
 	left := map[string]time.Time{}
 	for _, l := range h.leaves {
@@ -95,11 +95,11 @@
 	return found
 }
 
-// checkFinalAnswers finds requests that were held past their limit though nothing was wrong.
+// checkFinalAnswers finds requests answered late with no unplanned disturbance near them.
 func checkFinalAnswers(h *history, _ time.Time) (found []Finding) {
 	for _, a := range h.attempts {
-		late := a.Ended.Sub(a.Begun) > a.Limit+lateTime/2
-		if late && h.calm("", a.Begun.Add(-touchTime), a.Ended, unplanned) {
+		late := a.Ended.Sub(a.Begun) > a.Limit+finalAnswerGrace/2
+		if late && h.undisturbed("", a.Begun.Add(-disturbanceMargin), a.Ended, unplanned) {
 			found = append(found, Finding{"final answer", fmt.Sprintf("%s was held for %v", a.ID, a.Ended.Sub(a.Begun))})
 		}
 	}
@@ -108,35 +108,35 @@
 
 func unplanned(d *disturbance) bool { return !d.Planned }
 
-// checkPlannedWork finds requests that were cut or lost while nothing but planned work went on.
+// checkPlannedWork finds requests that were cut or failed with no disturbance but planned work near them.
 func checkPlannedWork(h *history, _ time.Time) (found []Finding) {
 	runs := h.runsByID()
 	for _, a := range h.attempts {
 		cut := a.Status == 0 && runs[a.ID] > 0
 		lost := a.Status == http.StatusBadGateway || a.Status == http.StatusGatewayTimeout || a.Status == http.StatusInternalServerError
-		if (cut || lost) && h.calm("", a.Begun.Add(-touchTime), a.Ended, unplanned) {
+		if (cut || lost) && h.undisturbed("", a.Begun.Add(-disturbanceMargin), a.Ended, unplanned) {
 			found = append(found, Finding{"planned work", fmt.Sprintf("%s %s ended with %d after %v", a.ID, a.Route, a.Status, a.Ended.Sub(a.Begun))})
 		}
 	}
 	return found
 }
 
-// checkState finds requests that were treated by an old desired state, where nothing kept the news away.
-func checkState(h *history, _ time.Time) (found []Finding) {
-	for i, v := range h.versions {
+// checkDesiredState finds requests handled by an outdated desired state at a VM that no unplanned disturbance kept from updates.
+func checkDesiredState(h *history, _ time.Time) (found []Finding) {
+	for i, v := range h.stateChanges {
 		until := time.Now()
-		if i+1 < len(h.versions) {
-			until = h.versions[i+1].At
+		if i+1 < len(h.stateChanges) {
+			until = h.stateChanges[i+1].At
 		}
 		for _, a := range h.attempts {
 			from := v.At.Add(applyTime)
-			if a.Begun.Before(from) || a.Begun.After(until) || !h.calm(a.VM, v.At.Add(-touchTime), a.Ended, unplanned) {
+			if a.Begun.Before(from) || a.Begun.After(until) || !h.undisturbed(a.VM, v.At.Add(-disturbanceMargin), a.Ended, unplanned) {
 				continue
 			}
 			if a.Route == v.Added && a.Status == http.StatusNotFound {
 				found = append(found, Finding{"desired state", a.ID + " got 404 on a route that had been added"})
 			}
-			if a.Route == v.Dropped && a.Own {
+			if a.Route == v.Dropped && a.Served {
 				found = append(found, Finding{"desired state", a.ID + " was served on a route that had been dropped"})
 			}
 		}
@@ -144,8 +144,8 @@
 	return found
 }
 
-// checkRepeats finds services that saw more repeats than the budget allows in the whole run.
-func checkRepeats(h *history, _ time.Time) (found []Finding) {
+// checkRetryBudget finds services that received more retries over the whole run than the budget allows.
+func checkRetryBudget(h *history, _ time.Time) (found []Finding) {
 	arrivals, first := map[string]int{}, map[string]map[string]bool{}
 	for _, a := range h.arrivals {
 		arrivals[a.Service]++
@@ -156,30 +156,30 @@
 	}
 	for service, n := range arrivals {
 		asked := len(first[service])
-		if more := n - asked; float64(more) > repeatRatio*float64(asked)+repeatSlack {
+		if more := n - asked; float64(more) > retryRatio*float64(asked)+retrySlack {
 			found = append(found, Finding{"repeats", fmt.Sprintf("%s: %d arrivals for %d requests", service, n, asked)})
 		}
 	}
 	return found
 }
 
-// checkRecovery finds that requests aren't served though all faults are over.
+// checkRecovery reports when too few requests are served after all faults have ended.
 func checkRecovery(h *history, calmFrom time.Time) []Finding {
 	asked, served := 0, 0
 	var examples []string
 	for _, a := range h.attempts {
-		owed := !a.Key.Gone && a.Key.Team != teamHot
-		if a.Probe || !owed || a.Begun.Before(calmFrom.Add(recoverTime)) {
+		owed := !a.Key.Removed && a.Key.Team != teamHot
+		if a.Probe || !owed || a.Begun.Before(calmFrom.Add(recoveryTime)) {
 			continue
 		}
 		asked++
-		if a.Own {
+		if a.Served {
 			served++
-		} else if len(examples) < mostShown {
+		} else if len(examples) < maxExamples {
 			examples = append(examples, fmt.Sprintf("%s %d", a.ID, a.Status))
 		}
 	}
-	if asked == 0 || float64(served) < servedAgain*float64(asked) {
+	if asked == 0 || float64(served) < recoveredShare*float64(asked) {
 		return []Finding{{"recovery", fmt.Sprintf("%d of %d were served, not %v", served, asked, examples)}}
 	}
 	return nil
--- a/pkg/soak/run_seeds.go
+++ b/pkg/soak/run_seeds.go
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// runSeeds runs seeds, some beside each other, and prints each report.
+// runSeeds runs seeds, up to atOnce concurrently, and prints each report to w. It returns a BrokenPromisesError if any run broke one.
 func runSeeds(ctx context.Context, o Options, seeds []uint64, atOnce int, w io.Writer) error {
 	var mu sync.Mutex
 	var failed []uint64
@@ -46,7 +46,7 @@
 	return firstErr
 }
 
-// runSeed runs one seed in a folder of its own.
+// runSeed runs one seed, with its settings and logs in a folder of its own.
 func runSeed(ctx context.Context, o Options, seed uint64, network int) (Report, error) {
 	o.Seed, o.Network = seed, network
 	o.Dir = filepath.Join(o.Dir, strconv.FormatUint(seed, 10))
@@ -62,7 +62,7 @@
 	return Run(ctx, o)
 }
 
-// BrokenPromisesError reports that runs broke promises.
+// BrokenPromisesError lists the seeds whose runs broke promises.
 type BrokenPromisesError struct{ Seeds []uint64 }
 
 // Error names the seeds.
--- a/pkg/soak/seed_list.go
+++ b/pkg/soak/seed_list.go
@@ -21,7 +21,7 @@
 	return seeds
 }
 
-// seedList returns the named seeds, or as many in a row as asked for.
+// seedList parses the named seeds. If there are none, it returns n consecutive seeds from first, or from a random one if first is 0.
 func seedList(named []string, n int, first uint64) ([]uint64, error) {
 	var list []uint64
 	for _, text := range named {
--- a/pkg/soak/site.go
+++ b/pkg/soak/site.go
@@ -35,34 +35,34 @@
 	storeFaults       overlapping[standin.Fault]
 }
 
-// at returns an address on the VM.
+// at returns the VM's address with the port.
 func (v *vm) at(port int) string { return net.JoinHostPort(v.ip, strconv.Itoa(port)) }
 
 // site is all VMs, the store and the proxy between them.
 type site struct {
-	opts    Options
-	history history
-	proxy   linkProxy
-	store   standin.MetadataStore
-	storeIP string
-	vms     []*vm
-	log     *slog.Logger
-	ending  atomic.Bool
-	closing sync.WaitGroup // listeners that are still open
-	asking  sync.WaitGroup // requests of callers in progress
+	opts           Options
+	history        history
+	proxy          linkProxy
+	store          standin.MetadataStore
+	storeIP        string
+	vms            []*vm
+	log            *slog.Logger
+	stopping       atomic.Bool
+	openListeners  sync.WaitGroup // listeners that are still open
+	callerRequests sync.WaitGroup // callers' requests in flight
 
-	awayMu sync.Mutex
-	away   map[string]int // servers taken away by planned work, by service
+	stoppedServersMu sync.Mutex
+	stoppedServers   map[string]int // number of servers stopped by planned work, by service
 
 	teams siteTeams
 	keyMu sync.Mutex // held while keys change
 
 	routesMu sync.Mutex
-	routes   []route // besides those that stay
+	routes   []route // besides the permanent ones
 	version  int64
 }
 
-// newSite lays out the VMs; nothing runs yet.
+// newSite configures the VMs without starting anything.
 func newSite(o Options) (*site, error) {
 	base := fmt.Sprintf("127.%d.%d.", soakNetwork, o.Network)
 	s := &site{opts: o, storeIP: base + "250", log: slog.New(slog.NewTextHandler(o.Log, nil)).With("seed", o.Seed)}
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-// newVM lays out one VM, counted from 0.
+// newVM configures the VM with index i, counted from 0; base is the prefix of its address.
 func (s *site) newVM(i int, base string) (*vm, error) {
 	services := []string{serviceFront, serviceBill, serviceBack}
 	v := &vm{
@@ -90,12 +90,12 @@
 	}
 	v.server.renew()
 	var err error
-	if v.node, err = newNodeProcess(s.opts.Program, s.opts.Dir, s.settingsOf(v)); err != nil {
+	if v.node, err = newNodeProcess(s.opts.Program, s.opts.Dir, s.nodeSettings(v)); err != nil {
 		return nil, err
 	}
 	v.node.onExit = func(err error) {
-		if !s.ending.Load() {
-			s.history.found("process", fmt.Sprintf("%s ended by itself: %v", v.ip, err))
+		if !s.stopping.Load() {
+			s.history.addFinding("process", fmt.Sprintf("%s ended by itself: %v", v.ip, err))
 		}
 	}
 	return v, nil
@@ -105,11 +105,11 @@
 const (
 	soakNetwork = 88 // second number of the loopback addresses
 	soakZones   = 3
-	seedCount   = 2 // VMs that the settings name
+	seedCount   = 2 // VMs listed as seeds in the settings
 )
 
-// settingsOf returns what a VM's process is given.
-func (s *site) settingsOf(v *vm) settings.Settings {
+// nodeSettings returns the settings of a VM's rockspoked.
+func (s *site) nodeSettings(v *vm) settings.Settings {
 	cfg := settings.Settings{
 		VM: v.ip, Zone: v.zone, Service: v.service,
 		Backend:  settings.Backend{Address: v.at(portBackend)},
@@ -121,13 +121,13 @@
 		Mesh: &settings.Mesh{PeerPort: portPeers},
 	}
 	if isPlannedOnly(s.opts.Seed) {
-		// A proxy takes connections while the process behind it is gone, where a dead port refuses them.
+		// A proxy accepts connections while the process behind it is down; the process's own port refuses them.
 		cfg.Mesh.PeerPort = portPeersReal
 	}
 	for i := range min(seedCount, len(s.vms)) {
 		cfg.Seeds = append(cfg.Seeds, s.vms[i].at(portControl))
 	}
-	tuneTeams(cfg.Mesh)
+	setTeamBounds(cfg.Mesh)
 	cfg.SetDefaults()
 	return cfg
 }
--- a/pkg/soak/site_routes.go
+++ b/pkg/soak/site_routes.go
@@ -9,21 +9,21 @@
 // routeHost is the host of all routes.
 const routeHost = "soak.example"
 
-// The services, of which the VMs have one each in turn; front calls back.
+// The services, assigned to the VMs in turn; front calls back.
 const (
 	serviceFront = "front"
 	serviceBill  = "bill"
 	serviceBack  = "back"
 )
 
-// route is one that callers use.
+// route is a path that callers request.
 type route struct {
 	path, service string
 	once          bool
 	probe         bool // was added or dropped during the run
 }
 
-// The routes that stay.
+// The permanent routes.
 var (
 	routeRead = route{path: "/read/", service: serviceFront}
 	routePay  = route{path: "/pay/", service: serviceBill, once: true}
@@ -31,7 +31,7 @@
 	routeCall = route{path: "/call/", service: serviceBack}
 )
 
-// changeState puts a newer desired state in force: with the given routes besides those that stay.
+// changeState stores a newer desired state with the permanent routes and the given ones.
 func (s *site) changeState(routes []route) error {
 	s.routesMu.Lock()
 	defer s.routesMu.Unlock()
@@ -43,7 +43,7 @@
 			Priority: 1, MaxAttempts: 3, Timeout: 3 * callerLimit, Public: r == routeCall,
 		})
 	}
-	row, err := standin.StateRow(s.version, all, s.teams.inForce()...)
+	row, err := standin.StateRow(s.version, all, s.teams.desiredTeams()...)
 	if err != nil {
 		return err
 	}
@@ -52,15 +52,15 @@
 	return nil
 }
 
-// The share of requests for each route; the rest goes to routes that change.
+// The share of requests for each route; the rest goes to routes added during the run.
 const (
 	shareRead = 0.4
 	sharePay  = 0.35
 	sharePull = 0.2
 )
 
-// pick draws the route of a request.
-func (s *site) pick(rnd *rand.Rand) route {
+// pickRoute draws the route of a request.
+func (s *site) pickRoute(rnd *rand.Rand) route {
 	x := rnd.Float64()
 	switch {
 	case x < shareRead:
@@ -78,8 +78,8 @@
 	return s.routes[rnd.IntN(len(s.routes))]
 }
 
-// callOf returns the path that a run of the service calls, or "".
-func (s *site) callOf(service string) string {
+// calledPath returns the path that the service calls while it handles a request, or "" if none.
+func (s *site) calledPath(service string) string {
 	if service == serviceFront {
 		return routeCall.path
 	}
--- a/pkg/soak/site_start.go
+++ b/pkg/soak/site_start.go
@@ -17,10 +17,10 @@
 // start starts everything but the callers.
 func (s *site) start(ctx context.Context) error {
 	storeReal := net.JoinHostPort(s.storeIP, strconv.Itoa(portStoreReal))
-	if err := serveHTTP(ctx, &s.closing, storeReal, &s.store); err != nil {
+	if err := serveHTTP(ctx, &s.openListeners, storeReal, &s.store); err != nil {
 		return err
 	}
-	if err := s.proxy.serve(ctx, &s.closing, net.JoinHostPort(s.storeIP, strconv.Itoa(portStore)), storeReal, s.storeIP); err != nil {
+	if err := s.proxy.serve(ctx, &s.openListeners, net.JoinHostPort(s.storeIP, strconv.Itoa(portStore)), storeReal, s.storeIP); err != nil {
 		return err
 	}
 	for _, v := range s.vms {
@@ -33,13 +33,13 @@
 
 // start starts a VM's backend server, proxies and process.
 func (v *vm) start(ctx context.Context) error {
-	if err := serveHTTP(ctx, &v.site.closing, v.at(portBackendReal), v.server); err != nil {
+	if err := serveHTTP(ctx, &v.site.openListeners, v.at(portBackendReal), v.server); err != nil {
 		return err
 	}
-	if err := v.site.proxy.serve(ctx, &v.site.closing, v.at(portBackend), v.at(portBackendReal), v.serverLink().to); err != nil {
+	if err := v.site.proxy.serve(ctx, &v.site.openListeners, v.at(portBackend), v.at(portBackendReal), v.serverLink().to); err != nil {
 		return err
 	}
-	if err := v.site.proxy.serve(ctx, &v.site.closing, v.at(portPeers), v.at(portPeersReal), v.ip); err != nil {
+	if err := v.site.proxy.serve(ctx, &v.site.openListeners, v.at(portPeers), v.at(portPeersReal), v.ip); err != nil {
 		return err
 	}
 	if err := v.node.start(); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// serveHTTP serves an address until ctx ends.
+// serveHTTP serves h at addr in the background until ctx ends; openListeners tracks the listener.
 func serveHTTP(ctx context.Context, closing *sync.WaitGroup, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// closeAfter closes a listener when ctx ends. The next run binds the same address, so this one waits for that.
+// closeAfter closes a listener when ctx ends. The next run binds the same address, so this run waits for the close through the wait group.
 func closeAfter(ctx context.Context, closing *sync.WaitGroup, c io.Closer) {
 	closing.Add(1)
 	context.AfterFunc(ctx, func() {
@@ -73,8 +73,8 @@
 // startTime bounds the start of all nodes.
 const startTime = 20 * time.Second
 
-// ready waits until every node serves.
-func (s *site) ready() error {
+// waitReady waits until every node reports ready, or returns an error after startTime.
+func (s *site) waitReady() error {
 	for _, v := range s.vms {
 		client := clientFrom(v.ip, registerTime)
 		for end := time.Now().Add(startTime); ; time.Sleep(mutedPoll) {
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// end kills the processes that the soak started.
-func (s *site) end() {
-	s.ending.Store(true)
+// stopNodes kills the processes that the soak started.
+func (s *site) stopNodes() {
+	s.stopping.Store(true)
 	for _, v := range s.vms {
 		v.node.end()
 	}
--- a/pkg/soak/site_teams.go
+++ b/pkg/soak/site_teams.go
@@ -22,34 +22,34 @@
 	hotRate, hotBurst = 4.0, 4.0
 )
 
-// The teams: one that stays as it is, one whose keys change, and one that sends more than it may.
+// The teams: one that doesn't change, one whose keys are rotated, and one that exceeds its quota.
 const (
-	teamCalm = iota
+	teamSteady = iota
 	teamRekeyed
 	teamHot
 	teamCount
 )
 
-// The share of requests of each team; the rest is the calm one's. Of the requests of the one whose keys change some come with a key that
-// was taken away.
+// The share of requests of each team; the rest is teamSteady's. shareOldKey of teamRekeyed's requests carry
+// the key before the newest.
 const (
 	shareRekeyed = 0.3
 	shareHot     = 0.4
 	shareOldKey  = 0.3
 )
 
-// keyLife is the time in which a key is one of a team.
-type keyLife struct {
-	Key  string
-	Team int
-	Gone bool      // the operator writes the state without it from now on
-	To   time.Time // when it was confirmed that it was taken away; zero: it wasn't
+// keyRecord is a key of a team and when it was revoked.
+type keyRecord struct {
+	Key       string
+	Team      int
+	Removed   bool      // left out of every desired state written from now on
+	RevokedAt time.Time // when the revocation was confirmed; zero if it wasn't
 }
 
-// siteTeams is who may ask what.
+// siteTeams holds the teams' keys, revoked ones too.
 type siteTeams struct {
 	mu   sync.Mutex
-	keys []keyLife
+	keys []keyRecord
 }
 
 // teamName names a team.
@@ -58,12 +58,12 @@
 // init gives every team a key.
 func (t *siteTeams) init() {
 	for team := range teamCount {
-		t.keys = append(t.keys, keyLife{Key: fmt.Sprintf("first-%d", team), Team: team})
+		t.keys = append(t.keys, keyRecord{Key: fmt.Sprintf("first-%d", team), Team: team})
 	}
 }
 
-// inForce returns the teams as the operator writes them.
-func (t *siteTeams) inForce() []desired.Team {
+// desiredTeams returns the teams as the desired state lists them.
+func (t *siteTeams) desiredTeams() []desired.Team {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	teams := make([]desired.Team, teamCount)
@@ -72,16 +72,16 @@
 	}
 	teams[teamHot].Rate, teams[teamHot].Burst = hotRate, hotBurst
 	for _, k := range t.keys {
-		if !k.Gone {
+		if !k.Removed {
 			teams[k.Team].Keys = append(teams[k.Team].Keys, desired.Key(k.Key))
 		}
 	}
 	return teams
 }
 
-// pick draws whose request one is, and the key that it carries.
-func (t *siteTeams) pick(rnd *rand.Rand) keyLife {
-	team := teamCalm
+// pickKey draws a request's team and the key that it carries.
+func (t *siteTeams) pickKey(rnd *rand.Rand) keyRecord {
+	team := teamSteady
 	switch x := rnd.Float64(); {
 	case x < shareRekeyed:
 		team = teamRekeyed
@@ -90,34 +90,36 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ofTeam := slices.DeleteFunc(slices.Clone(t.keys), func(k keyLife) bool { return k.Team != team })
+	ofTeam := slices.DeleteFunc(slices.Clone(t.keys), func(k keyRecord) bool { return k.Team != team })
 	if len(ofTeam) > 1 && rnd.Float64() < shareOldKey {
 		return ofTeam[len(ofTeam)-2]
 	}
 	return ofTeam[len(ofTeam)-1]
 }
 
-// add gives a team one more key, and returns the one that it had.
-func (t *siteTeams) add(team int, key string) (old string) {
+// addKey gives a team another key and returns its previous one.
+func (t *siteTeams) addKey(team int, key string) (old string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, k := range t.keys {
-		if k.Team == team && !k.Gone {
+		if k.Team == team && !k.Removed {
 			old = k.Key
 		}
 	}
-	t.keys = append(t.keys, keyLife{Key: key, Team: team})
+	t.keys = append(t.keys, keyRecord{Key: key, Team: team})
 	return old
 }
 
-// drop has a key left out from now on.
-func (t *siteTeams) drop(key string) { t.change(key, func(k *keyLife) { k.Gone = true }) }
+// removeKey leaves a key out of the desired states written from now on.
+func (t *siteTeams) removeKey(key string) { t.updateKey(key, func(k *keyRecord) { k.Removed = true }) }
 
-// gone notes that a key's end was confirmed.
-func (t *siteTeams) gone(key string, at time.Time) { t.change(key, func(k *keyLife) { k.To = at }) }
+// setRevoked records when a key's revocation was confirmed.
+func (t *siteTeams) setRevoked(key string, at time.Time) {
+	t.updateKey(key, func(k *keyRecord) { k.RevokedAt = at })
+}
 
-// change changes what is known of a key.
-func (t *siteTeams) change(key string, f func(k *keyLife)) {
+// updateKey applies f to the record of a key.
+func (t *siteTeams) updateKey(key string, f func(k *keyRecord)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.keys {
@@ -127,15 +129,15 @@
 	}
 }
 
-// all returns every key that there was.
-func (t *siteTeams) all() []keyLife {
+// allKeys returns all keys, revoked ones too.
+func (t *siteTeams) allKeys() []keyRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.keys)
 }
 
-// tuneTeams sets the bounds of keys and quotas.
-func tuneTeams(m *settings.Mesh) {
+// setTeamBounds sets the bounds of key revocation and quotas, and the zones.
+func setTeamBounds(m *settings.Mesh) {
 	m.StrictRevoke, m.Revoke = true, revokeTime
 	m.QuotaWindow, m.QuotaExcess, m.QuotaSlack = quotaWindow, quotaExcess, quotaSlack
 	for z := range soakZones {
@@ -143,40 +145,40 @@
 	}
 }
 
-// changeKey gives a team a new key, and takes the old one away a moment later.
-func changeKey(s *site, kind string, rnd *rand.Rand, d time.Duration) {
+// rotateKey gives teamRekeyed a new key and revokes the old one after d.
+func rotateKey(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	s.keyMu.Lock()
 	defer s.keyMu.Unlock()
-	over := s.history.begin(kind, true)
+	over := s.history.beginDisturbance(kind, true)
 	defer over()
-	old := s.teams.add(teamRekeyed, fmt.Sprintf("key-%x", rnd.Uint64()))
-	s.writeTeams()
+	old := s.teams.addKey(teamRekeyed, fmt.Sprintf("key-%x", rnd.Uint64()))
+	s.rewriteState()
 	time.Sleep(d)
-	s.teams.drop(old)
-	s.writeTeams()
-	s.teams.gone(old, time.Now())
+	s.teams.removeKey(old)
+	s.rewriteState()
+	s.teams.setRevoked(old, time.Now())
 }
 
-// storeComesBack has the store be away for a moment and come back from a copy; the operator then writes again what is lost.
-func storeComesBack(s *site, kind string, rnd *rand.Rand, d time.Duration) {
+// restoreStoreFromCopy makes the store unresponsive for a moment and restores it from an earlier copy; the lost state is then written again.
+func restoreStoreFromCopy(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	s.keyMu.Lock()
 	defer s.keyMu.Unlock()
 	s.store.Snapshot()
 	time.Sleep(time.Duration(rnd.Float64() * float64(d)))
 	s.holdStore(kind, s.vms, standin.Fault{Unresponsive: true}, faultLeast)
 	s.store.Restore()
-	over := s.history.begin(kind, false)
+	over := s.history.beginDisturbance(kind, false)
 	defer over()
 	time.Sleep(faultLeast)
-	s.writeTeams()
+	s.rewriteState()
 }
 
-// writeTeams puts the state in force with the teams as they are now.
-func (s *site) writeTeams() {
+// rewriteState stores the desired state again with the current teams and routes.
+func (s *site) rewriteState() {
 	s.routesMu.Lock()
 	routes := s.routes
 	s.routesMu.Unlock()
 	if err := s.changeState(routes); err != nil {
-		s.history.found("soak", err.Error())
+		s.history.addFinding("soak", err.Error())
 	}
 }
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -10,62 +10,62 @@
 	"github.com/rockspoke/rockspoke/pkg/clock"
 )
 
-// Options say what is run.
+// Options configures a run.
 type Options struct {
-	Program string // path of rockspoked
-	Dir     string // for settings and logs
-	Seed    uint64
-	VMs     int
-	Network int           // third number of the loopback addresses, so that runs can go on beside each other
-	FaultPeriod  time.Duration // in which faults begin
-	RecoveryPeriod    time.Duration // afterwards
-	Rate    float64       // requests a second into each VM
-	Log     io.Writer
+	Program        string // path of rockspoked
+	Dir            string // for settings and logs
+	Seed           uint64
+	VMs            int
+	Network        int           // third number of the loopback addresses, different for concurrent runs
+	FaultPeriod    time.Duration // faults begin within it
+	RecoveryPeriod time.Duration // without faults, afterwards
+	Rate           float64       // requests a second into each VM
+	Log            io.Writer
 }
 
-// Run runs one seed; the error says why it couldn't be run.
+// Run runs one seed and reports what the checks found; an error means that the run couldn't be set up.
 func Run(ctx context.Context, o Options) (Report, error) {
 	s, err := newSite(o)
 	if err != nil {
 		return Report{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	defer s.closing.Wait()
+	defer s.openListeners.Wait()
 	defer cancel()
-	defer s.end()
+	defer s.stopNodes()
 	if err := s.start(ctx); err != nil {
 		return Report{}, err
 	}
-	if err := s.ready(); err != nil {
+	if err := s.waitReady(); err != nil {
 		return Report{}, err
 	}
-	clock.Sleep(ctx, settleTime)
+	clock.Sleep(ctx, discoveryTime)
 	begun := time.Now()
 	callers, stop := context.WithCancel(ctx)
 	defer stop()
 	var callersDone sync.WaitGroup
 	for i, v := range s.vms {
-		c := &caller{vm: v, client: clientFrom(v.ip, callerLimit+lateTime), rnd: rand.New(rand.NewPCG(o.Seed, uint64(i+2))), keys: rand.New(rand.NewPCG(o.Seed, uint64(keyDraws+i)))}
+		c := &caller{vm: v, client: clientFrom(v.ip, callerLimit+finalAnswerGrace), rnd: rand.New(rand.NewPCG(o.Seed, uint64(i+2))), keys: rand.New(rand.NewPCG(o.Seed, uint64(keyStreamBase+i)))}
 		callersDone.Go(func() { c.run(callers, o.Rate) })
 	}
-	s.play(ctx, schedule(o.Seed, o.FaultPeriod), begun)
+	s.injectFaults(ctx, schedule(o.Seed, o.FaultPeriod), begun)
 	calmFrom := time.Now()
 	clock.Sleep(ctx, o.RecoveryPeriod)
 	stop()
 	callersDone.Wait()
-	s.asking.Wait() // requests in progress end by themselves
-	s.history.keys = s.teams.all()
+	s.callerRequests.Wait() // requests in flight end by their own limits
+	s.history.keys = s.teams.allKeys()
 	return s.report(calmFrom), nil
 }
 
-// keyDraws begins the streams of random numbers for keys.
-const keyDraws = 1 << 16
+// keyStreamBase is the first PCG stream used to draw keys; lower ones draw the rest of a caller's requests.
+const keyStreamBase = 1 << 16
 
-// settleTime is given to the nodes to find each other.
-const settleTime = time.Second
+// discoveryTime is how long the nodes get to discover each other before callers start.
+const discoveryTime = time.Second
 
-// play injects the faults and returns when the last is over.
-func (s *site) play(ctx context.Context, events []event, begun time.Time) {
+// injectFaults injects each event's fault at its time after begun and returns when all have ended.
+func (s *site) injectFaults(ctx context.Context, events []event, begun time.Time) {
 	done := make(chan struct{}, len(events))
 	for _, e := range events {
 		clock.Sleep(ctx, time.Until(begun.Add(e.at)))
--- a/pkg/soak/soak_main.go
+++ b/pkg/soak/soak_main.go
@@ -15,23 +15,23 @@
 
 // The defaults of the command.
 const (
-	defaultVMs    = 9
-	defaultSeeds  = 10
-	defaultAtOnce = 3
-	defaultRate   = 15.0
-	defaultFaulty = 8 * time.Second
-	defaultCalm   = 6 * time.Second
-	mostAtOnce    = 20
+	defaultVMs            = 9
+	defaultSeeds          = 10
+	defaultConcurrentRuns = 3
+	defaultRate           = 15.0
+	defaultFaulty         = 8 * time.Second
+	defaultCalm           = 6 * time.Second
+	maxConcurrentRuns     = 20
 )
 
-// command is what the command line asks for.
+// command holds the parsed command line.
 type command struct {
-	opts   Options
-	seeds  int
-	first  uint64
-	failed bool
-	atOnce int
-	stdout io.Writer
+	opts           Options
+	seeds          int
+	firstSeed      uint64
+	failed         bool
+	concurrentRuns int
+	stdout         io.Writer
 }
 
 // Main runs the command and returns its exit code.
@@ -55,7 +55,7 @@
 	return 0
 }
 
-// flags returns the flags that fill the command.
+// flags returns the flag set that fills c.
 func (c *command) flags(stderr io.Writer) *flag.FlagSet {
 	fs := flag.NewFlagSet("rockspoke-soak", flag.ContinueOnError)
 	fs.SetOutput(stderr)
@@ -66,20 +66,20 @@
 	fs.DurationVar(&c.opts.FaultPeriod, "faulty", defaultFaulty, "time in which faults begin")
 	fs.DurationVar(&c.opts.RecoveryPeriod, "calm", defaultCalm, "time without faults afterwards")
 	fs.IntVar(&c.seeds, "seeds", defaultSeeds, "how many seeds to run, if none are named")
-	fs.Uint64Var(&c.first, "first", 0, "first seed; 0 draws one")
+	fs.Uint64Var(&c.firstSeed, "first", 0, "first seed; 0 draws one")
 	fs.BoolVar(&c.failed, "failed", false, "run the seeds that ever broke a promise")
-	fs.IntVar(&c.atOnce, "at-once", defaultAtOnce, "runs beside each other")
+	fs.IntVar(&c.concurrentRuns, "at-once", defaultConcurrentRuns, "runs beside each other")
 	return fs
 }
 
-// exec runs the named seeds, or as many as asked for.
+// exec runs the named seeds, with -failed also the recorded ones, or else a sequence of c.seeds seeds.
 func (c *command) exec(ctx context.Context, named []string) error {
 	if c.failed {
 		named = append(named, failedSeeds()...)
 	}
-	list, err := seedList(named, c.seeds, c.first)
+	list, err := seedList(named, c.seeds, c.firstSeed)
 	if err != nil {
 		return err
 	}
-	return runSeeds(ctx, c.opts, list, min(max(c.atOnce, 1), mostAtOnce), c.stdout)
+	return runSeeds(ctx, c.opts, list, min(max(c.concurrentRuns, 1), maxConcurrentRuns), c.stdout)
 }
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// buildDaemon builds rockspoked as it is run.
+// buildDaemon builds rockspoked and returns the path of the program.
 func buildDaemon(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "rockspoked")
@@ -40,19 +40,19 @@
 	}
 }
 
-// Runs one after the other on one network couldn't bind their addresses now and then: the last run's listeners were
-// closed by themselves, later.
+// Consecutive runs on one network sometimes failed to bind their addresses, because the previous run ended before its
+// listeners were closed.
 func TestListenersAreClosedWhenARunEnds(t *testing.T) {
 	c := qt.New(t)
 	for range 30 {
 		var s site
 		ctx, cancel := context.WithCancel(context.Background())
 		for _, addr := range []string{"127.88.99.1:21015", "127.88.99.1:21014"} {
-			c.Assert(serveHTTP(ctx, &s.closing, addr, http.NotFoundHandler()), qt.IsNil)
+			c.Assert(serveHTTP(ctx, &s.openListeners, addr, http.NotFoundHandler()), qt.IsNil)
 		}
-		c.Assert(s.proxy.serve(ctx, &s.closing, "127.88.99.1:21005", "127.88.99.1:21015", "store"), qt.IsNil)
+		c.Assert(s.proxy.serve(ctx, &s.openListeners, "127.88.99.1:21005", "127.88.99.1:21015", "store"), qt.IsNil)
 		cancel()
-		s.closing.Wait()
+		s.openListeners.Wait()
 	}
 }
 
@@ -72,17 +72,17 @@
 	}
 }
 
-var judged = time.Unix(1_000_000, 0)
+var testTime = time.Unix(1_000_000, 0)
 
-// sound is the history of one once-only request that was served.
-func sound() *history {
+// servedHistory returns the history of one once-only request that was served.
+func servedHistory() *history {
 	h := &history{}
-	h.addAttempt(attempt{ID: "bill-1-1", Route: routePay.path, Service: serviceBill, Once: true, VM: "a", Begun: judged, Ended: judged.Add(time.Millisecond), Limit: time.Second, Status: http.StatusOK, Own: true})
-	h.addArrival(arrival{ID: "bill-1-1", Service: serviceBill, Instance: "i", At: judged, Ran: true})
+	h.addAttempt(attempt{ID: "bill-1-1", Route: routePay.path, Service: serviceBill, Once: true, VM: "a", Begun: testTime, Ended: testTime.Add(time.Millisecond), Limit: time.Second, Status: http.StatusOK, Served: true})
+	h.addArrival(arrival{ID: "bill-1-1", Service: serviceBill, Instance: "i", At: testTime, Ran: true})
 	return h
 }
 
-// Each check finds what it is for, and nothing in a sound history.
+// Each check finds its kind of violation, and none in a history without any.
 func TestChecksFindBrokenPromises(t *testing.T) {
 	for _, x := range []struct {
 		promise string
@@ -91,48 +91,50 @@
 		{"", func(*history) {}},
 		{"once", func(h *history) { h.addArrival(h.arrivals[0]) }},
 		{"refusal", func(h *history) { h.attempts[0].Status = http.StatusServiceUnavailable }},
-		{"answer", func(h *history) { h.attempts[0].Own = false }},
-		{"leaving", func(h *history) { h.addLeave(leaving{Instance: "i", At: judged.Add(-drainTime - time.Second)}) }},
-		{"final answer", func(h *history) { h.attempts[0].Ended = judged.Add(2 * time.Second) }},
-		{"planned work", func(h *history) { h.attempts[0].Status, h.attempts[0].Own = http.StatusBadGateway, false }},
+		{"answer", func(h *history) { h.attempts[0].Served = false }},
+		{"leaving", func(h *history) {
+			h.addLeave(acknowledgedLeave{Instance: "i", At: testTime.Add(-drainTime - time.Second)})
+		}},
+		{"final answer", func(h *history) { h.attempts[0].Ended = testTime.Add(2 * time.Second) }},
+		{"planned work", func(h *history) { h.attempts[0].Status, h.attempts[0].Served = http.StatusBadGateway, false }},
 		{"desired state", func(h *history) {
-			h.addVersion(stateChange{At: judged.Add(-applyTime - time.Second), Dropped: routePay.path})
+			h.addStateChange(stateChange{At: testTime.Add(-applyTime - time.Second), Dropped: routePay.path})
 		}},
 		{"repeats", func(h *history) {
 			h.attempts[0].Once = false
-			for range repeatSlack + 1 {
+			for range retrySlack + 1 {
 				h.addArrival(h.arrivals[0])
 			}
 		}},
 		{"recovery", func(h *history) { h.attempts = nil }},
-		{"team", func(h *history) { h.attempts[0].Key = keyLife{Key: "k", Team: teamCalm} }},
+		{"team", func(h *history) { h.attempts[0].Key = keyRecord{Key: "k", Team: teamSteady} }},
 		{"revoked key", func(h *history) {
-			h.attempts[0].Key = keyLife{Key: "k", Team: teamCalm}
-			h.arrivals[0].Team = teamName(teamCalm)
-			h.keys = []keyLife{{Key: "k", To: judged.Add(-revokeTime - time.Second)}}
+			h.attempts[0].Key = keyRecord{Key: "k", Team: teamSteady}
+			h.arrivals[0].Team = teamName(teamSteady)
+			h.keys = []keyRecord{{Key: "k", RevokedAt: testTime.Add(-revokeTime - time.Second)}}
 		}},
 		{"sound key", func(h *history) {
-			h.attempts[0].Key = keyLife{Key: "k", Team: teamCalm}
-			h.attempts[0].Status, h.attempts[0].Own, h.arrivals = http.StatusUnauthorized, false, nil
+			h.attempts[0].Key = keyRecord{Key: "k", Team: teamSteady}
+			h.attempts[0].Status, h.attempts[0].Served, h.arrivals = http.StatusUnauthorized, false, nil
 		}},
 		{"quota", func(h *history) {
 			for i := range 100 {
 				id := fmt.Sprint("bill-2-", i)
-				h.addAttempt(attempt{ID: id, Key: keyLife{Key: "k", Team: teamHot}, Begun: judged, Ended: judged, Status: http.StatusOK, Own: true})
-				h.addArrival(arrival{ID: id, Team: teamName(teamHot), At: judged, Ran: true})
+				h.addAttempt(attempt{ID: id, Key: keyRecord{Key: "k", Team: teamHot}, Begun: testTime, Ended: testTime, Status: http.StatusOK, Served: true})
+				h.addArrival(arrival{ID: id, Team: teamName(teamHot), At: testTime, Ran: true})
 			}
 		}},
 		{"recovery", func(h *history) {
-			h.attempts[0].Status, h.attempts[0].Own = http.StatusServiceUnavailable, false
+			h.attempts[0].Status, h.attempts[0].Served = http.StatusServiceUnavailable, false
 			h.arrivals = nil
 		}},
 	} {
 		t.Run(x.promise, func(t *testing.T) {
-			h := sound()
+			h := servedHistory()
 			x.spoil(h)
 			var promises []string
 			for _, check := range checks {
-				for _, f := range check(h, judged.Add(-time.Hour)) {
+				for _, f := range check(h, testTime.Add(-time.Hour)) {
 					promises = append(promises, f.Promise)
 				}
 			}
@@ -141,17 +143,17 @@
 	}
 }
 
-// A disturbance excuses what it touches, and nothing before or elsewhere.
+// A disturbance excuses only failures that it overlaps, and planned work excuses none.
 func TestDisturbancesExcuseWhatTheyTouch(t *testing.T) {
 	c := qt.New(t)
-	h := sound()
-	h.attempts[0].Status, h.attempts[0].Own = http.StatusBadGateway, false
-	h.disturbances = []*disturbance{{Kind: "x", From: judged.Add(-time.Minute), To: judged.Add(-touchTime - time.Second)}}
-	c.Assert(checkPlannedWork(h, judged), qt.HasLen, 1)
-	h.disturbances[0].To = judged.Add(-time.Second)
-	c.Assert(checkPlannedWork(h, judged), qt.HasLen, 0)
+	h := servedHistory()
+	h.attempts[0].Status, h.attempts[0].Served = http.StatusBadGateway, false
+	h.disturbances = []*disturbance{{Kind: "x", From: testTime.Add(-time.Minute), To: testTime.Add(-disturbanceMargin - time.Second)}}
+	c.Assert(checkPlannedWork(h, testTime), qt.HasLen, 1)
+	h.disturbances[0].To = testTime.Add(-time.Second)
+	c.Assert(checkPlannedWork(h, testTime), qt.HasLen, 0)
 	h.disturbances[0].Planned = true
-	c.Assert(checkPlannedWork(h, judged), qt.HasLen, 1)
+	c.Assert(checkPlannedWork(h, testTime), qt.HasLen, 1)
 }
 
 func TestCommandNamesWhatIsWrong(t *testing.T) {
@@ -168,7 +170,7 @@
 	c.Assert(slices.Contains(list, uint64(6)), qt.IsTrue, qt.Commentf("%v", list))
 }
 
-// A fault that ended took another one at the same place with it, and the checks excused what there was no cause for.
+// When one of two overlapping faults on a link ended, the other ended too, and the checks excused failures without a fault.
 func TestOverlappingFaultsEndOneByOne(t *testing.T) {
 	c := qt.New(t)
 	var o overlapping[linkFault]
@@ -181,7 +183,7 @@
 	c.Assert(o.now(), qt.Equals, linkFault{})
 }
 
-// Planned work that overlapped took all three servers of a service away for 0.15 s, and runs that need it failed.
+// Overlapping planned work stopped all three servers of a service for 0.15 s, and requests that call it failed.
 func TestPlannedWorkLeavesAServer(t *testing.T) {
 	c := qt.New(t)
 	s := &site{vms: []*vm{{service: "a"}, {service: "a"}, {service: "b"}, {service: "a"}}}
--- a/pkg/soak/team_checks.go
+++ b/pkg/soak/team_checks.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checkTeams finds requests that reached a server under another team's name than their key's.
+// checkTeams finds requests that reached a server labeled with a team other than their key's.
 func checkTeams(h *history, _ time.Time) (found []Finding) {
 	team := map[string]string{}
 	for _, a := range h.attempts {
@@ -22,11 +22,11 @@
 	return found
 }
 
-// checkRevoked finds requests that ran with a key later than the bound after it was taken away.
-func checkRevoked(h *history, _ time.Time) (found []Finding) {
+// checkRevokedKeys finds requests executed with a key that was revoked more than revokeTime before they were sent.
+func checkRevokedKeys(h *history, _ time.Time) (found []Finding) {
 	ends := map[string]time.Time{}
 	for _, k := range h.keys {
-		ends[k.Key] = k.To
+		ends[k.Key] = k.RevokedAt
 	}
 	runs := h.runsByID()
 	for _, a := range h.attempts {
@@ -38,8 +38,8 @@
 	return found
 }
 
-// checkSoundKeys finds requests that were refused for a key that every desired state had.
-func checkSoundKeys(h *history, _ time.Time) (found []Finding) {
+// checkValidKeys finds requests that got 401 with a key that was in every desired state.
+func checkValidKeys(h *history, _ time.Time) (found []Finding) {
 	for _, a := range h.attempts {
 		if a.Key.Key != "" && a.Key.Team != teamRekeyed && a.Status == http.StatusUnauthorized {
 			found = append(found, Finding{"sound key", fmt.Sprintf("%s got 401 at %s", a.ID, a.VM)})
@@ -48,7 +48,7 @@
 	return found
 }
 
-// checkQuota finds windows in which a team ran more than its limit allows.
+// checkQuota finds the first window in which the team that exceeds its quota had more requests executed than the quota allows.
 func checkQuota(h *history, _ time.Time) (found []Finding) {
 	sent := map[string]time.Time{}
 	for _, a := range h.attempts {
