--- a/pkg/soak/caller.go
+++ b/pkg/soak/caller.go
@@ -78,6 +78,6 @@
 		return
 	}
 	a.Status = res.StatusCode
-	a.Served = string(body) == answerTo(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
+	a.OwnAnswer = string(body) == answerTo(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
 		res.Header.Get(standin.Headers.AttemptID) == a.ID
 }
--- a/pkg/soak/history.go
+++ b/pkg/soak/history.go
@@ -7,18 +7,18 @@
 
 // attempt is one request of a caller and its outcome.
 type attempt struct {
-	ID      string
-	Route   string
-	Service string // of the route
-	Once    bool
-	VM      string // entry VM
-	Begun   time.Time
-	Ended   time.Time
-	Limit   time.Duration
-	Status  int       // 0: the connection broke
-	Served  bool      // a success that carries the backend server's mark and the whole body
-	Probe   bool      // of the desired state, not of the service
-	Key     keyRecord // carried by the request, as of when it was sent
+	ID        string
+	Route     string
+	Service   string // of the route
+	Once      bool
+	VM        string // entry VM
+	Begun     time.Time
+	Ended     time.Time
+	Limit     time.Duration
+	Status    int       // 0: the connection broke
+	OwnAnswer bool      // a success that carries the backend server's mark and the whole body
+	Probe     bool      // of the desired state, not of the service
+	Key       keyRecord // carried by the request, as of when it was sent
 }
 
 // arrival is a request at a backend server.
@@ -41,7 +41,7 @@
 	Planned bool
 }
 
-// acknowledgedLeave is an acknowledged leave of a backend server.
+// acknowledgedLeave is the time at which a backend server's leave was acknowledged.
 type acknowledgedLeave struct {
 	Instance string
 	At       time.Time
--- a/pkg/soak/promise_checks.go
+++ b/pkg/soak/promise_checks.go
@@ -74,7 +74,7 @@
 // checkAnswers finds successes whose body isn't the complete answer to that request.
 func checkAnswers(h *history, _ time.Time) (found []Finding) {
 	for _, a := range h.attempts {
-		if a.Status == http.StatusOK && !a.Served {
+		if a.Status == http.StatusOK && !a.OwnAnswer {
 			found = append(found, Finding{"answer", a.ID + " got a success that isn't its own"})
 		}
 	}
@@ -136,7 +136,7 @@
 			if a.Route == v.Added && a.Status == http.StatusNotFound {
 				found = append(found, Finding{"desired state", a.ID + " got 404 on a route that had been added"})
 			}
-			if a.Route == v.Dropped && a.Served {
+			if a.Route == v.Dropped && a.OwnAnswer {
 				found = append(found, Finding{"desired state", a.ID + " was served on a route that had been dropped"})
 			}
 		}
@@ -155,9 +155,9 @@
 		first[a.Service][a.ID] = true
 	}
 	for service, n := range arrivals {
-		asked := len(first[service])
-		if more := n - asked; float64(more) > retryRatio*float64(asked)+retrySlack {
-			found = append(found, Finding{"repeats", fmt.Sprintf("%s: %d arrivals for %d requests", service, n, asked)})
+		requests := len(first[service])
+		if retries := n - requests; float64(retries) > retryRatio*float64(requests)+retrySlack {
+			found = append(found, Finding{"repeats", fmt.Sprintf("%s: %d arrivals for %d requests", service, n, requests)})
 		}
 	}
 	return found
@@ -165,22 +165,22 @@
 
 // checkRecovery reports when too few requests are served after all faults have ended.
 func checkRecovery(h *history, calmFrom time.Time) []Finding {
-	asked, served := 0, 0
+	requests, served := 0, 0
 	var examples []string
 	for _, a := range h.attempts {
-		owed := !a.Key.Removed && a.Key.Team != teamHot
-		if a.Probe || !owed || a.Begun.Before(calmFrom.Add(recoveryTime)) {
+		mustServe := !a.Key.Removed && a.Key.Team != teamHot
+		if a.Probe || !mustServe || a.Begun.Before(calmFrom.Add(recoveryTime)) {
 			continue
 		}
-		asked++
-		if a.Served {
+		requests++
+		if a.OwnAnswer {
 			served++
 		} else if len(examples) < maxExamples {
 			examples = append(examples, fmt.Sprintf("%s %d", a.ID, a.Status))
 		}
 	}
-	if asked == 0 || float64(served) < recoveredShare*float64(asked) {
-		return []Finding{{"recovery", fmt.Sprintf("%d of %d were served, not %v", served, asked, examples)}}
+	if requests == 0 || float64(served) < recoveredShare*float64(requests) {
+		return []Finding{{"recovery", fmt.Sprintf("%d of %d were served, not %v", served, requests, examples)}}
 	}
 	return nil
 }
--- a/pkg/soak/run_report.go
+++ b/pkg/soak/run_report.go
@@ -39,7 +39,7 @@
 	defer h.mu.Unlock()
 	r := Report{Seed: s.opts.Seed, Requests: len(h.attempts), Faults: map[string]int{}, Findings: slices.Clone(h.findings)}
 	for _, a := range h.attempts {
-		if a.Served {
+		if a.OwnAnswer {
 			r.Served++
 		}
 	}
--- a/pkg/soak/run_seeds.go
+++ b/pkg/soak/run_seeds.go
@@ -11,19 +11,19 @@
 	"sync"
 )
 
-// runSeeds runs seeds, up to atOnce concurrently, and prints each report to w. It returns a BrokenPromisesError if any run broke one.
-func runSeeds(ctx context.Context, o Options, seeds []uint64, atOnce int, w io.Writer) error {
+// runSeeds runs seeds, up to concurrentRuns concurrently, and prints each report to w. It returns a BrokenPromisesError if any run broke one.
+func runSeeds(ctx context.Context, o Options, seeds []uint64, concurrentRuns int, w io.Writer) error {
 	var mu sync.Mutex
 	var failed []uint64
-	var all sync.WaitGroup
-	networks := make(chan int, atOnce)
-	for i := range atOnce {
+	var running sync.WaitGroup
+	networks := make(chan int, concurrentRuns)
+	for i := range concurrentRuns {
 		networks <- i + 1
 	}
 	var firstErr error
 	for _, seed := range seeds {
 		network := <-networks
-		all.Go(func() {
+		running.Go(func() {
 			defer func() { networks <- network }()
 			r, err := runSeed(ctx, o, seed, network)
 			mu.Lock()
@@ -38,7 +38,7 @@
 			fmt.Fprint(w, r.Text())
 		})
 	}
-	all.Wait()
+	running.Wait()
 	fmt.Fprintf(w, "%d seeds run, %d with broken promises %v\n", len(seeds), len(failed), failed)
 	if len(failed) > 0 {
 		return errors.Join(firstErr, &BrokenPromisesError{failed})
--- a/pkg/soak/site_start.go
+++ b/pkg/soak/site_start.go
@@ -50,22 +50,22 @@
 }
 
 // serveHTTP serves h at addr in the background until ctx ends; openListeners tracks the listener.
-func serveHTTP(ctx context.Context, closing *sync.WaitGroup, addr string, h http.Handler) error {
+func serveHTTP(ctx context.Context, openListeners *sync.WaitGroup, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: callerLimit, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
-	closeAfter(ctx, closing, srv)
-	closing.Go(func() { _ = srv.Serve(ln) }) // it ends when it is closed, and closes ln
+	closeAfter(ctx, openListeners, srv)
+	openListeners.Go(func() { _ = srv.Serve(ln) }) // it ends when it is closed, and closes ln
 	return nil
 }
 
 // closeAfter closes a listener when ctx ends. The next run binds the same address, so this run waits for the close through the wait group.
-func closeAfter(ctx context.Context, closing *sync.WaitGroup, c io.Closer) {
-	closing.Add(1)
+func closeAfter(ctx context.Context, openListeners *sync.WaitGroup, c io.Closer) {
+	openListeners.Add(1)
 	context.AfterFunc(ctx, func() {
-		defer closing.Done()
+		defer openListeners.Done()
 		_ = c.Close() // it may have been closed before
 	})
 }
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -77,7 +77,7 @@
 // servedHistory returns the history of one once-only request that was served.
 func servedHistory() *history {
 	h := &history{}
-	h.addAttempt(attempt{ID: "bill-1-1", Route: routePay.path, Service: serviceBill, Once: true, VM: "a", Begun: testTime, Ended: testTime.Add(time.Millisecond), Limit: time.Second, Status: http.StatusOK, Served: true})
+	h.addAttempt(attempt{ID: "bill-1-1", Route: routePay.path, Service: serviceBill, Once: true, VM: "a", Begun: testTime, Ended: testTime.Add(time.Millisecond), Limit: time.Second, Status: http.StatusOK, OwnAnswer: true})
 	h.addArrival(arrival{ID: "bill-1-1", Service: serviceBill, Instance: "i", At: testTime, Ran: true})
 	return h
 }
@@ -91,12 +91,12 @@
 		{"", func(*history) {}},
 		{"once", func(h *history) { h.addArrival(h.arrivals[0]) }},
 		{"refusal", func(h *history) { h.attempts[0].Status = http.StatusServiceUnavailable }},
-		{"answer", func(h *history) { h.attempts[0].Served = false }},
+		{"answer", func(h *history) { h.attempts[0].OwnAnswer = false }},
 		{"leaving", func(h *history) {
 			h.addLeave(acknowledgedLeave{Instance: "i", At: testTime.Add(-drainTime - time.Second)})
 		}},
 		{"final answer", func(h *history) { h.attempts[0].Ended = testTime.Add(2 * time.Second) }},
-		{"planned work", func(h *history) { h.attempts[0].Status, h.attempts[0].Served = http.StatusBadGateway, false }},
+		{"planned work", func(h *history) { h.attempts[0].Status, h.attempts[0].OwnAnswer = http.StatusBadGateway, false }},
 		{"desired state", func(h *history) {
 			h.addStateChange(stateChange{At: testTime.Add(-applyTime - time.Second), Dropped: routePay.path})
 		}},
@@ -115,17 +115,17 @@
 		}},
 		{"sound key", func(h *history) {
 			h.attempts[0].Key = keyRecord{Key: "k", Team: teamSteady}
-			h.attempts[0].Status, h.attempts[0].Served, h.arrivals = http.StatusUnauthorized, false, nil
+			h.attempts[0].Status, h.attempts[0].OwnAnswer, h.arrivals = http.StatusUnauthorized, false, nil
 		}},
 		{"quota", func(h *history) {
 			for i := range 100 {
 				id := fmt.Sprint("bill-2-", i)
-				h.addAttempt(attempt{ID: id, Key: keyRecord{Key: "k", Team: teamHot}, Begun: testTime, Ended: testTime, Status: http.StatusOK, Served: true})
+				h.addAttempt(attempt{ID: id, Key: keyRecord{Key: "k", Team: teamHot}, Begun: testTime, Ended: testTime, Status: http.StatusOK, OwnAnswer: true})
 				h.addArrival(arrival{ID: id, Team: teamName(teamHot), At: testTime, Ran: true})
 			}
 		}},
 		{"recovery", func(h *history) {
-			h.attempts[0].Status, h.attempts[0].Served = http.StatusServiceUnavailable, false
+			h.attempts[0].Status, h.attempts[0].OwnAnswer = http.StatusServiceUnavailable, false
 			h.arrivals = nil
 		}},
 	} {
@@ -147,7 +147,7 @@
 func TestDisturbancesExcuseWhatTheyTouch(t *testing.T) {
 	c := qt.New(t)
 	h := servedHistory()
-	h.attempts[0].Status, h.attempts[0].Served = http.StatusBadGateway, false
+	h.attempts[0].Status, h.attempts[0].OwnAnswer = http.StatusBadGateway, false
 	h.disturbances = []*disturbance{{Kind: "x", From: testTime.Add(-time.Minute), To: testTime.Add(-disturbanceMargin - time.Second)}}
 	c.Assert(checkPlannedWork(h, testTime), qt.HasLen, 1)
 	h.disturbances[0].To = testTime.Add(-time.Second)
