--- a/pkg/soak/backend_server.go
+++ b/pkg/soak/backend_server.go
@@ -111,7 +111,7 @@
 	b.mu.Unlock()
 	for end := time.Now().Add(drainAckTimeout); time.Now().Before(end); time.Sleep(heartbeatPeriod) {
 		if b.sendHeartbeat() {
-			b.history.addLeave(leaving{Instance: instance, At: time.Now()})
+			b.history.addLeave(acknowledgedLeave{Instance: instance, At: time.Now()})
 			return
 		}
 	}
--- a/pkg/soak/caller.go
+++ b/pkg/soak/caller.go
@@ -39,13 +39,13 @@
 func (c *caller) run(ctx context.Context, rate float64) {
 	s := c.vm.site
 	for clock.Sleep(ctx, time.Duration(c.rnd.ExpFloat64()/rate*float64(time.Second))) {
-		r := s.pick(c.rnd)
+		r := s.pickRoute(c.rnd)
 		c.sent++
 		a := attempt{
 			ID: fmt.Sprintf("%s-%d-%d", c.vm.service, c.vm.number, c.sent), Route: r.path, Service: r.service,
-			Once: r.once, VM: c.vm.ip, Limit: callerTimeout, Probe: r.probe, Key: s.teams.pick(c.keyRand),
+			Once: r.once, VM: c.vm.ip, Limit: callerTimeout, Probe: r.probe, Key: s.teams.pickKey(c.keyRand),
 		}
-		s.asking.Go(func() {
+		s.callerRequests.Go(func() {
 			a.Begun = time.Now()
 			c.sendAttempt(&a)
 			a.Ended = time.Now()
@@ -80,6 +80,6 @@
 		return
 	}
 	a.Status = res.StatusCode
-	a.Own = string(body) == answerBody(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
+	a.OwnAnswer = string(body) == answerBody(a.ID) && res.Header.Get(standin.SealHeader) == sealOf(a.ID) &&
 		res.Header.Get(standin.Headers.AttemptID) == a.ID
 }
--- a/pkg/soak/fault_links.go
+++ b/pkg/soak/fault_links.go
@@ -28,7 +28,7 @@
 
 // injectLinkFault applies f to the links for d and records it as a fault at vms.
 func (s *site) injectLinkFault(kind string, vms []*vm, links []link, f linkFault, d time.Duration) {
-	recordEnd := s.history.begin(kind, false, ipsOf(vms...)...)
+	recordEnd := s.history.beginDisturbance(kind, false, ipsOf(vms...)...)
 	var ends []func()
 	for _, l := range links {
 		ends = append(ends, s.proxy.faultsOf(l).add(f))
@@ -49,7 +49,7 @@
 
 // resetLinks resets the open connections between some VMs and the others.
 func resetLinks(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	for _, l := range linksBetween(s.randomVMs(rnd), s.vms) {
 		s.proxy.resetConns(l)
 	}
@@ -74,7 +74,7 @@
 // silenceConnections makes the open connections of some VMs to the others, to their backend servers and to the store
 // unresponsive for the rest of their life, without closing them.
 func silenceConnections(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	v := s.randomVMs(rnd)
 	for _, l := range linksBetween(v, s.vms) {
 		s.proxy.silenceConns(l)
@@ -107,7 +107,7 @@
 // resetServerLink resets the open connections of a VM to its backend server.
 func resetServerLink(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
 	v := s.randomVM(rnd)
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	s.proxy.resetConns(v.serverLink())
 	recordEnd()
 }
--- a/pkg/soak/fault_processes.go
+++ b/pkg/soak/fault_processes.go
@@ -13,7 +13,7 @@
 // pauseNode stops a process with SIGSTOP for d and then continues it, which simulates a frozen VM.
 func pauseNode(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	v := s.randomVM(rnd)
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	v.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	v.signal(syscall.SIGCONT)
@@ -36,7 +36,7 @@
 
 // killAndRestart kills the processes of vms, starts them again after down and returns when all have been started.
 func (s *site) killAndRestart(kind string, vms []*vm, down time.Duration) {
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	var all sync.WaitGroup
 	for _, v := range vms {
 		all.Go(func() { v.restart(syscall.SIGKILL, down) })
@@ -48,7 +48,7 @@
 // signal sends a signal to the VM's process. A signal that can't be sent is recorded as a finding.
 func (v *vm) signal(sig syscall.Signal) {
 	if err := v.node.signal(sig); err != nil {
-		v.site.history.found("process", v.ip+" can't be signalled: "+err.Error())
+		v.site.history.addFinding("process", v.ip+" can't be signalled: "+err.Error())
 	}
 }
 
@@ -60,17 +60,17 @@
 	v.signal(sig)
 	if !v.node.waitForExit(v.node.cfg.Mesh.Grace) {
 		if sig == syscall.SIGTERM && !v.node.wasPaused() {
-			v.site.history.found("stop", v.ip+" hadn't ended when its time was up")
+			v.site.history.addFinding("stop", v.ip+" hadn't ended when its time was up")
 		}
 		v.signal(syscall.SIGKILL)
 		v.signal(syscall.SIGCONT)
 		v.node.waitForExit(killTimeout)
 	}
 	time.Sleep(max(down, restartPause))
-	if v.site.ending.Load() {
+	if v.site.stopping.Load() {
 		return
 	}
 	if err := v.node.start(); err != nil {
-		v.site.history.found("process", v.ip+" doesn't start: "+err.Error())
+		v.site.history.addFinding("process", v.ip+" doesn't start: "+err.Error())
 	}
 }
--- a/pkg/soak/fault_servers.go
+++ b/pkg/soak/fault_servers.go
@@ -11,7 +11,7 @@
 
 // injectServerFault applies f to the backend server of a VM for d and records it.
 func (s *site) injectServerFault(kind string, v *vm, f serverFault, d time.Duration) {
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	end := v.server.faults.add(f)
 	time.Sleep(d)
 	end()
@@ -47,7 +47,7 @@
 // its previous lifetime arrives late.
 func restartServer(s *site, kind string, rnd *rand.Rand, d time.Duration) {
 	v := s.randomVM(rnd)
-	recordEnd := s.history.begin(kind, false, v.ip)
+	recordEnd := s.history.beginDisturbance(kind, false, v.ip)
 	defer recordEnd()
 	late, ok := v.server.restartSameInstance()
 	if !ok {
@@ -63,7 +63,7 @@
 // each one that is accepted.
 func foreignHeartbeats(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
 	v := s.randomVM(rnd)
-	recordEnd := s.history.begin(kind, false)
+	recordEnd := s.history.beginDisturbance(kind, false)
 	defer recordEnd()
 	for _, r := range []directory.Registration{
 		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, CallSeq: 1},
@@ -71,7 +71,7 @@
 		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, CallSeq: 1},
 	} {
 		if standin.Register(v.server.registerClient, v.at(portControl), r) == nil {
-			s.history.found("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
+			s.history.addFinding("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
 		}
 	}
 }
--- a/pkg/soak/fault_store.go
+++ b/pkg/soak/fault_store.go
@@ -13,7 +13,7 @@
 
 // injectStoreFault applies f to the calls of vms to the store for d and records it.
 func (s *site) injectStoreFault(kind string, vms []*vm, f standin.Fault, d time.Duration) {
-	recordEnd := s.history.begin(kind, false, ipsOf(vms...)...)
+	recordEnd := s.history.beginDisturbance(kind, false, ipsOf(vms...)...)
 	var ends []func()
 	for _, v := range vms {
 		ends = append(ends, v.storeFaults.add(f))
--- a/pkg/soak/fault_table.go
+++ b/pkg/soak/fault_table.go
@@ -52,8 +52,8 @@
 
 // keyAndStoreFaults have a table and random stream of their own for the same reason.
 var keyAndStoreFaults = []fault{
-	{"key changed", true, changeKey},
-	{"store comes back from a copy", false, storeComesBack},
+	{"key changed", true, rotateKey},
+	{"store comes back from a copy", false, restoreStoreFromCopy},
 }
 
 // silentConnectionFaults have a table and random stream of their own for the same reason.
--- a/pkg/soak/planned_work.go
+++ b/pkg/soak/planned_work.go
@@ -11,25 +11,25 @@
 // false if no other server of the service would remain: no operator does that, and all requests that need the service
 // would fail.
 func (s *site) reserveOutage(v *vm) (release func(), ok bool) {
-	s.awayMu.Lock()
-	defer s.awayMu.Unlock()
+	s.stoppedServersMu.Lock()
+	defer s.stoppedServersMu.Unlock()
 	total := 0
 	for _, o := range s.vms {
 		if o.service == v.service {
 			total++
 		}
 	}
-	if s.away[v.service]+1 >= total {
+	if s.stoppedServers[v.service]+1 >= total {
 		return nil, false
 	}
-	if s.away == nil {
-		s.away = map[string]int{}
+	if s.stoppedServers == nil {
+		s.stoppedServers = map[string]int{}
 	}
-	s.away[v.service]++
+	s.stoppedServers[v.service]++
 	return func() {
-		s.awayMu.Lock()
-		defer s.awayMu.Unlock()
-		s.away[v.service]--
+		s.stoppedServersMu.Lock()
+		defer s.stoppedServersMu.Unlock()
+		s.stoppedServers[v.service]--
 	}, true
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	defer release()
-	recordEnd := s.history.begin(kind, true, v.ip)
+	recordEnd := s.history.beginDisturbance(kind, true, v.ip)
 	v.restart(syscall.SIGTERM, restartPause)
 	recordEnd()
 }
@@ -49,7 +49,7 @@
 // reloadSettings has a process reload its settings, once or twice in a row.
 func reloadSettings(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
 	v := s.randomVM(rnd)
-	recordEnd := s.history.begin(kind, true, v.ip)
+	recordEnd := s.history.beginDisturbance(kind, true, v.ip)
 	defer recordEnd()
 	if !v.node.restarting.TryLock() {
 		return // no process is running that could reload
@@ -68,7 +68,7 @@
 		return
 	}
 	defer release()
-	recordEnd := s.history.begin(kind, true, v.ip)
+	recordEnd := s.history.beginDisturbance(kind, true, v.ip)
 	defer recordEnd()
 	v.server.drain()
 	time.Sleep(drainDuration + minFaultDuration)
@@ -77,19 +77,19 @@
 
 // replaceRoute adds a route to the desired state and removes the one that was added before it.
 func replaceRoute(s *site, kind string, rnd *rand.Rand, _ time.Duration) {
-	recordEnd := s.history.begin(kind, true)
+	recordEnd := s.history.beginDisturbance(kind, true)
 	defer recordEnd()
 	added := route{path: fmt.Sprintf("/n%d/", rnd.Uint32()), service: serviceBack, probe: true}
 	s.routesMu.Lock()
 	old := s.routes
 	s.routesMu.Unlock()
 	if err := s.changeState([]route{added}); err != nil {
-		s.history.found("soak", err.Error())
+		s.history.addFinding("soak", err.Error())
 		return
 	}
 	change := stateChange{At: time.Now(), Added: added.path}
 	if len(old) > 0 {
 		change.Dropped = old[0].path
 	}
-	s.history.addVersion(change)
+	s.history.addStateChange(change)
 }
--- a/pkg/soak/run_seeds.go
+++ b/pkg/soak/run_seeds.go
@@ -11,19 +11,19 @@
 	"sync"
 )
 
-// runSeeds runs seeds, some beside each other, and prints each report.
-func runSeeds(ctx context.Context, o Options, seeds []uint64, atOnce int, w io.Writer) error {
+// runSeeds runs seeds, up to concurrentRuns concurrently, and prints each report to w. It returns a BrokenPromisesError if any run broke one.
+func runSeeds(ctx context.Context, o Options, seeds []uint64, concurrentRuns int, w io.Writer) error {
 	var mu sync.Mutex
 	var failed []uint64
-	var all sync.WaitGroup
-	networks := make(chan int, atOnce)
-	for i := range atOnce {
+	var running sync.WaitGroup
+	networks := make(chan int, concurrentRuns)
+	for i := range concurrentRuns {
 		networks <- i + 1
 	}
 	var firstErr error
 	for _, seed := range seeds {
 		network := <-networks
-		all.Go(func() {
+		running.Go(func() {
 			defer func() { networks <- network }()
 			r, err := runSeed(ctx, o, seed, network)
 			mu.Lock()
@@ -32,21 +32,21 @@
 				firstErr = errors.Join(firstErr, fmt.Errorf("seed %d: %w", seed, err))
 				return
 			}
-			if len(r.Broken) > 0 {
+			if len(r.Findings) > 0 {
 				failed = append(failed, seed)
 			}
 			fmt.Fprint(w, r.Text())
 		})
 	}
-	all.Wait()
+	running.Wait()
 	fmt.Fprintf(w, "%d seeds run, %d with broken promises %v\n", len(seeds), len(failed), failed)
 	if len(failed) > 0 {
-		return errors.Join(firstErr, &FoundError{failed})
+		return errors.Join(firstErr, &BrokenPromisesError{failed})
 	}
 	return firstErr
 }
 
-// runSeed runs one seed in a folder of its own.
+// runSeed runs one seed, with its settings and logs in a folder of its own.
 func runSeed(ctx context.Context, o Options, seed uint64, network int) (Report, error) {
 	o.Seed, o.Network = seed, network
 	o.Dir = filepath.Join(o.Dir, strconv.FormatUint(seed, 10))
@@ -62,10 +62,10 @@
 	return Run(ctx, o)
 }
 
-// FoundError reports that runs broke promises.
-type FoundError struct{ Seeds []uint64 }
+// BrokenPromisesError lists the seeds whose runs broke promises.
+type BrokenPromisesError struct{ Seeds []uint64 }
 
 // Error names the seeds.
-func (e *FoundError) Error() string {
+func (e *BrokenPromisesError) Error() string {
 	return fmt.Sprintf("promises were broken with seeds %v", e.Seeds)
 }
