--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 func beat(id string, call int64, draining bool) Registration {
-	return Registration{Instance: id, Service: "s", Zone: "z", Slots: 5, CallSeq: call, Draining: draining}
+	return Registration{Instance: id, Service: "s", Zone: "z", Slots: 5, HeartbeatSeq: call, Draining: draining}
 }
 
 func TestLateHeartbeatAfterLeaveIsIgnored(t *testing.T) {
@@ -50,15 +50,15 @@
 func TestLateHeartbeatOfAnEarlierServerIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	o := LocalServer{Host: "h"}
-	early := Registration{Instance: "i1", Service: "s", Zone: "z", Slots: 4, CallSeq: 7}
-	next := Registration{Instance: "i2", Service: "s", Zone: "z", Slots: 4, CallSeq: 1}
+	early := Registration{Instance: "i1", Service: "s", Zone: "z", Slots: 4, HeartbeatSeq: 7}
+	next := Registration{Instance: "i2", Service: "s", Zone: "z", Slots: 4, HeartbeatSeq: 1}
 	c.Assert(o.Heartbeat(start, early), qt.IsTrue)
 	c.Assert(o.Heartbeat(start, next), qt.IsTrue)
 	before := o.Record()
-	early.CallSeq++
+	early.HeartbeatSeq++
 	c.Assert(o.Heartbeat(start, early), qt.IsFalse)
 	c.Assert(o.Record(), qt.Equals, before)
-	next.CallSeq++
+	next.HeartbeatSeq++
 	c.Assert(o.Heartbeat(start, next), qt.IsFalse)
 	c.Assert(o.Leave(Lifetime{Instance: "i1"}), qt.IsFalse, qt.Commentf("a late leave call is ignored too"))
 	c.Assert(o.Record(), qt.Equals, before)
--- a/pkg/directory/local_server.go
+++ b/pkg/directory/local_server.go
@@ -20,18 +20,18 @@
 type LocalServer struct {
 	Host string
 
-	record      Record
-	lastCallSeq int64
-	registered  bool       // a heartbeat has arrived since the node started
-	left        []Lifetime // lifetimes that have left, the oldest first
-	candidate   candidateLifetime
+	record           Record
+	lastHeartbeatSeq int64
+	registered       bool       // a heartbeat has arrived since the node started
+	left             []Lifetime // lifetimes that have left, the oldest first
+	candidate        candidateLifetime
 }
 
 // candidateLifetime is a lifetime that seems older than the current one and sends heartbeats.
 type candidateLifetime struct {
-	lifetime  Lifetime
-	callSeq   int64
-	firstSeen time.Time // its first heartbeat with none of the current lifetime since
+	lifetime     Lifetime
+	heartbeatSeq int64
+	firstSeen    time.Time // its first heartbeat with none of the current lifetime since
 }
 
 // heartbeatClass is how a heartbeat relates to the current lifetime.
@@ -54,7 +54,7 @@
 		return false
 	}
 	o.candidate = candidateLifetime{}
-	o.lastCallSeq = r.CallSeq
+	o.lastHeartbeatSeq = r.HeartbeatSeq
 	o.registered = true
 	if class == nextHeartbeat {
 		return o.startLifetime(r)
@@ -72,7 +72,7 @@
 	case o.record.Instance == "":
 		return nextHeartbeat
 	case sender.Instance == current.Instance && (!known || sender.StartedMS == current.StartedMS):
-		return o.classifyByCallSeq(r, known)
+		return o.classifyByHeartbeatSeq(r, known)
 	case known && sender.StartedMS < current.StartedMS:
 		return ambiguousHeartbeat
 	default:
@@ -80,11 +80,11 @@
 	}
 }
 
-// classifyByCallSeq classifies a heartbeat of the current instance by its call number; startsKnown is false if the start time of
+// classifyByHeartbeatSeq classifies a heartbeat of the current instance by its call number; startsKnown is false if the start time of
 // either lifetime is unknown.
-func (o *LocalServer) classifyByCallSeq(r Registration, startsKnown bool) heartbeatClass {
+func (o *LocalServer) classifyByHeartbeatSeq(r Registration, startsKnown bool) heartbeatClass {
 	switch {
-	case r.CallSeq >= o.lastCallSeq:
+	case r.HeartbeatSeq >= o.lastHeartbeatSeq:
 		return currentHeartbeat
 	case startsKnown || o.record.Phase > Serving:
 		return staleHeartbeat
@@ -96,11 +96,11 @@
 // confirmCandidate notes a heartbeat of a lifetime that seems older, and reports whether that lifetime has sent heartbeats for
 // candidateConfirmTime.
 func (o *LocalServer) confirmCandidate(now time.Time, r Registration) bool {
-	if o.candidate.lifetime != r.Lifetime() || r.CallSeq <= o.candidate.callSeq {
-		o.candidate = candidateLifetime{lifetime: r.Lifetime(), callSeq: r.CallSeq, firstSeen: now}
+	if o.candidate.lifetime != r.Lifetime() || r.HeartbeatSeq <= o.candidate.heartbeatSeq {
+		o.candidate = candidateLifetime{lifetime: r.Lifetime(), heartbeatSeq: r.HeartbeatSeq, firstSeen: now}
 		return false
 	}
-	o.candidate.callSeq = r.CallSeq
+	o.candidate.heartbeatSeq = r.HeartbeatSeq
 	return now.Sub(o.candidate.firstSeen) >= candidateConfirmTime
 }
 
--- a/pkg/directory/record.go
+++ b/pkg/directory/record.go
@@ -65,16 +65,16 @@
 
 // Registration is a heartbeat that a backend server sends to its node.
 type Registration struct {
-	Instance   string
-	Address    string // IP:port
-	Service    string
-	Zone       string
-	Release    string
-	Slots      int
-	Draining   bool
-	CallSeq    int64         // increases with every call of the server, so that late calls are recognized
-	StartedMS  int64         // start time in Unix milliseconds; 0: not reported
-	WarmupLeft time.Duration // remaining time in which the server is slow after its start
+	Instance     string
+	Address      string // IP:port
+	Service      string
+	Zone         string
+	Release      string
+	Slots        int
+	Draining     bool
+	HeartbeatSeq int64         // increases with every call of the server, so that late calls are recognized
+	StartedMS    int64         // start time in Unix milliseconds; 0: not reported
+	WarmupLeft   time.Duration // remaining time in which the server is slow after its start
 }
 
 // supersedes reports whether r replaces old: a higher generation wins, and at the same generation the later phase of the same lifetime.
--- a/pkg/mesh/test_site_test.go
+++ b/pkg/mesh/test_site_test.go
@@ -134,7 +134,7 @@
 func (s *site) heartbeat(i int, draining bool) {
 	f := s.servers[i]
 	s.nodes[i].Heartbeat(context.Background(), directory.Registration{
-		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, CallSeq: f.heartbeatSeq.Add(1), StartedMS: f.startedAt.Load(),
+		Instance: f.instance, Service: f.service, Zone: f.zone, Slots: f.slots, Draining: draining, HeartbeatSeq: f.heartbeatSeq.Add(1), StartedMS: f.startedAt.Load(),
 	})
 }
 
--- a/pkg/soak/backend_server.go
+++ b/pkg/soak/backend_server.go
@@ -80,7 +80,7 @@
 	b.seq++
 	return directory.Registration{
 		Instance: b.instance, StartedMS: b.startedMS, Address: b.vm.at(portBackend), Service: b.vm.service, Zone: b.vm.zone,
-		Release: "v1", Slots: serverSlots, Draining: b.draining, CallSeq: b.seq,
+		Release: "v1", Slots: serverSlots, Draining: b.draining, HeartbeatSeq: b.seq,
 	}
 }
 
--- a/pkg/soak/fault_servers.go
+++ b/pkg/soak/fault_servers.go
@@ -66,9 +66,9 @@
 	recordEnd := s.history.beginDisturbance(kind, false)
 	defer recordEnd()
 	for _, r := range []directory.Registration{
-		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, CallSeq: 1},
-		{Instance: "foreign", Address: v.at(portBackend), Service: "unheard-of", Zone: v.zone, Slots: 1, CallSeq: 1},
-		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, CallSeq: 1},
+		{Instance: "foreign", Address: v.at(portBackend), Zone: v.zone, Slots: 1, HeartbeatSeq: 1},
+		{Instance: "foreign", Address: v.at(portBackend), Service: "unheard-of", Zone: v.zone, Slots: 1, HeartbeatSeq: 1},
+		{Instance: "foreign", Address: v.at(portBackend), Service: v.service, Zone: v.zone, HeartbeatSeq: 1},
 	} {
 		if standin.Register(v.server.registerClient, v.at(portControl), r) == nil {
 			s.history.addFinding("heartbeat", fmt.Sprintf("%s took %+v", v.ip, r))
